--- a/crates/node/src/mesh/controller.rs
+++ b/crates/node/src/mesh/controller.rs
@@ -18,8 +18,9 @@
 mod task;
 
 pub use event::{
-    AdmitAsk, Admitted, AfterRun, ControllerEvent, Credential, Denied, EndedSend, EnterAsk,
-    Granted, LeftSlot, NotGranted, OuterRun, RetryAsk, SendAsk, SendTo,
+    AdmissionRequest, AdmittedRequest, CompletedSend, ControllerEvent, Credential, Denial,
+    InstanceRequest, ParentRun, RetryRequest, RunOutcome, SelectedInstance, SlotGrant, SlotRefusal,
+    SlotRelease, SlotRequest,
 };
 pub use guards::{SendGuard, SlotGuard};
 pub use handle::ControllerHandle;
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -13,8 +13,8 @@
 use super::authentication::needed_key;
 use super::route_stats::RouteStats;
 use super::{
-    AdmitAsk, Admitted, Controller, Credential, Denied, EndedSend, RetryAsk, SendAsk, SendGuard,
-    SendTo,
+    AdmissionRequest, AdmittedRequest, CompletedSend, Controller, Credential, Denial,
+    InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
 };
 
 /// When to come back to a node without configuration or instances.
@@ -28,32 +28,34 @@
 
 impl Controller {
     /// Decides whether a request goes on, and at which service.
-    pub(super) fn admit(&mut self, ask: &AdmitAsk) -> Result<Admitted, Denied> {
+    pub(super) fn admit(&mut self, ask: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
         let in_force = self.config.as_ref();
-        let config = in_force.map_or(0, |config| config.version().0);
-        self.judge(ask)
-            .map_err(|denied| Denied { config, ..denied })
+        let config_version = in_force.map_or(0, |config| config.version().0);
+        self.judge(ask).map_err(|denied| Denial {
+            config_version,
+            ..denied
+        })
     }
 
-    fn judge(&mut self, ask: &AdmitAsk) -> Result<Admitted, Denied> {
+    fn judge(&mut self, ask: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
         let now = self.clock.now();
         // Targets have no keys: a request with one is a caller's, whatever its id.
         let keyless = matches!(ask.credential, Credential::Missing);
-        let outer = self.runs.outer_of(&ask.id).filter(|_| keyless);
+        let parent = self.runs.outer_of(&ask.id).filter(|_| keyless);
         let Some(config) = self.config.clone() else {
             return Err(denied(Refusal::NoConfig, Some(BACK_NOT_READY)));
         };
         let Some((key, route)) = config.find(&ask.host, &ask.path) else {
             return Err(self.no_route(now));
         };
-        if outer.is_none() && !self.drain_admits_caller(route, ask, now) {
+        if parent.is_none() && !self.drain_admits_caller(route, ask, now) {
             return Err(denied(Refusal::Stopping, Some(BACK_NOT_READY)));
         }
-        let (rank, workspace, share) = match &outer {
+        let (rank, workspace, admitted_share) = match &parent {
             // Work has been done for it above; refused here it would be lost, and more than this request with it.
-            Some(outer) => {
+            Some(parent) => {
                 self.metrics.inner.inc();
-                (outer.rank, outer.workspace.clone(), outer.admitted)
+                (parent.rank, parent.workspace.clone(), parent.admitted_share)
             }
             None => {
                 let workspace = self.authenticate(&config, route, ask, now)?;
@@ -72,20 +74,20 @@
         let service = self
             .next_part(&config, key)
             .ok_or(denied(Refusal::NoInstance, Some(BACK_NOT_READY)))?;
-        Ok(Admitted {
+        Ok(AdmittedRequest {
             config,
             route: key,
             service,
             rank,
-            key: needed_key(ask, workspace.is_some() && outer.is_none()),
+            key: needed_key(ask, workspace.is_some() && parent.is_none()),
             workspace,
-            share,
-            outer,
+            admitted_share,
+            parent,
         })
     }
 
     /// A route may be missing since the configuration in hand is old: only a fresh one says that it does not exist.
-    fn no_route(&self, now: Instant) -> Denied {
+    fn no_route(&self, now: Instant) -> Denial {
         match self.is_fresh(now) {
             true => denied(Refusal::NoRoute, None),
             false => denied(Refusal::NoConfig, Some(BACK_NOT_READY)),
@@ -106,9 +108,9 @@
         config: &Arc<MeshConfig>,
         key: RouteKey,
         rank: u8,
-        ask: &AdmitAsk,
+        ask: &AdmissionRequest,
         now: Instant,
-    ) -> Result<f64, Denied> {
+    ) -> Result<f64, Denial> {
         let route = config.route(key);
         let order = config.shed_order(rank);
         let judged = self
@@ -136,7 +138,7 @@
     }
 
     /// Chooses an instance for a request.
-    pub(super) fn send(&mut self, ask: SendAsk) -> Result<SendTo, Refusal> {
+    pub(super) fn send(&mut self, ask: InstanceRequest) -> Result<SelectedInstance, Refusal> {
         let now = self.clock.now();
         if !ask.tried.is_empty() && !self.still_holds(ask.key.as_ref()) {
             return Err(Refusal::NoInstance);
@@ -166,14 +168,14 @@
             route: ask.route,
             fingerprint: ask.fingerprint,
             answered_whole: false,
-            outer: ask.outer,
+            parent: ask.parent,
             since: now,
             clock: Arc::clone(&self.clock),
             tx: self.tx.clone(),
             ended: false,
         };
-        Ok(SendTo {
-            own: chosen.address == self.cfg.target,
+        Ok(SelectedInstance {
+            is_local: chosen.address == self.cfg.target,
             cut_off: self.own_cut_off(),
             chosen,
             guard,
@@ -184,8 +186,8 @@
     ///
     /// A repeat of a request from outside costs at every service downstream, so its entry needs budget there, although the
     /// calls to them leave from other nodes. Those nodes use the rest for repeats of single calls.
-    fn earn(&mut self, ask: &SendAsk, now: Instant) {
-        if ask.outer.is_some() {
+    fn earn(&mut self, ask: &InstanceRequest, now: Instant) {
+        if ask.parent.is_some() {
             return self.budget.earn(&ask.service, INNER_SHARE, now);
         }
         self.budget.earn(&ask.service, 1.0, now);
@@ -197,9 +199,9 @@
     }
 
     /// Learns from a sending that has ended.
-    pub(super) fn send_ended(&mut self, key: InstanceKey, ended: EndedSend) {
+    pub(super) fn send_ended(&mut self, key: InstanceKey, ended: CompletedSend) {
         let now = self.clock.now();
-        if ended.answered_whole {
+        if ended.answer_complete {
             self.answered(ended.fingerprint, now);
         }
         let stats = entry(&mut self.stats, &ended.route, RouteStats::new);
@@ -229,9 +231,9 @@
         }
         let busy = ended.report.as_ref().map(|report| report.busy);
         self.fleet.ended(key, outcome, busy, now);
-        if let Some(outer) = &ended.outer {
+        if let Some(parent) = &ended.parent {
             self.runs
-                .caused(outer, &ended.service, ended.report.as_ref());
+                .caused(parent, &ended.service, ended.report.as_ref());
         }
     }
 
@@ -246,7 +248,7 @@
     }
 
     /// Decides whether a failed request may be sent again, and takes what it costs from the budget.
-    pub(super) fn retry(&mut self, ask: &RetryAsk) -> bool {
+    pub(super) fn retry(&mut self, ask: &RetryRequest) -> bool {
         let now = self.clock.now();
         let overloaded = self.shedder.level(&ask.route, now) > self.cfg.no_repeat_level;
         if overloaded && !ask.inner {
@@ -267,11 +269,11 @@
     }
 }
 
-pub(super) fn denied(refusal: Refusal, retry_after: Option<Duration>) -> Denied {
-    Denied {
+pub(super) fn denied(refusal: Refusal, retry_after: Option<Duration>) -> Denial {
+    Denial {
         refusal,
         retry_after,
-        config: 0,
+        config_version: 0,
     }
 }
 
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -8,7 +8,7 @@
 
 use super::admission::{BACK_NOT_READY, denied};
 use super::runs::Runs;
-use super::{AdmitAsk, Controller, Credential, Denied};
+use super::{AdmissionRequest, Controller, Credential, Denial};
 
 impl Controller {
     /// The workspace of a request from outside, or its refusal.
@@ -16,13 +16,13 @@
         &self,
         config: &'c MeshConfig,
         route: &Route,
-        ask: &AdmitAsk,
+        ask: &AdmissionRequest,
         now: Instant,
-    ) -> Result<Option<&'c Workspace>, Denied> {
+    ) -> Result<Option<&'c Workspace>, Denial> {
         let presented = match &ask.credential {
             Credential::Missing => Presented::Nothing,
             Credential::Key(key) => Presented::Key(key.as_bytes()),
-            Credential::Doubled => Presented::Several,
+            Credential::Duplicate => Presented::Several,
         };
         let claim = Claim {
             presented,
@@ -47,7 +47,7 @@
 }
 
 /// The key by which a request is looked up again before it is sent once more.
-pub(super) fn needed_key(ask: &AdmitAsk, needed: bool) -> Option<HeaderValue> {
+pub(super) fn needed_key(ask: &AdmissionRequest, needed: bool) -> Option<HeaderValue> {
     match &ask.credential {
         Credential::Key(key) if needed => Some(key.clone()),
         _ => None,
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -9,7 +9,7 @@
 
 use super::runs::Run;
 use super::state::Waiter;
-use super::{AfterRun, Controller, EnterAsk, Granted, LeftSlot, NotGranted, SlotGuard};
+use super::{Controller, RunOutcome, SlotGrant, SlotGuard, SlotRefusal, SlotRelease, SlotRequest};
 use crate::mesh::call::Report;
 
 /// Ids of ended instances that are remembered, so that a late request for one is refused and not sent to its successor.
@@ -19,8 +19,8 @@
     /// Gives a request a slot, lets it wait, or refuses it.
     pub(super) fn enter(
         &mut self,
-        ask: EnterAsk,
-        reply: oneshot::Sender<Result<Granted, NotGranted>>,
+        ask: SlotRequest,
+        reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
     ) {
         let now = self.clock.now();
         if let Some(id) = &ask.cut_off {
@@ -43,7 +43,7 @@
         let waiting = coltsfootport_core::mesh::Waiting {
             rank: ask.rank,
             order: self.shed_order(ask.rank),
-            admitted: ask.admitted,
+            admitted: ask.admitted_share,
             kind: ask.kind,
             inner: ask.inner,
             began: ask.began,
@@ -80,8 +80,8 @@
     pub(super) fn leave(
         &mut self,
         ticket: Ticket,
-        left: LeftSlot,
-        reply: Option<oneshot::Sender<AfterRun>>,
+        left: SlotRelease,
+        reply: Option<oneshot::Sender<RunOutcome>>,
     ) {
         let now = self.clock.now();
         self.gate.leave(ticket, left.held, now);
@@ -97,7 +97,7 @@
             report.finding = self.finding_after(left.end, run.fingerprint, now);
             report.downstream = run.downstream;
         }
-        drop(reply.send(AfterRun { report, standing }));
+        drop(reply.send(RunOutcome { report, standing }));
     }
 
     /// Gives free slots to those who wait.
@@ -164,7 +164,7 @@
             instance: waiter.ask.instance,
             rank: waiter.ask.rank,
             workspace: waiter.ask.workspace,
-            admitted: waiter.ask.admitted,
+            admitted: waiter.ask.admitted_share,
             began: waiter.ask.began,
             deadline: waiter.ask.deadline,
             downstream: Vec::new(),
@@ -177,7 +177,7 @@
             tx: self.tx.clone(),
             left: false,
         };
-        drop(waiter.reply.send(Ok(Granted { guard })));
+        drop(waiter.reply.send(Ok(SlotGrant { guard })));
     }
 
     /// How many ranks are shed before this one.
@@ -197,8 +197,8 @@
         &self,
         refusal: Refusal,
         retry_after: Option<Duration>,
-    ) -> NotGranted {
-        NotGranted {
+    ) -> SlotRefusal {
+        SlotRefusal {
             refusal,
             retry_after,
             report: self.report(),
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -4,7 +4,7 @@
 
 use coltsfootport_core::mesh::{Drain, Route, Waiting};
 
-use super::{AdmitAsk, Controller};
+use super::{AdmissionRequest, Controller};
 
 impl Controller {
     /// The node is about to stop.
@@ -13,7 +13,12 @@
     }
 
     /// Whether a request of a caller is admitted although the node may be draining.
-    pub(super) fn drain_admits_caller(&self, route: &Route, ask: &AdmitAsk, now: Instant) -> bool {
+    pub(super) fn drain_admits_caller(
+        &self,
+        route: &Route,
+        ask: &AdmissionRequest,
+        now: Instant,
+    ) -> bool {
         let Some(drain) = &self.drain else {
             return true;
         };
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -1,4 +1,4 @@
-//! Messages to the controller.
+//! Events handled by the controller, and the types of their requests and replies.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,261 +17,267 @@
 use super::{ControllerConfig, SendGuard, SlotGuard};
 use crate::mesh::call::{Report, RunEnd};
 
-/// Everything that the controller hears.
+/// An event for the controller. Events that need a reply carry the channel for it.
 #[derive(Debug)]
 pub enum ControllerEvent {
-    /// A request has come from a caller.
-    Admit(AdmitAsk, oneshot::Sender<Result<Admitted, Denied>>),
-    /// An admitted request wants an instance.
-    Send(SendAsk, oneshot::Sender<Result<SendTo, Refusal>>),
-    /// A sending has ended.
-    SendEnded(InstanceKey, EndedSend),
-    /// A request that failed wants to be sent again.
-    Retry(RetryAsk, oneshot::Sender<bool>),
-    /// A request from an entry wants a slot at the target.
-    Enter(EnterAsk, oneshot::Sender<Result<Granted, NotGranted>>),
-    /// A request has left its slot; the reply tells what came of its run.
-    Left(Ticket, LeftSlot, Option<oneshot::Sender<AfterRun>>),
-    /// News of the publisher: one change after the other.
-    News(UpdateBatch),
-    /// Everything published, as listed at one time.
-    Listed(UpdateBatch),
-    /// The publisher has answered, with nothing new.
+    /// A caller's request asks for admission.
+    Admit(
+        AdmissionRequest,
+        oneshot::Sender<Result<AdmittedRequest, Denial>>,
+    ),
+    /// An admitted request needs an instance to be sent to.
+    SelectInstance(
+        InstanceRequest,
+        oneshot::Sender<Result<SelectedInstance, Refusal>>,
+    ),
+    /// An attempt to send a request to an instance has completed.
+    SendCompleted(InstanceKey, CompletedSend),
+    /// A failed request asks whether it may be retried.
+    Retry(RetryRequest, oneshot::Sender<bool>),
+    /// A request forwarded by an entry node needs a slot at the local target.
+    AcquireSlot(SlotRequest, oneshot::Sender<Result<SlotGrant, SlotRefusal>>),
+    /// A request has released its slot; the optional reply carries the outcome of its run.
+    SlotReleased(Ticket, SlotRelease, Option<oneshot::Sender<RunOutcome>>),
+    /// Incremental updates from the publisher, in order.
+    PublisherUpdates(UpdateBatch),
+    /// A snapshot of everything published at one point in time.
+    PublisherSnapshot(UpdateBatch),
+    /// The publisher answered without new updates.
     PublisherAnswered,
-    /// The publisher does not answer, or not as it should.
+    /// The publisher did not answer, or its answer was invalid.
     PublisherFailed,
-    /// The node is about to stop: its target gets nothing new.
+    /// The node begins to shut down: its target receives no new work.
     Stop,
-    /// The settings have changed.
-    Configured(Box<ControllerConfig>),
-    /// Whether the node has a configuration, for the readiness check.
-    IsReady(oneshot::Sender<bool>),
-    /// Who reads the publisher, for the news.
+    /// The settings were reloaded.
+    SettingsChanged(Box<ControllerConfig>),
+    /// Asks for the result of the readiness check.
+    Readiness(oneshot::Sender<bool>),
+    /// Asks which nodes read from the publisher directly.
     ReadersView(ReadersConfig, oneshot::Sender<ReadersView>),
-    /// A request that counted towards the quota of a workspace has not run.
+    /// A request that was counted towards the quota of this workspace did not run.
     QuotaUnused(SmolStr),
-    /// Homes have told their verdicts.
-    QuotaHeard(Vec<QuotaNotice>),
-    /// This share of the nodes that this one uses is silent.
-    PeersSilent(f64),
-    /// Homes have taken in claims and told their verdicts.
-    QuotaConfirmed(Vec<(RoutedClaim, Verdict)>),
-    /// A home has not answered these claims.
-    QuotaUntold(Vec<RoutedClaim>),
-    /// Another node tells this one, a home, what it has used.
-    QuotaClaimed(Vec<QuotaUsage>, oneshot::Sender<Vec<Verdict>>),
-    /// Another node tells what it knows of requests that crash targets.
-    FindingsHeard(Vec<Finding>),
-    /// Another node with this digest wants to know what this one knows.
-    FindingsPulled(u64, oneshot::Sender<Vec<Finding>>),
-    /// The grace period is nearly over: what is still here is logged.
+    /// Quota homes have announced their verdicts.
+    QuotaNoticesReceived(Vec<QuotaNotice>),
+    /// The share of the peers in use by this node that do not respond.
+    SilentPeerShare(f64),
+    /// Quota homes have accepted claims and returned their verdicts.
+    QuotaClaimsConfirmed(Vec<(RoutedClaim, Verdict)>),
+    /// A quota home has not acknowledged these claims.
+    QuotaClaimsUndelivered(Vec<RoutedClaim>),
+    /// Another node reports its quota usage to this node, which is the home of those quotas.
+    QuotaClaimsReceived(Vec<QuotaUsage>, oneshot::Sender<Vec<Verdict>>),
+    /// Another node has sent its findings about requests that crash targets.
+    FindingsReceived(Vec<Finding>),
+    /// Another node, whose findings have this digest, asks for the findings of this node.
+    FindingsRequested(u64, oneshot::Sender<Vec<Finding>>),
+    /// The grace period is nearly over: log all unfinished requests.
     LogUnfinished,
-    /// Number of requests of others that wait or run here.
-    Hosted(oneshot::Sender<usize>),
+    /// Asks for the number of requests from other nodes that wait or run here.
+    HostedRequests(oneshot::Sender<usize>),
 }
 
-/// How a request has left its slot.
+/// How a request released its slot.
 #[derive(Clone, Copy, Debug)]
-pub struct LeftSlot {
-    /// How long it had the slot.
+pub struct SlotRelease {
+    /// How long the slot was held.
     pub held: Duration,
-    /// How its run has ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
-/// What came of a run.
+/// The outcome of a run, as the controller sees it after the slot was released.
 #[derive(Clone, Debug, Default)]
-pub struct AfterRun {
-    /// What the host tells the entry.
+pub struct RunOutcome {
+    /// Report that the host sends to the entry node.
     pub report: Report,
-    /// How far the request is suspected now of crashing targets.
+    /// Quarantine standing of the request after this run.
     pub standing: Standing,
 }
 
-/// A request as far as its admission is concerned.
+/// The properties of a request that its admission depends on.
 #[derive(Clone, Debug)]
-pub struct AdmitAsk {
-    /// Its host header.
+pub struct AdmissionRequest {
+    /// Value of the host header.
     pub host: SmolStr,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: SmolStr,
-    /// Its id.
+    /// Request id.
     pub id: SmolStr,
-    /// How long its caller waits, where it said so.
+    /// Remaining time until the caller gives up, if the caller sent it.
     pub time_left: Option<Duration>,
-    /// What it bears to show its workspace.
+    /// Credential that identifies the workspace.
     pub credential: Credential,
 }
 
-/// What a request bears to show its workspace.
+/// The credential by which a request identifies its workspace.
 #[derive(Clone, Debug)]
 pub enum Credential {
-    /// Nothing, as calls of runs.
+    /// No key. Calls made by runs carry none.
     Missing,
-    /// A key, marked so that it prints as nothing.
+    /// An API key, marked as sensitive so that it is not printed.
     Key(HeaderValue),
     /// More than one key.
-    Doubled,
+    Duplicate,
 }
 
-/// The run which a request serves.
+/// The run on the local target that made a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OuterRun {
-    /// Id of the request that runs at the own target.
+pub struct ParentRun {
+    /// Id of the request that runs on the local target.
     pub id: SmolStr,
-    /// Urgency of the request from outside that all of it serves.
+    /// Rank of the originating external request.
     pub rank: u8,
-    /// Workspace of that request.
+    /// Workspace of the originating request.
     pub workspace: Option<SmolStr>,
-    /// Share of the requests like that one which its entry admitted.
-    pub admitted: f64,
-    /// When that request entered the mesh.
+    /// Share of the requests like the originating one that its entry node admitted.
+    pub admitted_share: f64,
+    /// When the originating request entered the mesh.
     pub began: Instant,
-    /// When the outer run's time is over.
+    /// Deadline of the parent run.
     pub deadline: Instant,
 }
 
-/// A request that may go on.
+/// An admitted request.
 #[derive(Clone, Debug)]
-pub struct Admitted {
-    /// The configuration in force when it came, by which all of it is handled.
+pub struct AdmittedRequest {
+    /// The configuration in force at admission. The request is handled by it to the end.
     pub config: Arc<MeshConfig>,
-    /// Its route.
+    /// The matched route.
     pub route: RouteKey,
-    /// The service that runs it.
+    /// The service that runs the request.
     pub service: ServiceName,
-    /// Urgency of the request from outside that it serves.
+    /// Rank of the originating external request.
     pub rank: u8,
-    /// Workspace of that request; `None` where there are none, and on public routes.
+    /// Workspace of the originating request; `None` on public routes and where no workspaces are configured.
     pub workspace: Option<SmolStr>,
-    /// The key that showed its workspace; `None` where none was needed, and for calls of runs.
+    /// The key that identified the workspace; `None` if none was required, and for calls made by runs.
     pub key: Option<HeaderValue>,
-    /// Share of the requests from outside like that which it serves that were admitted.
-    pub share: f64,
-    /// The run that it serves; `None` for a request from outside.
-    pub outer: Option<OuterRun>,
+    /// Share of the external requests like the originating one that were admitted.
+    pub admitted_share: f64,
+    /// The run that made the call; `None` for an external request.
+    pub parent: Option<ParentRun>,
 }
 
-/// A request that is answered at once.
+/// A request that is refused at admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Denied {
-    /// Why.
+pub struct Denial {
+    /// Reason of the refusal.
     pub refusal: Refusal,
-    /// When to come back.
+    /// When the caller should retry.
     pub retry_after: Option<Duration>,
-    /// Version of the configuration by which it was judged; 0 where there is none.
-    pub config: u64,
+    /// Version of the configuration that the decision was based on; 0 if there was none.
+    pub config_version: u64,
 }
 
-/// A request that wants an instance.
+/// A request to select an instance.
 #[derive(Clone, Debug)]
-pub struct SendAsk {
-    /// The service.
+pub struct InstanceRequest {
+    /// Target service.
     pub service: ServiceName,
-    /// Name of its route.
+    /// Name of the matched route.
     pub route: SmolStr,
-    /// What stays the same when it is sent again.
+    /// Fingerprint of the request, the same for all its retries.
     pub fingerprint: Fingerprint,
-    /// The run that it serves.
-    pub outer: Option<SmolStr>,
-    /// Instances that have had it.
+    /// Id of the run that made the call.
+    pub parent: Option<SmolStr>,
+    /// Instances that the request was already sent to.
     pub tried: Vec<InstanceKey>,
-    /// The key by which it was admitted; `None` where none was needed.
+    /// The key by which the request was admitted; `None` if none was required.
     pub key: Option<HeaderValue>,
 }
 
-/// Where a request goes.
+/// The instance selected for a request.
 #[derive(Debug)]
-pub struct SendTo {
+pub struct SelectedInstance {
     /// The instance.
     pub chosen: Chosen,
-    /// Whether it is the target beside this node.
-    pub own: bool,
-    /// The own instance, where this node is cut off from the publisher.
+    /// Whether it is the target of this node.
+    pub is_local: bool,
+    /// Id of the local instance, if this node is cut off from the publisher.
     pub cut_off: Option<SmolStr>,
-    /// Tells the controller how it ended.
+    /// Reports to the controller how the send ended.
     pub guard: SendGuard,
 }
 
-/// How a sending ended.
+/// The result of sending a request to an instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndedSend {
-    /// What it says about the instance; the relative time is filled in by the controller.
+pub struct CompletedSend {
+    /// Outcome as it affects the instance. The controller fills in the relative response time.
     pub outcome: SendOutcome,
-    /// Time from sending to the answer.
+    /// Time from the send to the answer.
     pub took: Duration,
-    /// The service.
+    /// Target service.
     pub service: ServiceName,
-    /// Name of the route.
+    /// Name of the matched route.
     pub route: SmolStr,
-    /// What stays the same of the request when it is sent again.
+    /// Fingerprint of the request, the same for all its retries.
     pub fingerprint: Fingerprint,
-    /// Whether the whole answer of the target has come.
-    pub answered_whole: bool,
-    /// The run that it serves.
-    pub outer: Option<SmolStr>,
-    /// The host's report, where one came.
+    /// Whether the target's answer arrived completely.
+    pub answer_complete: bool,
+    /// Id of the run that made the call.
+    pub parent: Option<SmolStr>,
+    /// The host's report, if one arrived.
     pub report: Option<Report>,
 }
 
-/// A request that wants to be sent again.
+/// A request to retry after a failure.
 #[derive(Clone, Debug)]
-pub struct RetryAsk {
-    /// The service.
+pub struct RetryRequest {
+    /// Target service.
     pub service: ServiceName,
-    /// Name of its route.
+    /// Name of the matched route.
     pub route: SmolStr,
-    /// Whether the target may have begun to work on it, so that its calls below may be repeated.
+    /// Whether the target may have started on the request, so that a retry may repeat its downstream calls as well.
     pub may_have_run: bool,
-    /// Whether it serves a run.
+    /// Whether it is a call made by a run.
     pub inner: bool,
-    /// Urgency of the request from outside that it serves.
+    /// Rank of the originating external request.
     pub rank: u8,
 }
 
-/// A request from an entry that wants a slot.
+/// A request from an entry node for a slot at the local target.
 #[derive(Clone, Debug)]
-pub struct EnterAsk {
-    /// The only instance that may run it.
+pub struct SlotRequest {
+    /// Id of the only instance that may run the request.
     pub instance: SmolStr,
-    /// Its id.
+    /// Request id.
     pub id: SmolStr,
-    /// What stays the same when it is sent again.
+    /// Fingerprint of the request, the same for all its retries.
     pub fingerprint: Fingerprint,
-    /// Urgency of the request from outside.
+    /// Rank of the originating external request.
     pub rank: u8,
-    /// Workspace of that request.
+    /// Workspace of the originating request.
     pub workspace: Option<SmolStr>,
-    /// Share of the requests from outside like that which it serves that its entry admitted.
-    pub admitted: f64,
-    /// Its route.
+    /// Share of the external requests like the originating one that its entry node admitted.
+    pub admitted_share: f64,
+    /// Identifies the route in reports and frames.
     pub kind: RequestKind,
-    /// Whether a run waits for it.
+    /// Whether it is a call made by a run.
     pub inner: bool,
-    /// When the request from outside that it serves entered the mesh.
+    /// When the originating request entered the mesh.
     pub began: Instant,
-    /// When its time is over.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// Longest wait to be expected at which it still enters.
+    /// Longest expected queueing time at which the request is still enqueued.
     pub queue_timeout: Duration,
-    /// The instance beside the sending node, where that node is cut off from the publisher.
+    /// Id of the instance next to the sending node, if that node is cut off from the publisher.
     pub cut_off: Option<SmolStr>,
 }
 
-/// A slot.
+/// A granted slot.
 #[derive(Debug)]
-pub struct Granted {
-    /// Gives the slot back.
+pub struct SlotGrant {
+    /// Releases the slot.
     pub guard: SlotGuard,
 }
 
-/// No slot.
+/// The refusal of a slot.
 #[derive(Clone, Debug)]
-pub struct NotGranted {
-    /// Why.
+pub struct SlotRefusal {
+    /// Reason of the refusal.
     pub refusal: Refusal,
-    /// When to come back.
+    /// When the caller should retry.
     pub retry_after: Option<Duration>,
-    /// What the host tells besides.
+    /// Load report of the host.
     pub report: Report,
 }
--- a/crates/node/src/mesh/controller/guards.rs
+++ b/crates/node/src/mesh/controller/guards.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{AfterRun, ControllerEvent, EndedSend, LeftSlot};
+use super::{CompletedSend, ControllerEvent, RunOutcome, SlotRelease};
 use crate::clock::SharedClock;
 use crate::mesh::call::{Report, RunEnd};
 
@@ -21,7 +21,7 @@
     pub(super) service: ServiceName,
     pub(super) route: SmolStr,
     pub(super) fingerprint: Fingerprint,
-    pub(super) outer: Option<SmolStr>,
+    pub(super) parent: Option<SmolStr>,
     pub(super) since: Instant,
     pub(super) clock: SharedClock,
     pub(super) tx: mpsc::UnboundedSender<ControllerEvent>,
@@ -42,18 +42,20 @@
 
     fn tell(&mut self, outcome: SendOutcome, report: Option<Report>) {
         self.ended = true;
-        let ended = EndedSend {
+        let ended = CompletedSend {
             outcome,
             took: self.clock.now().saturating_duration_since(self.since),
             service: self.service.clone(),
             route: self.route.clone(),
             fingerprint: self.fingerprint,
-            answered_whole: self.answered_whole,
-            outer: self.outer.clone(),
+            answer_complete: self.answered_whole,
+            parent: self.parent.clone(),
             report,
         };
         // The controller lives as long as the process; after it nobody counts.
-        let _ = self.tx.send(ControllerEvent::SendEnded(self.key, ended));
+        let _ = self
+            .tx
+            .send(ControllerEvent::SendCompleted(self.key, ended));
     }
 }
 
@@ -82,19 +84,19 @@
 
 impl SlotGuard {
     /// Gives the slot back and learns what came of the run.
-    pub async fn leave(mut self, end: RunEnd) -> AfterRun {
+    pub async fn leave(mut self, end: RunEnd) -> RunOutcome {
         let (tx, rx) = oneshot::channel();
         self.tell(end, Some(tx));
         rx.await.unwrap_or_default()
     }
 
-    fn tell(&mut self, end: RunEnd, reply: Option<oneshot::Sender<AfterRun>>) {
+    fn tell(&mut self, end: RunEnd, reply: Option<oneshot::Sender<RunOutcome>>) {
         self.left = true;
         let held = self.clock.now().saturating_duration_since(self.since);
-        let left = LeftSlot { held, end };
+        let left = SlotRelease { held, end };
         let _ = self
             .tx
-            .send(ControllerEvent::Left(self.ticket, left, reply));
+            .send(ControllerEvent::SlotReleased(self.ticket, left, reply));
     }
 }
 
--- a/crates/node/src/mesh/controller/handle.rs
+++ b/crates/node/src/mesh/controller/handle.rs
@@ -7,8 +7,8 @@
 use coltsfootport_core::workspace::{QuotaUsage, Verdict};
 
 use super::{
-    AdmitAsk, Admitted, ControllerEvent, Denied, EnterAsk, Granted, NotGranted, RetryAsk, SendAsk,
-    SendTo,
+    AdmissionRequest, AdmittedRequest, ControllerEvent, Denial, InstanceRequest, RetryRequest,
+    SelectedInstance, SlotGrant, SlotRefusal, SlotRequest,
 };
 use crate::mesh::call::Report;
 
@@ -36,11 +36,11 @@
     }
 
     /// Asks whether and how a request may go on.
-    pub async fn admit(&self, ask: AdmitAsk) -> Result<Admitted, Denied> {
-        let denied = Denied {
+    pub async fn admit(&self, ask: AdmissionRequest) -> Result<AdmittedRequest, Denial> {
+        let denied = Denial {
             refusal: Refusal::Stopping,
             retry_after: None,
-            config: 0,
+            config_version: 0,
         };
         self.ask(|tx| ControllerEvent::Admit(ask, tx))
             .await
@@ -52,51 +52,51 @@
     /// # Errors
     ///
     /// Why the request goes to none.
-    pub async fn send(&self, ask: SendAsk) -> Result<SendTo, Refusal> {
-        self.ask(|tx| ControllerEvent::Send(ask, tx))
+    pub async fn send(&self, ask: InstanceRequest) -> Result<SelectedInstance, Refusal> {
+        self.ask(|tx| ControllerEvent::SelectInstance(ask, tx))
             .await
             .unwrap_or(Err(Refusal::Stopping))
     }
 
     /// What this node knows of requests that crash targets, where it differs from what the digest stands for.
     pub async fn findings(&self, digest: u64) -> Vec<Finding> {
-        let asked = self.ask(|tx| ControllerEvent::FindingsPulled(digest, tx));
+        let asked = self.ask(|tx| ControllerEvent::FindingsRequested(digest, tx));
         asked.await.unwrap_or_default()
     }
 
     /// Tells this node, as a home, what another one has used.
     pub async fn claim_quotas(&self, claims: Vec<QuotaUsage>) -> Vec<Verdict> {
-        let asked = self.ask(|tx| ControllerEvent::QuotaClaimed(claims, tx));
+        let asked = self.ask(|tx| ControllerEvent::QuotaClaimsReceived(claims, tx));
         asked.await.unwrap_or_default()
     }
 
     /// Asks whether a failed request may be sent again.
-    pub async fn retry(&self, ask: RetryAsk) -> bool {
+    pub async fn retry(&self, ask: RetryRequest) -> bool {
         self.ask(|tx| ControllerEvent::Retry(ask, tx))
             .await
             .unwrap_or(false)
     }
 
     /// Asks for a slot, and waits until there is one.
-    pub async fn enter(&self, ask: EnterAsk) -> Result<Granted, NotGranted> {
-        let refused = NotGranted {
+    pub async fn enter(&self, ask: SlotRequest) -> Result<SlotGrant, SlotRefusal> {
+        let refused = SlotRefusal {
             refusal: Refusal::Stopping,
             retry_after: None,
             report: Report::default(),
         };
-        self.ask(|tx| ControllerEvent::Enter(ask, tx))
+        self.ask(|tx| ControllerEvent::AcquireSlot(ask, tx))
             .await
             .unwrap_or(Err(refused))
     }
 
     /// Whether the node can serve.
     pub async fn is_ready(&self) -> bool {
-        self.ask(ControllerEvent::IsReady).await.unwrap_or(false)
+        self.ask(ControllerEvent::Readiness).await.unwrap_or(false)
     }
 
     /// Requests of others that wait or run here.
     pub async fn hosted(&self) -> usize {
-        self.ask(ControllerEvent::Hosted).await.unwrap_or(0)
+        self.ask(ControllerEvent::HostedRequests).await.unwrap_or(0)
     }
 
     async fn ask<T, F>(&self, event: F) -> Option<T>
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 
 use super::admission::denied;
-use super::{AdmitAsk, Controller, Denied};
+use super::{AdmissionRequest, Controller, Denial};
 use crate::mesh::quotas::QuotaWord;
 
 /// A claim with the home that it goes to, or by itself where none is left.
@@ -23,9 +23,9 @@
     pub(super) fn within_quota(
         &mut self,
         workspace: &Workspace,
-        ask: &AdmitAsk,
+        ask: &AdmissionRequest,
         now: Instant,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), Denial> {
         let Some(quota) = workspace.quota else {
             return Ok(());
         };
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::quarantine::Fingerprint;
 use smol_str::SmolStr;
 
-use super::OuterRun;
+use super::ParentRun;
 use crate::mesh::call::{Caused, Report};
 
 /// A request at the own target.
@@ -68,16 +68,16 @@
     ///
     /// A target's own calls have ids that begin with the id of the request which it runs, and a dot. Where they don't,
     /// the request counts as one from outside: it can be shed although work was done for it, and nothing else changes.
-    pub fn outer_of(&self, id: &str) -> Option<OuterRun> {
+    pub fn outer_of(&self, id: &str) -> Option<ParentRun> {
         let mut rest = id;
         while let Some((outer, _)) = rest.rsplit_once('.') {
             if let Some(ticket) = self.by_id.get(outer) {
                 let run = self.by_ticket.get(ticket)?;
-                return Some(OuterRun {
+                return Some(ParentRun {
                     id: run.id.clone(),
                     rank: run.rank,
                     workspace: run.workspace.clone(),
-                    admitted: run.admitted,
+                    admitted_share: run.admitted,
                     began: run.began,
                     deadline: run.deadline,
                 });
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -22,7 +22,7 @@
 use super::quarantine::Quarantine;
 use super::route_stats::RouteStats;
 use super::runs::Runs;
-use super::{ControllerEvent, EnterAsk, Granted, NotGranted};
+use super::{ControllerEvent, SlotGrant, SlotRefusal, SlotRequest};
 use crate::clock::SharedClock;
 use crate::mesh::findings::FindingsMessage;
 use crate::mesh::journal::Journal;
@@ -77,8 +77,8 @@
 /// A request that waits for a slot.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub ask: EnterAsk,
-    pub reply: oneshot::Sender<Result<Granted, NotGranted>>,
+    pub ask: SlotRequest,
+    pub reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
 }
 
 /// Where a controller sends what others are to do.
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -35,33 +35,33 @@
         // Where a reply can't be delivered, its task has ended with its request; guards inside give back what they hold.
         match event {
             ControllerEvent::Admit(ask, tx) => drop(tx.send(self.admit(&ask))),
-            ControllerEvent::Send(ask, tx) => drop(tx.send(self.send(ask))),
-            ControllerEvent::SendEnded(key, ended) => self.send_ended(key, ended),
+            ControllerEvent::SelectInstance(ask, tx) => drop(tx.send(self.send(ask))),
+            ControllerEvent::SendCompleted(key, ended) => self.send_ended(key, ended),
             ControllerEvent::Retry(ask, tx) => drop(tx.send(self.retry(&ask))),
-            ControllerEvent::Enter(ask, tx) => self.enter(ask, tx),
-            ControllerEvent::Left(ticket, left, tx) => self.leave(ticket, left, tx),
-            ControllerEvent::News(batch) => self.news(batch),
-            ControllerEvent::Listed(batch) => self.listed(batch),
+            ControllerEvent::AcquireSlot(ask, tx) => self.enter(ask, tx),
+            ControllerEvent::SlotReleased(ticket, left, tx) => self.leave(ticket, left, tx),
+            ControllerEvent::PublisherUpdates(batch) => self.news(batch),
+            ControllerEvent::PublisherSnapshot(batch) => self.listed(batch),
             ControllerEvent::PublisherAnswered => self.publisher_answered(),
             ControllerEvent::PublisherFailed => self.publisher_failed(),
             ControllerEvent::Stop => self.stop(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
-            ControllerEvent::Configured(cfg) => self.configure(*cfg),
-            ControllerEvent::IsReady(tx) => drop(tx.send(self.is_ready())),
+            ControllerEvent::SettingsChanged(cfg) => self.configure(*cfg),
+            ControllerEvent::Readiness(tx) => drop(tx.send(self.is_ready())),
             ControllerEvent::ReadersView(cfg, tx) => drop(tx.send(self.readers_view(&cfg))),
             ControllerEvent::QuotaUnused(workspace) => self.quota_unused(&workspace),
-            ControllerEvent::QuotaHeard(notices) => self.quota_heard(notices),
-            ControllerEvent::QuotaConfirmed(confirmed) => self.quota_confirmed(&confirmed),
-            ControllerEvent::PeersSilent(share) => self.check_replaced(share),
-            ControllerEvent::QuotaUntold(claims) => self.quota_untold(claims),
-            ControllerEvent::QuotaClaimed(claims, tx) => {
+            ControllerEvent::QuotaNoticesReceived(notices) => self.quota_heard(notices),
+            ControllerEvent::QuotaClaimsConfirmed(confirmed) => self.quota_confirmed(&confirmed),
+            ControllerEvent::SilentPeerShare(share) => self.check_replaced(share),
+            ControllerEvent::QuotaClaimsUndelivered(claims) => self.quota_untold(claims),
+            ControllerEvent::QuotaClaimsReceived(claims, tx) => {
                 drop(tx.send(self.quota_claimed(&claims)));
             }
-            ControllerEvent::FindingsHeard(findings) => self.findings_heard(&findings),
-            ControllerEvent::FindingsPulled(digest, tx) => {
+            ControllerEvent::FindingsReceived(findings) => self.findings_heard(&findings),
+            ControllerEvent::FindingsRequested(digest, tx) => {
                 drop(tx.send(self.findings_unlike(digest)));
             }
-            ControllerEvent::Hosted(tx) => drop(tx.send(self.hosted())),
+            ControllerEvent::HostedRequests(tx) => drop(tx.send(self.hosted())),
         }
     }
 
--- a/crates/node/src/mesh/entry.rs
+++ b/crates/node/src/mesh/entry.rs
@@ -18,7 +18,7 @@
 use self::attempts::Attempts;
 use crate::clock::SharedClock;
 use crate::mesh::call::{Body, CallerAnswer, CallerRequest, Refused};
-use crate::mesh::controller::{AdmitAsk, ControllerHandle, Credential, Denied};
+use crate::mesh::controller::{AdmissionRequest, ControllerHandle, Credential, Denial};
 use crate::mesh::host::Host;
 use crate::mesh::journal::{Ending, Journal};
 use crate::mesh::link::LinkHub;
@@ -65,7 +65,7 @@
         let id = text_header(&req.head.headers, self.dialect.request_id);
         let told = number_header(&req.head.headers, self.dialect.time_left_ms);
         let time_left = told.map(Duration::from_millis);
-        let ask = AdmitAsk {
+        let ask = AdmissionRequest {
             host: text_header(&req.head.headers, HOST.as_str()),
             path: SmolStr::new(req.head.path()),
             id: id.clone(),
@@ -154,7 +154,7 @@
         }
     }
 
-    fn log_denied(&self, id: &str, denied: Denied, arrived: Instant, time_left: Option<Duration>) {
+    fn log_denied(&self, id: &str, denied: Denial, arrived: Instant, time_left: Option<Duration>) {
         self.journal.ended(Ending {
             id,
             fingerprint: None,
@@ -166,7 +166,7 @@
             attempts: 0,
             took: self.clock.now().saturating_duration_since(arrived),
             limit: time_left.unwrap_or_default(),
-            config: denied.config,
+            config: denied.config_version,
             inner: false,
         });
     }
@@ -187,7 +187,7 @@
             Credential::Key(key)
         }
         // Which of two keys counts would be a matter of who reads them.
-        (Some(_), Some(_)) => Credential::Doubled,
+        (Some(_), Some(_)) => Credential::Duplicate,
     };
     headers.remove(dialect.workspace_key);
     credential
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -15,7 +15,9 @@
 use crate::mesh::call::{
     Body, CallerRequest, HostReply, HostedRequest, Refused, Report, TargetAnswer,
 };
-use crate::mesh::controller::{Admitted, ControllerEvent, RetryAsk, SendAsk, SendGuard, SendTo};
+use crate::mesh::controller::{
+    AdmittedRequest, ControllerEvent, InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
+};
 use crate::mesh::journal::Ending;
 use crate::mesh::link::{self, LinkFault};
 
@@ -26,7 +28,7 @@
 /// A request with its attempts so far.
 pub(super) struct Attempts<'e> {
     entry: &'e Entry,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     head: RequestHead,
     body: Option<Body>,
     pub(super) id: SmolStr,
@@ -60,7 +62,7 @@
         entry: &'e Entry,
         req: CallerRequest,
         id: SmolStr,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         time_left: Option<Duration>,
     ) -> Self {
         let route = admitted.config.route(admitted.route);
@@ -69,7 +71,7 @@
             arrived: req.arrived,
             route: route.timeout,
             caller: time_left,
-            outer: admitted.outer.as_ref().map(|outer| outer.deadline),
+            outer: admitted.parent.as_ref().map(|parent| parent.deadline),
         });
         let fingerprint = fingerprint(entry, &req, &admitted);
         let mut head = req.head;
@@ -145,12 +147,16 @@
         std::mem::replace(&mut self.so_far, Err(Refused::from(Refusal::NoInstance)))
     }
 
-    async fn next_instance(&self) -> Result<SendTo, Refusal> {
-        let ask = SendAsk {
+    async fn next_instance(&self) -> Result<SelectedInstance, Refusal> {
+        let ask = InstanceRequest {
             service: self.admitted.service.clone(),
             route: self.route_name(),
             fingerprint: self.fingerprint,
-            outer: self.admitted.outer.as_ref().map(|outer| outer.id.clone()),
+            parent: self
+                .admitted
+                .parent
+                .as_ref()
+                .map(|parent| parent.id.clone()),
             tried: self.tried.clone(),
             key: self.admitted.key.clone(),
         };
@@ -164,9 +170,9 @@
         Some(body)
     }
 
-    async fn attempt(&mut self, to: SendTo, body: Body) -> Step {
+    async fn attempt(&mut self, to: SelectedInstance, body: Body) -> Step {
         let req = self.hosted(&to, body);
-        let reply = match to.own {
+        let reply = match to.is_local {
             true => Ok(self.entry.host.run(req).await),
             false => self.over_link(to.chosen.address.ip(), req).await,
         };
@@ -263,11 +269,11 @@
         if !harmless || self.at_targets >= route.max_attempts || self.body.is_none() {
             return Step::Finish(result);
         }
-        let ask = RetryAsk {
+        let ask = RetryRequest {
             service: self.admitted.service.clone(),
             route: self.route_name(),
             may_have_run,
-            inner: self.admitted.outer.is_some(),
+            inner: self.admitted.parent.is_some(),
             rank: self.admitted.rank,
         };
         match self.entry.controller.retry(ask).await {
@@ -276,7 +282,7 @@
         }
     }
 
-    fn hosted(&self, to: &SendTo, body: Body) -> HostedRequest {
+    fn hosted(&self, to: &SelectedInstance, body: Body) -> HostedRequest {
         let route = self.admitted.config.route(self.admitted.route);
         HostedRequest {
             head: self.head.clone(),
@@ -286,9 +292,9 @@
             instance: to.chosen.id.clone(),
             rank: self.admitted.rank,
             workspace: self.admitted.workspace.clone(),
-            inner: self.admitted.outer.is_some(),
+            inner: self.admitted.parent.is_some(),
             began: self.began(),
-            admitted: self.admitted.share,
+            admitted: self.admitted.admitted_share,
             kind: route.kind(),
             repeat: route.repeat,
             deadline: self.deadline,
@@ -302,7 +308,7 @@
     fn queue_timeout(&self) -> Duration {
         let route = self.admitted.config.route(self.admitted.route);
         let req = QueueTimeoutRequest {
-            inner: self.admitted.outer.is_some(),
+            inner: self.admitted.parent.is_some(),
             arrived: self.arrived,
             latency_target: route.latency_target,
             deadline: self.deadline,
@@ -327,8 +333,8 @@
 
     /// When the request from outside that all of this serves entered the mesh.
     fn began(&self) -> Instant {
-        let outer = self.admitted.outer.as_ref();
-        outer.map_or(self.arrived, |outer| outer.began)
+        let parent = self.admitted.parent.as_ref();
+        parent.map_or(self.arrived, |parent| parent.began)
     }
 
     fn route_name(&self) -> SmolStr {
@@ -345,7 +351,7 @@
             .admitted
             .workspace
             .as_ref()
-            .filter(|_| self.admitted.outer.is_none());
+            .filter(|_| self.admitted.parent.is_none());
         if let Some(workspace) = of_caller.filter(|_| refused.refusal.is_not_run()) {
             let unused = ControllerEvent::QuotaUnused(workspace.clone());
             self.entry.controller.tell(unused);
@@ -371,12 +377,12 @@
             took: now.saturating_duration_since(self.arrived),
             limit: self.deadline.saturating_duration_since(self.arrived),
             config: self.admitted.config.version().0,
-            inner: self.admitted.outer.is_some(),
+            inner: self.admitted.parent.is_some(),
         });
     }
 }
 
-fn fingerprint(entry: &Entry, req: &CallerRequest, admitted: &Admitted) -> Fingerprint {
+fn fingerprint(entry: &Entry, req: &CallerRequest, admitted: &AdmittedRequest) -> Fingerprint {
     entry.fingerprinter.fingerprint(&RequestParts {
         method: req.head.method.as_str(),
         host: &text_header(&req.head.headers, HOST.as_str()),
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::SharedClock;
 use crate::mesh::call::{Body, HostReply, HostedRequest, Refused, Report, RunEnd, TargetAnswer};
-use crate::mesh::controller::{ControllerHandle, EnterAsk, NotGranted, SlotGuard};
+use crate::mesh::controller::{ControllerHandle, SlotGuard, SlotRefusal, SlotRequest};
 use crate::mesh::journal::Journal;
 use crate::mesh::target::{ExchangeFault, Exchanged, TargetPool, WireRequest, exchange};
 
@@ -61,13 +61,13 @@
     /// Dropped before the end, an idempotent request is broken off at the target, so that it does not work for nobody.
     /// One that may run once only goes on: broken off it may or may not have had its effect.
     pub async fn run(&self, req: HostedRequest) -> HostReply {
-        let ask = EnterAsk {
+        let ask = SlotRequest {
             instance: req.instance.clone(),
             id: req.id.clone(),
             fingerprint: req.fingerprint,
             rank: req.rank,
             workspace: req.workspace.clone(),
-            admitted: req.admitted,
+            admitted_share: req.admitted,
             kind: req.kind,
             inner: req.inner,
             began: req.began,
@@ -211,7 +211,7 @@
     )
 }
 
-fn not_granted(not: NotGranted) -> HostReply {
+fn not_granted(not: SlotRefusal) -> HostReply {
     HostReply {
         result: Err(Refused {
             refusal: not.refusal,
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -107,7 +107,7 @@
         }
         StreamHead::Findings(findings) => {
             let findings = findings.into_iter().map(Finding::from).collect();
-            let heard = ControllerEvent::FindingsHeard(findings);
+            let heard = ControllerEvent::FindingsReceived(findings);
             serving.host.controller.tell(heard);
             conn.write(&FindingsFrame(Vec::new()), &[]).await?;
             Ok(true)
@@ -120,7 +120,7 @@
         }
         StreamHead::QuotaNotices(notices) => {
             let notices = notices.into_iter().map(QuotaNotice::from).collect();
-            let heard = ControllerEvent::QuotaHeard(notices);
+            let heard = ControllerEvent::QuotaNoticesReceived(notices);
             serving.host.controller.tell(heard);
             conn.write(&VerdictsFrame(Vec::new()), &[]).await?;
             Ok(true)
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -160,7 +160,9 @@
                 board.forget_listing();
             }
         });
-        self.news.controller.tell(ControllerEvent::Listed(batch));
+        self.news
+            .controller
+            .tell(ControllerEvent::PublisherSnapshot(batch));
     }
 
     /// Several sources tell the same changes, each in answers of its own: what ends with a known position is known, and
@@ -189,7 +191,9 @@
         }
         self.position = Some(changes.until);
         self.news.board.send_modify(|board| board.push(changes));
-        self.news.controller.tell(ControllerEvent::News(batch));
+        self.news
+            .controller
+            .tell(ControllerEvent::PublisherUpdates(batch));
         false
     }
 
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -45,7 +45,7 @@
             let word = tokio::select! {
                 word = words.recv() => word,
                 _ = looks.tick() => {
-                    let silent = ControllerEvent::PeersSilent(self.links.silent_share());
+                    let silent = ControllerEvent::SilentPeerShare(self.links.silent_share());
                     self.controller.tell(silent);
                     continue;
                 }
@@ -69,11 +69,11 @@
         let event = match link::claim(&self.links, address, &claims).await {
             Ok(verdicts) => {
                 let confirmed = claims.into_iter().zip(verdicts);
-                ControllerEvent::QuotaConfirmed(confirmed.collect())
+                ControllerEvent::QuotaClaimsConfirmed(confirmed.collect())
             }
             Err(e) => {
                 debug!(self.log, "home of quotas does not answer"; "home" => %home, "reason" => %e);
-                ControllerEvent::QuotaUntold(claims)
+                ControllerEvent::QuotaClaimsUndelivered(claims)
             }
         };
         self.controller.tell(event);
