--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that enter the mesh here: admission, choice of an instance, repeats.
+//! Requests that enter the mesh at this node: admission, instance selection and retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,60 +10,61 @@
 use rand::Rng;
 use smol_str::SmolStr;
 
-use super::authentication::needed_key;
+use super::authentication::key_for_recheck;
 use super::route_stats::RouteStats;
 use super::{
     AdmissionRequest, AdmittedRequest, CompletedSend, Controller, Credential, Denial,
     InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
 };
 
-/// When to come back to a node without configuration or instances.
-pub(super) const BACK_NOT_READY: Duration = Duration::from_millis(500);
+/// Retry delay announced by a node that has no configuration or no instances.
+pub(super) const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(500);
 
-/// Share of the saved budget that the least urgent rank leaves to the others.
-const MOST_RESERVE: f64 = 0.6;
+/// Share of the saved retry budget that the least urgent rank has to leave to the others.
+const MAX_RETRY_RESERVE: f64 = 0.6;
 
-/// Share of the budget for calls below that the nodes which send them use themselves.
-const INNER_SHARE: f64 = 0.35;
+/// Share of the retry budget for downstream calls that the nodes sending those calls use themselves.
+const INNER_BUDGET_SHARE: f64 = 0.35;
 
 impl Controller {
-    /// Decides whether a request goes on, and at which service.
-    pub(super) fn admit(&mut self, ask: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
+    /// Admits a request and selects its service, or denies it.
+    pub(super) fn admit(&mut self, req: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
         let in_force = self.config.as_ref();
         let config_version = in_force.map_or(0, |config| config.version().0);
-        self.judge(ask).map_err(|denied| Denial {
+        self.evaluate_admission(req).map_err(|denied| Denial {
             config_version,
             ..denied
         })
     }
 
-    fn judge(&mut self, ask: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
+    fn evaluate_admission(&mut self, req: &AdmissionRequest) -> Result<AdmittedRequest, Denial> {
         let now = self.clock.now();
-        // Targets have no keys: a request with one is a caller's, whatever its id.
-        let keyless = matches!(ask.credential, Credential::Missing);
-        let parent = self.runs.outer_of(&ask.id).filter(|_| keyless);
+        // Targets have no keys: a request with a key comes from an external caller, whatever its id.
+        let keyless = matches!(req.credential, Credential::Missing);
+        let parent = self.runs.outer_of(&req.id).filter(|_| keyless);
         let Some(config) = self.config.clone() else {
-            return Err(denied(Refusal::NoConfig, Some(BACK_NOT_READY)));
+            return Err(denial(Refusal::NoConfig, Some(RETRY_AFTER_NOT_READY)));
         };
-        let Some((key, route)) = config.find(&ask.host, &ask.path) else {
-            return Err(self.no_route(now));
+        let Some((key, route)) = config.find(&req.host, &req.path) else {
+            return Err(self.route_not_found(now));
         };
-        if parent.is_none() && !self.drain_admits_caller(route, ask, now) {
-            return Err(denied(Refusal::Stopping, Some(BACK_NOT_READY)));
+        if parent.is_none() && !self.drain_admits_caller(route, req, now) {
+            return Err(denial(Refusal::Stopping, Some(RETRY_AFTER_NOT_READY)));
         }
         let (rank, workspace, admitted_share) = match &parent {
-            // Work has been done for it above; refused here it would be lost, and more than this request with it.
+            // Not subject to quotas or shedding: refusing it would waste the work already done by its parent run and by
+            // the runs above that one.
             Some(parent) => {
                 self.metrics.inner.inc();
                 (parent.rank, parent.workspace.clone(), parent.admitted_share)
             }
             None => {
-                let workspace = self.authenticate(&config, route, ask, now)?;
+                let workspace = self.authenticate(&config, route, req, now)?;
                 let rank = config.rank(route, workspace);
                 if let Some(workspace) = workspace {
-                    self.within_quota(workspace, ask, now)?;
+                    self.within_quota(workspace, req, now)?;
                 }
-                let share = self.shed(&config, key, rank, ask, now);
+                let share = self.check_shedding(&config, key, rank, req, now);
                 if let (Err(_), Some(workspace)) = (&share, workspace) {
                     self.quota_unused(&workspace.name);
                 }
@@ -72,103 +73,107 @@
             }
         };
         let service = self
-            .next_part(&config, key)
-            .ok_or(denied(Refusal::NoInstance, Some(BACK_NOT_READY)))?;
+            .next_service(&config, key)
+            .ok_or(denial(Refusal::NoInstance, Some(RETRY_AFTER_NOT_READY)))?;
         Ok(AdmittedRequest {
             config,
             route: key,
             service,
             rank,
-            key: needed_key(ask, workspace.is_some() && parent.is_none()),
+            key: key_for_recheck(req, workspace.is_some() && parent.is_none()),
             workspace,
             admitted_share,
             parent,
         })
     }
 
-    /// A route may be missing since the configuration in hand is old: only a fresh one says that it does not exist.
-    fn no_route(&self, now: Instant) -> Denial {
-        match self.is_fresh(now) {
-            true => denied(Refusal::NoRoute, None),
-            false => denied(Refusal::NoConfig, Some(BACK_NOT_READY)),
+    /// Denies a request that matches no route. An outdated configuration may lack a route that exists, so only a fresh
+    /// one justifies `NoRoute`.
+    fn route_not_found(&self, now: Instant) -> Denial {
+        match self.is_config_fresh(now) {
+            true => denial(Refusal::NoRoute, None),
+            false => denial(Refusal::NoConfig, Some(RETRY_AFTER_NOT_READY)),
         }
     }
 
-    /// Whether what the configuration in hand lacks does not exist.
-    pub(super) fn is_fresh(&self, now: Instant) -> bool {
+    /// Whether the configuration is recent enough to conclude that whatever it lacks does not exist.
+    pub(super) fn is_config_fresh(&self, now: Instant) -> bool {
         let answered = self
             .publisher_answered
             .is_some_and(|at| now.saturating_duration_since(at) <= self.cfg.publisher_fresh);
         answered && self.publisher_sound
     }
 
-    /// The share of its like that is admitted with it, or its refusal.
-    fn shed(
+    /// Applies load shedding. Returns the share of similar requests that is currently admitted, or a denial.
+    fn check_shedding(
         &self,
         config: &Arc<MeshConfig>,
         key: RouteKey,
         rank: u8,
-        ask: &AdmissionRequest,
+        req: &AdmissionRequest,
         now: Instant,
     ) -> Result<f64, Denial> {
         let route = config.route(key);
         let order = config.shed_order(rank);
         let judged = self
             .shedder
-            .judge(&route.name, order, &ask.host, &ask.path, now);
+            .judge(&route.name, order, &req.host, &req.path, now);
         match judged {
             Ok(admitted) => Ok(admitted),
             Err(shed) => {
-                self.journal.shed(&ask.id, route, rank, shed);
-                Err(denied(Refusal::Shed, Some(shed.retry_after)))
+                self.journal.shed(&req.id, route, rank, shed);
+                Err(denial(Refusal::Shed, Some(shed.retry_after)))
             }
         }
     }
 
-    fn next_part(&mut self, config: &MeshConfig, key: RouteKey) -> Option<ServiceName> {
+    fn next_service(&mut self, config: &MeshConfig, key: RouteKey) -> Option<ServiceName> {
         let route = config.route(key);
         if let [only] = route.parts.as_slice() {
             return Some(only.service.clone());
         }
         let phase = self.rng.random::<f64>();
-        let split = entry(&mut self.splits, &route.name, || {
+        let split = get_or_insert(&mut self.splits, &route.name, || {
             Split::new(&route.parts, phase)
         });
         split.next(&route.parts).cloned()
     }
 
-    /// Chooses an instance for a request.
-    pub(super) fn send(&mut self, ask: InstanceRequest) -> Result<SelectedInstance, Refusal> {
+    /// Selects an instance for a request, unless the quarantine refuses it.
+    pub(super) fn select_instance(
+        &mut self,
+        req: InstanceRequest,
+    ) -> Result<SelectedInstance, Refusal> {
         let now = self.clock.now();
-        if !ask.tried.is_empty() && !self.still_holds(ask.key.as_ref()) {
+        if !req.tried.is_empty() && !self.is_key_valid(req.key.as_ref()) {
             return Err(Refusal::NoInstance);
         }
-        let chosen = match self.quarantine.register.standing(ask.fingerprint, now) {
+        let chosen = match self.quarantine.register.standing(req.fingerprint, now) {
             Standing::Refused => {
-                self.log_refused(ask.fingerprint, now);
+                self.log_refused(req.fingerprint, now);
                 return Err(Refusal::CrashesTargets);
             }
             Standing::Isolated => {
                 self.fleet
-                    .choose_same(&ask.service, ask.fingerprint, &ask.tried, now)
+                    .choose_same(&req.service, req.fingerprint, &req.tried, now)
             }
             Standing::Suspected | Standing::Unsuspected => {
                 self.fleet
-                    .choose(&ask.service, &ask.tried, now, &mut self.rng)
+                    .choose(&req.service, &req.tried, now, &mut self.rng)
             }
         };
         let chosen = chosen.ok_or(Refusal::NoInstance)?;
         self.fleet.sent(chosen.key, now);
-        if ask.tried.is_empty() {
-            self.earn(&ask, now);
+        if req.tried.is_empty() {
+            self.earn_retry_budget(&req, now);
         }
         let guard = SendGuard {
             key: chosen.key,
-            service: ask.service,
-            route: ask.route,
-            fingerprint: ask.fingerprint,
+            service: req.service,
+            route: req.route,
+            fingerprint: req.fingerprint,
             answered_whole: false,
-            parent: ask.parent,
+            parent: req.parent,
             since: now,
             clock: Arc::clone(&self.clock),
             tx: self.tx.clone(),
@@ -182,29 +187,30 @@
         })
     }
 
-    /// Counts a first request towards the budgets of all services that it reaches.
+    /// Adds a first attempt to the retry budgets of all services that the request reaches.
     ///
-    /// A repeat of a request from outside costs at every service downstream, so its entry needs budget there, although the
-    /// calls to them leave from other nodes. Those nodes use the rest for repeats of single calls.
-    fn earn(&mut self, ask: &InstanceRequest, now: Instant) {
-        if ask.parent.is_some() {
-            return self.budget.earn(&ask.service, INNER_SHARE, now);
+    /// Retrying an external request repeats calls at every downstream service, so its entry node needs budget there,
+    /// although other nodes send those calls. They use the rest of that budget to retry single calls.
+    fn earn_retry_budget(&mut self, req: &InstanceRequest, now: Instant) {
+        if req.parent.is_some() {
+            return self.budget.earn(&req.service, INNER_BUDGET_SHARE, now);
         }
-        self.budget.earn(&ask.service, 1.0, now);
-        if let Some(stats) = self.stats.get(&ask.route) {
+        self.budget.earn(&req.service, 1.0, now);
+        if let Some(stats) = self.stats.get(&req.route) {
             for (service, count) in stats.downstream.iter() {
-                self.budget.earn(service, count * (1.0 - INNER_SHARE), now);
+                self.budget
+                    .earn(service, count * (1.0 - INNER_BUDGET_SHARE), now);
             }
         }
     }
 
-    /// Learns from a sending that has ended.
-    pub(super) fn send_ended(&mut self, key: InstanceKey, ended: CompletedSend) {
+    /// Updates instance, route and shedding statistics after an attempt to send a request.
+    pub(super) fn complete_send(&mut self, key: InstanceKey, ended: CompletedSend) {
         let now = self.clock.now();
         if ended.answer_complete {
             self.answered(ended.fingerprint, now);
         }
-        let stats = entry(&mut self.stats, &ended.route, RouteStats::new);
+        let stats = get_or_insert(&mut self.stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
                 relative: stats.answered(ended.took),
@@ -237,31 +243,31 @@
         }
     }
 
-    /// Share of the saved budget that a repeat of this rank leaves to more urgent ones.
-    fn reserve(&self, rank: u8) -> f64 {
+    /// Share of the saved retry budget that a retry of this rank has to leave to more urgent ones.
+    fn retry_reserve(&self, rank: u8) -> f64 {
         let Some(config) = &self.config else {
             return 0.0;
         };
         let last = config.last_shed_order();
         let urgent = last.saturating_sub(config.shed_order(rank).min(last));
-        MOST_RESERVE * urgent as f64 / last.max(1) as f64
+        MAX_RETRY_RESERVE * urgent as f64 / last.max(1) as f64
     }
 
-    /// Decides whether a failed request may be sent again, and takes what it costs from the budget.
-    pub(super) fn retry(&mut self, ask: &RetryRequest) -> bool {
+    /// Decides whether a failed request may be retried, and takes the cost from the retry budget.
+    pub(super) fn allow_retry(&mut self, req: &RetryRequest) -> bool {
         let now = self.clock.now();
-        let overloaded = self.shedder.level(&ask.route, now) > self.cfg.no_repeat_level;
-        if overloaded && !ask.inner {
+        let overloaded = self.shedder.level(&req.route, now) > self.cfg.no_repeat_level;
+        if overloaded && !req.inner {
             self.metrics.repeat("overloaded");
             return false;
         }
-        let mut costs = vec![(ask.service.clone(), 1.0)];
-        if let Some(stats) = self.stats.get(&ask.route).filter(|_| ask.may_have_run) {
+        let mut costs = vec![(req.service.clone(), 1.0)];
+        if let Some(stats) = self.stats.get(&req.route).filter(|_| req.may_have_run) {
             for (service, count) in stats.downstream.iter() {
                 costs.push((service.clone(), count));
             }
         }
-        let reserve = self.reserve(ask.rank);
+        let reserve = self.retry_reserve(req.rank);
         let affordable = self.budget.spend(&costs, reserve, now);
         self.metrics
             .repeat(if affordable { "sent" } else { "no-budget" });
@@ -269,7 +275,7 @@
     }
 }
 
-pub(super) fn denied(refusal: Refusal, retry_after: Option<Duration>) -> Denial {
+pub(super) fn denial(refusal: Refusal, retry_after: Option<Duration>) -> Denial {
     Denial {
         refusal,
         retry_after,
@@ -277,13 +283,13 @@
     }
 }
 
-/// The value of a key, made where it is missing.
-fn entry<'m, T, F>(map: &'m mut Map<SmolStr, T>, key: &SmolStr, make: F) -> &'m mut T
+/// Returns the value of `key`, inserting it first if it is missing.
+fn get_or_insert<'m, T, F>(map: &'m mut Map<SmolStr, T>, key: &SmolStr, default: F) -> &'m mut T
 where
     F: FnOnce() -> T,
 {
     if !map.contains_key(key) {
-        map.insert(key.clone(), make());
+        map.insert(key.clone(), default());
     }
-    map.get_mut(key).expect("was inserted above")
+    map.get_mut(key).expect("inserted above")
 }
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -1,4 +1,4 @@
-//! Whose a request from outside is, by the key that it bears.
+//! Authentication of external requests by API key.
 
 use std::time::Instant;
 
@@ -6,20 +6,20 @@
 use coltsfootport_core::workspace::Workspace;
 use http::HeaderValue;
 
-use super::admission::{BACK_NOT_READY, denied};
+use super::admission::{RETRY_AFTER_NOT_READY, denial};
 use super::runs::Runs;
 use super::{AdmissionRequest, Controller, Credential, Denial};
 
 impl Controller {
-    /// The workspace of a request from outside, or its refusal.
+    /// Returns the workspace of an external request (`None` if it needs none), or denies the request.
     pub(super) fn authenticate<'c>(
         &self,
         config: &'c MeshConfig,
         route: &Route,
-        ask: &AdmissionRequest,
+        req: &AdmissionRequest,
         now: Instant,
     ) -> Result<Option<&'c Workspace>, Denial> {
-        let presented = match &ask.credential {
+        let presented = match &req.credential {
             Credential::Missing => Presented::Nothing,
             Credential::Key(key) => Presented::Key(key.as_bytes()),
             Credential::Duplicate => Presented::Several,
@@ -27,17 +27,17 @@
         let claim = Claim {
             presented,
             public: route.public,
-            of_unknown_run: Runs::is_id_of_call(&ask.id),
-            fresh: self.is_fresh(now),
+            of_unknown_run: Runs::is_id_of_call(&req.id),
+            fresh: self.is_config_fresh(now),
         };
         mesh::authenticate(config.directory(), &claim).map_err(|refusal| {
-            let back = refusal.rule().retry_after.then_some(BACK_NOT_READY);
-            denied(refusal, back)
+            let retry_after = refusal.rule().retry_after.then_some(RETRY_AFTER_NOT_READY);
+            denial(refusal, retry_after)
         })
     }
 
-    /// Whether a key is still one of a workspace: a request whose key was taken away meanwhile is not sent once more.
-    pub(super) fn still_holds(&self, key: Option<&HeaderValue>) -> bool {
+    /// Whether a key still belongs to a workspace. A request whose key was revoked in the meantime is not retried.
+    pub(super) fn is_key_valid(&self, key: Option<&HeaderValue>) -> bool {
         let directory = self.config.as_ref().and_then(|config| config.directory());
         match (directory, key) {
             (Some(directory), Some(key)) => directory.find(key.as_bytes()).is_some(),
@@ -46,9 +46,9 @@
     }
 }
 
-/// The key by which a request is looked up again before it is sent once more.
-pub(super) fn needed_key(ask: &AdmissionRequest, needed: bool) -> Option<HeaderValue> {
-    match &ask.credential {
+/// Returns the key that is checked again before a retry.
+pub(super) fn key_for_recheck(req: &AdmissionRequest, needed: bool) -> Option<HeaderValue> {
+    match &req.credential {
         Credential::Key(key) if needed => Some(key.clone()),
         _ => None,
     }
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -11,7 +11,7 @@
 use slog::{info, warn};
 use smol_str::SmolStr;
 
-use super::admission::denied;
+use super::admission::denial;
 use super::{AdmissionRequest, Controller, Denial};
 use crate::mesh::quotas::QuotaWord;
 
@@ -35,7 +35,7 @@
         let age_ms = self.publisher_age_ms(now);
         self.journal
             .over_quota(&ask.id, workspace, quota, over, age_ms);
-        Err(denied(Refusal::OverQuota, Some(over.retry_after)))
+        Err(denial(Refusal::OverQuota, Some(over.retry_after)))
     }
 
     /// A request that counted towards a quota has not run.
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -35,9 +35,9 @@
         // Where a reply can't be delivered, its task has ended with its request; guards inside give back what they hold.
         match event {
             ControllerEvent::Admit(ask, tx) => drop(tx.send(self.admit(&ask))),
-            ControllerEvent::SelectInstance(ask, tx) => drop(tx.send(self.send(ask))),
-            ControllerEvent::SendCompleted(key, ended) => self.send_ended(key, ended),
-            ControllerEvent::Retry(ask, tx) => drop(tx.send(self.retry(&ask))),
+            ControllerEvent::SelectInstance(ask, tx) => drop(tx.send(self.select_instance(ask))),
+            ControllerEvent::SendCompleted(key, ended) => self.complete_send(key, ended),
+            ControllerEvent::Retry(ask, tx) => drop(tx.send(self.allow_retry(&ask))),
             ControllerEvent::AcquireSlot(ask, tx) => self.enter(ask, tx),
             ControllerEvent::SlotReleased(ticket, left, tx) => self.leave(ticket, left, tx),
             ControllerEvent::PublisherUpdates(batch) => self.news(batch),
