--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests that run at the target beside this node.
+//! Dispatch of requests to the local target: queueing, slots and their release.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,96 +12,98 @@
 use super::{Controller, RunOutcome, SlotGrant, SlotGuard, SlotRefusal, SlotRelease, SlotRequest};
 use crate::mesh::call::Report;
 
-/// Ids of ended instances that are remembered, so that a late request for one is refused and not sent to its successor.
-const REMEMBERED_IDS: usize = 64;
+/// Number of ids of removed instances that are remembered, so that a late request for one of them is refused instead of
+/// being run by its successor.
+const MAX_REMOVED_INSTANCES: usize = 64;
 
 impl Controller {
-    /// Gives a request a slot, lets it wait, or refuses it.
-    pub(super) fn enter(
+    /// Grants a request a slot, queues it or refuses it.
+    pub(super) fn acquire_slot(
         &mut self,
-        ask: SlotRequest,
+        req: SlotRequest,
         reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
     ) {
         let now = self.clock.now();
-        if let Some(id) = &ask.cut_off {
+        if let Some(id) = &req.cut_off {
             self.hear_cut_off(id, now);
         }
-        if self.has_left(&ask.instance) {
-            drop(reply.send(Err(self.not_granted(Refusal::Stopping, None))));
+        if self.is_draining_or_removed(&req.instance) {
+            drop(reply.send(Err(self.slot_refusal(Refusal::Stopping, None))));
             return;
         }
-        if ask.deadline <= now {
-            drop(reply.send(Err(self.not_granted(Refusal::ExpiredUnsent, None))));
+        if req.deadline <= now {
+            drop(reply.send(Err(self.slot_refusal(Refusal::ExpiredUnsent, None))));
             return;
         }
-        self.enter_by_standing(Waiter { ask, reply }, now);
+        self.enter_by_standing(Waiter { req, reply }, now);
     }
 
-    /// Gives a request that need not be isolated a slot, lets it wait, or refuses it; the ticket where it is not refused.
+    /// Grants a request a slot, queues it or refuses it, without regard to its quarantine standing. Returns its ticket
+    /// unless it was refused.
     pub(super) fn enter_gate(&mut self, waiter: Waiter, now: Instant) -> Option<Ticket> {
-        let Waiter { ask, reply } = waiter;
+        let Waiter { req, reply } = waiter;
         let waiting = coltsfootport_core::mesh::Waiting {
-            rank: ask.rank,
-            order: self.shed_order(ask.rank),
-            admitted: ask.admitted_share,
-            kind: ask.kind,
-            inner: ask.inner,
-            began: ask.began,
-            deadline: ask.deadline,
-            queue_timeout: ask.queue_timeout,
+            rank: req.rank,
+            order: self.shed_order(req.rank),
+            admitted: req.admitted_share,
+            kind: req.kind,
+            inner: req.inner,
+            began: req.began,
+            deadline: req.deadline,
+            queue_timeout: req.queue_timeout,
         };
         if !self.drain_admits_peer(&waiting, now) {
-            drop(reply.send(Err(self.not_granted(Refusal::Stopping, None))));
+            drop(reply.send(Err(self.slot_refusal(Refusal::Stopping, None))));
             return None;
         }
         match self.gate.enter(waiting, now) {
             Admission::Run(ticket) => {
-                self.grant(ticket, Waiter { ask, reply }, now);
+                self.grant(ticket, Waiter { req, reply }, now);
                 Some(ticket)
             }
             Admission::Wait(ticket) => {
-                self.waiting.insert(ticket, Waiter { ask, reply });
+                self.waiting.insert(ticket, Waiter { req, reply });
                 Some(ticket)
             }
             Admission::Refused { retry_after } => {
-                let busy = self.not_granted(Refusal::Busy, Some(retry_after));
+                let busy = self.slot_refusal(Refusal::Busy, Some(retry_after));
                 drop(reply.send(Err(busy)));
                 None
             }
             Admission::DeadlineUnreachable => {
-                let refused = self.not_granted(Refusal::ExpiredUnsent, None);
+                let refused = self.slot_refusal(Refusal::ExpiredUnsent, None);
                 drop(reply.send(Err(refused)));
                 None
             }
         }
     }
 
-    /// A request has left its slot.
-    pub(super) fn leave(
+    /// Releases the slot of a request, starts queued requests and replies with the outcome of the run.
+    pub(super) fn release_slot(
         &mut self,
         ticket: Ticket,
-        left: SlotRelease,
+        release: SlotRelease,
         reply: Option<oneshot::Sender<RunOutcome>>,
     ) {
         let now = self.clock.now();
-        self.gate.leave(ticket, left.held, now);
-        let standing = self.run_ended(ticket, left.end, now);
+        self.gate.leave(ticket, release.held, now);
+        let standing = self.run_ended(ticket, release.end, now);
         let run = self.runs.remove(ticket);
         self.leave_isolation(ticket, now);
-        self.pump(now);
+        self.start_queued(now);
         let Some(reply) = reply else {
             return;
         };
         let mut report = self.report();
         if let Some(run) = run {
-            report.finding = self.finding_after(left.end, run.fingerprint, now);
+            report.finding = self.finding_after(release.end, run.fingerprint, now);
             report.downstream = run.downstream;
         }
         drop(reply.send(RunOutcome { report, standing }));
     }
 
-    /// Gives free slots to those who wait.
-    pub(super) fn pump(&mut self, now: Instant) {
+    /// Expires queued requests whose deadline cannot be met, and starts queued requests in free slots.
+    pub(super) fn start_queued(&mut self, now: Instant) {
         for ticket in self.gate.expire(now) {
             self.refuse_waiter(ticket, Refusal::ExpiredUnsent);
         }
@@ -113,25 +115,25 @@
         }
     }
 
-    /// Takes those out of the queue whose callers have left.
-    pub(super) fn forget_waiters(&mut self) {
+    /// Removes queued requests that no one waits for any more.
+    pub(super) fn remove_abandoned_waiters(&mut self) {
         let gate = &mut self.gate;
         self.waiting.retain(|ticket, waiter| {
-            let gone = waiter.reply.is_closed();
-            if gone {
+            let abandoned = waiter.reply.is_closed();
+            if abandoned {
                 gate.cancel(*ticket);
             }
-            !gone
+            !abandoned
         });
         self.forget_isolated();
     }
 
-    /// Refuses everyone who waits for an instance that takes nothing new; their entries choose another one.
-    pub(super) fn flush_waiters(&mut self) {
+    /// Refuses queued requests for instances that are draining or removed. Their entry nodes select another instance.
+    pub(super) fn refuse_waiters_of_stopped(&mut self) {
         let tickets: Vec<Ticket> = self
             .waiting
             .iter()
-            .filter(|(_, waiter)| self.has_left(&waiter.ask.instance))
+            .filter(|(_, waiter)| self.is_draining_or_removed(&waiter.req.instance))
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in tickets {
@@ -141,32 +143,33 @@
         self.review_isolated(self.clock.now());
     }
 
-    /// Takes in that an instance is gone for good.
-    pub(super) fn note_gone(&mut self, id: SmolStr) {
-        if self.left.len() >= REMEMBERED_IDS {
+    /// Remembers the id of a removed instance.
+    pub(super) fn remember_removed(&mut self, id: SmolStr) {
+        if self.left.len() >= MAX_REMOVED_INSTANCES {
             self.left.pop_front();
         }
         self.left.push_back(id);
     }
 
-    pub(super) fn has_left(&self, instance: &str) -> bool {
+    /// Whether an instance is draining or was removed, and so accepts no new requests.
+    pub(super) fn is_draining_or_removed(&self, instance: &str) -> bool {
         match self.fleet.member_state(instance) {
             Some(member_state) => member_state == MemberState::Draining,
-            // Not in the list: either gone, or so new that the list has not told yet.
+            // Not in the list: either removed, or so new that the list does not contain it yet.
             None => self.left.iter().any(|id| id == instance),
         }
     }
 
     fn grant(&mut self, ticket: Ticket, waiter: Waiter, now: Instant) {
         let run = Run {
-            id: waiter.ask.id,
-            fingerprint: waiter.ask.fingerprint,
-            instance: waiter.ask.instance,
-            rank: waiter.ask.rank,
-            workspace: waiter.ask.workspace,
-            admitted: waiter.ask.admitted_share,
-            began: waiter.ask.began,
-            deadline: waiter.ask.deadline,
+            id: waiter.req.id,
+            fingerprint: waiter.req.fingerprint,
+            instance: waiter.req.instance,
+            rank: waiter.req.rank,
+            workspace: waiter.req.workspace,
+            admitted: waiter.req.admitted_share,
+            began: waiter.req.began,
+            deadline: waiter.req.deadline,
             downstream: Vec::new(),
         };
         self.runs.insert(ticket, run);
@@ -180,7 +183,7 @@
         drop(waiter.reply.send(Ok(SlotGrant { guard })));
     }
 
-    /// How many ranks are shed before this one.
+    /// Number of ranks that are shed before this one.
     fn shed_order(&self, rank: u8) -> usize {
         let config = self.config.as_ref();
         config.map_or(0, |config| config.shed_order(rank))
@@ -188,12 +191,12 @@
 
     fn refuse_waiter(&mut self, ticket: Ticket, refusal: Refusal) {
         if let Some(waiter) = self.waiting.remove(&ticket) {
-            let refused = self.not_granted(refusal, None);
+            let refused = self.slot_refusal(refusal, None);
             drop(waiter.reply.send(Err(refused)));
         }
     }
 
-    pub(super) fn not_granted(
+    pub(super) fn slot_refusal(
         &self,
         refusal: Refusal,
         retry_after: Option<Duration>,
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -47,8 +47,8 @@
             self.journal.unfinished(&run.id, "running", left);
         }
         for waiter in self.waiting.values() {
-            let left = waiter.ask.deadline.saturating_duration_since(now);
-            self.journal.unfinished(&waiter.ask.id, "waiting", left);
+            let left = waiter.req.deadline.saturating_duration_since(now);
+            self.journal.unfinished(&waiter.req.id, "waiting", left);
         }
     }
 }
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -226,7 +226,7 @@
     /// Takes in that an instance has ended, and why it is believed.
     pub(super) fn ended(&mut self, id: SmolStr, reason: &str) {
         info!(self.journal.log(), "instance gone"; "instance" => id.as_str(), "reason" => reason);
-        self.note_gone(id);
+        self.remember_removed(id);
     }
 
     fn after_news(&mut self) {
@@ -235,9 +235,9 @@
         if let Some(own) = self.fleet.at_address(self.cfg.target) {
             self.gate.set_slots(own.slots);
         }
-        self.flush_waiters();
+        self.refuse_waiters_of_stopped();
         let now = self.clock.now();
-        self.pump(now);
+        self.start_queued(now);
     }
 
     fn log_faults(&self, batch: &UpdateBatch) {
--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -74,7 +74,7 @@
 impl Controller {
     /// Lets a request go on to the gate, wait for others that are isolated, or refuses it.
     pub(super) fn enter_by_standing(&mut self, waiter: Waiter, now: Instant) {
-        let fingerprint = waiter.ask.fingerprint;
+        let fingerprint = waiter.req.fingerprint;
         match self.quarantine.register.standing(fingerprint, now) {
             Standing::Unsuspected | Standing::Suspected => {
                 self.enter_gate(waiter, now);
@@ -87,12 +87,12 @@
                 self.quarantine.waiting.push_back(waiter);
             }
             Standing::Isolated => {
-                let refused = self.not_granted(Refusal::Isolated, Some(RETRY_AFTER_ISOLATED));
+                let refused = self.slot_refusal(Refusal::Isolated, Some(RETRY_AFTER_ISOLATED));
                 drop(waiter.reply.send(Err(refused)));
             }
             Standing::Refused => {
                 self.log_refused(fingerprint, now);
-                let refused = self.not_granted(Refusal::CrashesTargets, None);
+                let refused = self.slot_refusal(Refusal::CrashesTargets, None);
                 drop(waiter.reply.send(Err(refused)));
             }
         }
@@ -109,15 +109,15 @@
     /// Looks again at the isolated requests that wait, as something may have changed for them.
     pub(super) fn review_isolated(&mut self, now: Instant) {
         for waiter in std::mem::take(&mut self.quarantine.waiting) {
-            let refusal = match &waiter.ask {
-                ask if self.has_left(&ask.instance) => Refusal::Stopping,
+            let refusal = match &waiter.req {
+                ask if self.is_draining_or_removed(&ask.instance) => Refusal::Stopping,
                 ask if ask.deadline <= now => Refusal::ExpiredUnsent,
                 _ => {
                     self.enter_by_standing(waiter, now);
                     continue;
                 }
             };
-            drop(waiter.reply.send(Err(self.not_granted(refusal, None))));
+            drop(waiter.reply.send(Err(self.slot_refusal(refusal, None))));
         }
     }
 
@@ -142,7 +142,7 @@
         match end {
             RunEnd::Answered => self.answered(fingerprint, now),
             // A target that has said that it leaves ends as planned.
-            RunEnd::Crashed(crash) if !self.has_left(&run.instance) => {
+            RunEnd::Crashed(crash) if !self.is_draining_or_removed(&run.instance) => {
                 return self.crashed_under(fingerprint, crash, now);
             }
             RunEnd::Crashed(_) | RunEnd::Other => {}
@@ -247,7 +247,7 @@
 
     fn review_expired(&mut self, now: Instant) {
         let mut waiting = self.quarantine.waiting.iter();
-        if waiting.any(|waiter| waiter.ask.deadline <= now) {
+        if waiting.any(|waiter| waiter.req.deadline <= now) {
             self.review_isolated(now);
         }
     }
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -77,7 +77,7 @@
 /// A request that waits for a slot.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub ask: SlotRequest,
+    pub req: SlotRequest,
     pub reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
 }
 
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -38,8 +38,10 @@
             ControllerEvent::SelectInstance(ask, tx) => drop(tx.send(self.select_instance(ask))),
             ControllerEvent::SendCompleted(key, ended) => self.complete_send(key, ended),
             ControllerEvent::Retry(ask, tx) => drop(tx.send(self.allow_retry(&ask))),
-            ControllerEvent::AcquireSlot(ask, tx) => self.enter(ask, tx),
-            ControllerEvent::SlotReleased(ticket, left, tx) => self.leave(ticket, left, tx),
+            ControllerEvent::AcquireSlot(ask, tx) => self.acquire_slot(ask, tx),
+            ControllerEvent::SlotReleased(ticket, release, tx) => {
+                self.release_slot(ticket, release, tx)
+            }
             ControllerEvent::PublisherUpdates(batch) => self.news(batch),
             ControllerEvent::PublisherSnapshot(batch) => self.listed(batch),
             ControllerEvent::PublisherAnswered => self.publisher_answered(),
@@ -70,12 +72,12 @@
         for id in self.fleet.tick(now) {
             self.ended(id, "lapsed");
         }
-        self.forget_waiters();
+        self.remove_abandoned_waiters();
         self.tend_quarantine(now);
         self.tell_homes(now);
         self.report_quotas(now);
         self.gate.update_level(now);
-        self.pump(now);
+        self.start_queued(now);
         self.show(now);
     }
 }
