--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -172,12 +172,12 @@
             service: req.service,
             route: req.route,
             fingerprint: req.fingerprint,
-            answered_whole: false,
+            answer_complete: false,
             parent: req.parent,
             since: now,
             clock: Arc::clone(&self.clock),
             tx: self.tx.clone(),
-            ended: false,
+            reported: false,
         };
         Ok(SelectedInstance {
             is_local: chosen.address == self.cfg.target,
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -178,7 +178,7 @@
             since: now,
             clock: Arc::clone(&self.clock),
             tx: self.tx.clone(),
-            left: false,
+            released: false,
         };
         drop(waiter.reply.send(Ok(SlotGrant { guard })));
     }
--- a/crates/node/src/mesh/controller/guards.rs
+++ b/crates/node/src/mesh/controller/guards.rs
@@ -1,4 +1,4 @@
-//! Guards that give back what the controller gave out, also where the task that holds them is dropped.
+//! RAII guards that return resources to the controller, even if the task that holds them is cancelled.
 
 use std::time::Instant;
 
@@ -12,10 +12,10 @@
 use crate::clock::SharedClock;
 use crate::mesh::call::{Report, RunEnd};
 
-/// A request that is at an instance.
+/// Tracks a request that was sent to an instance.
 ///
-/// A task that ends since its caller left would otherwise leave its request counted, and an instance that many callers
-/// gave up on would look full for ever.
+/// If the task is cancelled because its caller disconnected, the guard still reports the end of the request. Otherwise
+/// the request would stay counted, and an instance with many such callers would look full forever.
 pub struct SendGuard {
     pub(super) key: InstanceKey,
     pub(super) service: ServiceName,
@@ -25,34 +25,34 @@
     pub(super) since: Instant,
     pub(super) clock: SharedClock,
     pub(super) tx: mpsc::UnboundedSender<ControllerEvent>,
-    pub(super) answered_whole: bool,
-    pub(super) ended: bool,
+    pub(super) answer_complete: bool,
+    pub(super) reported: bool,
 }
 
 impl SendGuard {
-    /// The target has answered, and the whole answer is here.
-    pub fn answered_whole(&mut self) {
-        self.answered_whole = true;
+    /// Records that the target's answer arrived completely.
+    pub fn set_answer_complete(&mut self) {
+        self.answer_complete = true;
     }
 
-    /// The sending has ended.
+    /// Reports the outcome of the request to the controller.
     pub fn end(mut self, outcome: SendOutcome, report: Option<Report>) {
-        self.tell(outcome, report);
+        self.report_end(outcome, report);
     }
 
-    fn tell(&mut self, outcome: SendOutcome, report: Option<Report>) {
-        self.ended = true;
+    fn report_end(&mut self, outcome: SendOutcome, report: Option<Report>) {
+        self.reported = true;
         let ended = CompletedSend {
             outcome,
             took: self.clock.now().saturating_duration_since(self.since),
             service: self.service.clone(),
             route: self.route.clone(),
             fingerprint: self.fingerprint,
-            answer_complete: self.answered_whole,
+            answer_complete: self.answer_complete,
             parent: self.parent.clone(),
             report,
         };
-        // The controller lives as long as the process; after it nobody counts.
+        // The controller runs until the process exits, so a failed send can be ignored.
         let _ = self
             .tx
             .send(ControllerEvent::SendCompleted(self.key, ended));
@@ -61,8 +61,8 @@
 
 impl Drop for SendGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.tell(SendOutcome::Abandoned, None);
+        if !self.reported {
+            self.report_end(SendOutcome::Abandoned, None);
         }
     }
 }
@@ -73,37 +73,37 @@
     }
 }
 
-/// A slot of the target.
+/// Holds a slot of the local target and releases it when dropped.
 pub struct SlotGuard {
     pub(super) ticket: Ticket,
     pub(super) since: Instant,
     pub(super) clock: SharedClock,
     pub(super) tx: mpsc::UnboundedSender<ControllerEvent>,
-    pub(super) left: bool,
+    pub(super) released: bool,
 }
 
 impl SlotGuard {
-    /// Gives the slot back and learns what came of the run.
-    pub async fn leave(mut self, end: RunEnd) -> RunOutcome {
+    /// Releases the slot and returns the outcome of the run.
+    pub async fn release(mut self, end: RunEnd) -> RunOutcome {
         let (tx, rx) = oneshot::channel();
-        self.tell(end, Some(tx));
+        self.report_release(end, Some(tx));
         rx.await.unwrap_or_default()
     }
 
-    fn tell(&mut self, end: RunEnd, reply: Option<oneshot::Sender<RunOutcome>>) {
-        self.left = true;
+    fn report_release(&mut self, end: RunEnd, reply: Option<oneshot::Sender<RunOutcome>>) {
+        self.released = true;
         let held = self.clock.now().saturating_duration_since(self.since);
-        let left = SlotRelease { held, end };
+        let release = SlotRelease { held, end };
         let _ = self
             .tx
-            .send(ControllerEvent::SlotReleased(self.ticket, left, reply));
+            .send(ControllerEvent::SlotReleased(self.ticket, release, reply));
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if !self.left {
-            self.tell(RunEnd::Other, None);
+        if !self.released {
+            self.report_release(RunEnd::Other, None);
         }
     }
 }
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -202,7 +202,7 @@
     async fn replied(&mut self, reply: HostReply, mut guard: SendGuard) -> Step {
         let HostReply { result, report } = reply;
         if matches!(&result, Ok(answer) if answer.ended_well(self.entry.dialect.not_run)) {
-            guard.answered_whole();
+            guard.set_answer_complete();
         }
         match result {
             Ok(answer) if answer.status.is_server_error() => {
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -92,7 +92,7 @@
 
     async fn run_in_slot(&self, req: HostedRequest, slot: SlotGuard, grace: Duration) -> HostReply {
         let Ran { mut result, end } = self.at_target(req, grace).await;
-        let left = slot.leave(end).await;
+        let left = slot.release(end).await;
         // Told to come again, its caller would end the next target.
         if left.standing == Standing::Refused && matches!(end, RunEnd::Crashed(_)) {
             result = Err(Refused::from(Refusal::CrashesTargets));
