--- a/crates/node/src/mesh/controller/handle.rs
+++ b/crates/node/src/mesh/controller/handle.rs
@@ -1,4 +1,4 @@
-//! What other tasks use to talk to the controller.
+//! Handle through which other tasks communicate with the controller.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -12,94 +12,99 @@
 };
 use crate::mesh::call::Report;
 
-/// Sends messages to the controller and waits for replies.
+/// Sends events to the controller and waits for the replies.
 #[derive(Clone, Debug)]
 pub struct ControllerHandle {
     tx: mpsc::UnboundedSender<ControllerEvent>,
 }
 
 impl ControllerHandle {
-    /// A handle that sends to this channel.
+    /// Creates a handle that sends to this channel.
     pub fn new(tx: mpsc::UnboundedSender<ControllerEvent>) -> Self {
         Self { tx }
     }
 
-    /// Tells the controller something that needs no reply.
-    pub fn tell(&self, event: ControllerEvent) {
-        // The controller lives as long as the process.
+    /// Sends an event that needs no reply.
+    pub fn notify(&self, event: ControllerEvent) {
+        // The controller runs until the process exits, so a failed send can be ignored.
         let _ = self.tx.send(event);
     }
 
-    /// Who reads the publisher.
+    /// Returns which nodes read from the publisher directly.
     pub async fn readers_view(&self, cfg: ReadersConfig) -> Option<ReadersView> {
-        self.ask(|tx| ControllerEvent::ReadersView(cfg, tx)).await
+        self.request(|tx| ControllerEvent::ReadersView(cfg, tx))
+            .await
     }
 
-    /// Asks whether and how a request may go on.
-    pub async fn admit(&self, ask: AdmissionRequest) -> Result<AdmittedRequest, Denial> {
-        let denied = Denial {
+    /// Asks for the admission of a request.
+    pub async fn admit(&self, req: AdmissionRequest) -> Result<AdmittedRequest, Denial> {
+        let stopping = Denial {
             refusal: Refusal::Stopping,
             retry_after: None,
             config_version: 0,
         };
-        self.ask(|tx| ControllerEvent::Admit(ask, tx))
+        self.request(|tx| ControllerEvent::Admit(req, tx))
             .await
-            .unwrap_or(Err(denied))
+            .unwrap_or(Err(stopping))
     }
 
-    /// Asks for an instance.
+    /// Asks for an instance to send a request to.
     ///
     /// # Errors
     ///
-    /// Why the request goes to none.
-    pub async fn send(&self, ask: InstanceRequest) -> Result<SelectedInstance, Refusal> {
-        self.ask(|tx| ControllerEvent::SelectInstance(ask, tx))
+    /// Returns the reason if the request must not be sent to any instance.
+    pub async fn select_instance(&self, req: InstanceRequest) -> Result<SelectedInstance, Refusal> {
+        self.request(|tx| ControllerEvent::SelectInstance(req, tx))
             .await
             .unwrap_or(Err(Refusal::Stopping))
     }
 
-    /// What this node knows of requests that crash targets, where it differs from what the digest stands for.
+    /// Returns the findings of this node about requests that crash targets, unless they match `digest`.
     pub async fn findings(&self, digest: u64) -> Vec<Finding> {
-        let asked = self.ask(|tx| ControllerEvent::FindingsRequested(digest, tx));
-        asked.await.unwrap_or_default()
+        let reply = self.request(|tx| ControllerEvent::FindingsRequested(digest, tx));
+        reply.await.unwrap_or_default()
     }
 
-    /// Tells this node, as a home, what another one has used.
+    /// Submits the quota usage of another node to this node, which is the home of those quotas.
     pub async fn claim_quotas(&self, claims: Vec<QuotaUsage>) -> Vec<Verdict> {
-        let asked = self.ask(|tx| ControllerEvent::QuotaClaimsReceived(claims, tx));
-        asked.await.unwrap_or_default()
+        let reply = self.request(|tx| ControllerEvent::QuotaClaimsReceived(claims, tx));
+        reply.await.unwrap_or_default()
     }
 
-    /// Asks whether a failed request may be sent again.
-    pub async fn retry(&self, ask: RetryRequest) -> bool {
-        self.ask(|tx| ControllerEvent::Retry(ask, tx))
+    /// Asks whether a failed request may be retried.
+    pub async fn allow_retry(&self, req: RetryRequest) -> bool {
+        self.request(|tx| ControllerEvent::Retry(req, tx))
             .await
             .unwrap_or(false)
     }
 
-    /// Asks for a slot, and waits until there is one.
-    pub async fn enter(&self, ask: SlotRequest) -> Result<SlotGrant, SlotRefusal> {
-        let refused = SlotRefusal {
+    /// Asks for a slot at the local target and waits until it is granted or refused.
+    pub async fn acquire_slot(&self, req: SlotRequest) -> Result<SlotGrant, SlotRefusal> {
+        let stopping = SlotRefusal {
             refusal: Refusal::Stopping,
             retry_after: None,
             report: Report::default(),
         };
-        self.ask(|tx| ControllerEvent::AcquireSlot(ask, tx))
+        self.request(|tx| ControllerEvent::AcquireSlot(req, tx))
             .await
-            .unwrap_or(Err(refused))
+            .unwrap_or(Err(stopping))
     }
 
-    /// Whether the node can serve.
+    /// Whether the node is ready to serve requests.
     pub async fn is_ready(&self) -> bool {
-        self.ask(ControllerEvent::Readiness).await.unwrap_or(false)
+        self.request(ControllerEvent::Readiness)
+            .await
+            .unwrap_or(false)
     }
 
-    /// Requests of others that wait or run here.
-    pub async fn hosted(&self) -> usize {
-        self.ask(ControllerEvent::HostedRequests).await.unwrap_or(0)
+    /// Number of requests from other nodes that wait or run here.
+    pub async fn hosted_requests(&self) -> usize {
+        self.request(ControllerEvent::HostedRequests)
+            .await
+            .unwrap_or(0)
     }
 
-    async fn ask<T, F>(&self, event: F) -> Option<T>
+    async fn request<T, F>(&self, event: F) -> Option<T>
     where
         F: FnOnce(oneshot::Sender<T>) -> ControllerEvent,
     {
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -160,7 +160,7 @@
             tried: self.tried.clone(),
             key: self.admitted.key.clone(),
         };
-        self.entry.controller.send(ask).await
+        self.entry.controller.select_instance(ask).await
     }
 
     /// The body, and a copy kept for another attempt where it is held.
@@ -276,7 +276,7 @@
             inner: self.admitted.parent.is_some(),
             rank: self.admitted.rank,
         };
-        match self.entry.controller.retry(ask).await {
+        match self.entry.controller.allow_retry(ask).await {
             true => Step::Retry(result),
             false => Step::Finish(result),
         }
@@ -354,7 +354,7 @@
             .filter(|_| self.admitted.parent.is_none());
         if let Some(workspace) = of_caller.filter(|_| refused.refusal.is_not_run()) {
             let unused = ControllerEvent::QuotaUnused(workspace.clone());
-            self.entry.controller.tell(unused);
+            self.entry.controller.notify(unused);
         }
     }
 
--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -60,7 +60,7 @@
             Ok(findings) if findings.is_empty() => {}
             Ok(findings) => self
                 .controller
-                .tell(ControllerEvent::FindingsReceived(findings)),
+                .notify(ControllerEvent::FindingsReceived(findings)),
             Err(e) => debug!(self.log, "findings not pulled"; "peer" => %node, "reason" => %e),
         }
     }
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -75,7 +75,7 @@
             queue_timeout: req.queue_timeout,
             cut_off: req.cut_off.clone(),
         };
-        let slot = match self.controller.enter(ask).await {
+        let slot = match self.controller.acquire_slot(ask).await {
             Ok(granted) => granted.guard,
             Err(refused) => return not_granted(refused),
         };
--- a/crates/node/src/mesh/lifecycle.rs
+++ b/crates/node/src/mesh/lifecycle.rs
@@ -88,7 +88,7 @@
         let grace = self.settings.borrow().grace;
         info!(self.log, "stopping"; "open" => self.open.load(Ordering::SeqCst), "grace_ms" => grace.as_millis() as u64);
         self.stopping.send_replace(true);
-        self.controller.tell(ControllerEvent::Stop);
+        self.controller.notify(ControllerEvent::Stop);
         let mut signals = 1;
         let mut idle_since = None;
         loop {
@@ -102,7 +102,7 @@
             }
             let now = self.clock.now();
             let passed = now.saturating_duration_since(signalled_at);
-            let hosted = self.controller.hosted().await;
+            let hosted = self.controller.hosted_requests().await;
             let open = self.open.load(Ordering::SeqCst);
             if grace.saturating_sub(passed) <= BEFORE_KILL && !*self.grace_over.borrow() {
                 self.end_grace(open, hosted);
@@ -125,7 +125,7 @@
     fn end_grace(&self, open: usize, hosted: usize) {
         self.grace_over.send_replace(true);
         warn!(self.log, "grace period nearly over"; "open" => open, "hosted" => hosted);
-        self.controller.tell(ControllerEvent::LogUnfinished);
+        self.controller.notify(ControllerEvent::LogUnfinished);
     }
 
     fn log_signal(&self, name: &str, signals: u32, first: Instant) {
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -108,7 +108,7 @@
         StreamHead::Findings(findings) => {
             let findings = findings.into_iter().map(Finding::from).collect();
             let heard = ControllerEvent::FindingsReceived(findings);
-            serving.host.controller.tell(heard);
+            serving.host.controller.notify(heard);
             conn.write(&FindingsFrame(Vec::new()), &[]).await?;
             Ok(true)
         }
@@ -121,7 +121,7 @@
         StreamHead::QuotaNotices(notices) => {
             let notices = notices.into_iter().map(QuotaNotice::from).collect();
             let heard = ControllerEvent::QuotaNoticesReceived(notices);
-            serving.host.controller.tell(heard);
+            serving.host.controller.notify(heard);
             conn.write(&VerdictsFrame(Vec::new()), &[]).await?;
             Ok(true)
         }
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -115,7 +115,7 @@
                     true if answered => self
                         .news
                         .controller
-                        .tell(ControllerEvent::PublisherAnswered),
+                        .notify(ControllerEvent::PublisherAnswered),
                     true => {}
                     false => self.tell_if_lost(),
                 }
@@ -162,7 +162,7 @@
         });
         self.news
             .controller
-            .tell(ControllerEvent::PublisherSnapshot(batch));
+            .notify(ControllerEvent::PublisherSnapshot(batch));
     }
 
     /// Several sources tell the same changes, each in answers of its own: what ends with a known position is known, and
@@ -185,7 +185,7 @@
             if from == Source::Publisher && changes.until.era == known.era {
                 self.news
                     .controller
-                    .tell(ControllerEvent::PublisherAnswered);
+                    .notify(ControllerEvent::PublisherAnswered);
             }
             return false;
         }
@@ -193,7 +193,7 @@
         self.news.board.send_modify(|board| board.push(changes));
         self.news
             .controller
-            .tell(ControllerEvent::PublisherUpdates(batch));
+            .notify(ControllerEvent::PublisherUpdates(batch));
         false
     }
 
@@ -207,7 +207,9 @@
 
     fn tell_if_lost(&self) {
         if !self.sound && !self.readers.any_sound() {
-            self.news.controller.tell(ControllerEvent::PublisherFailed);
+            self.news
+                .controller
+                .notify(ControllerEvent::PublisherFailed);
         }
     }
 
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -46,7 +46,7 @@
                 word = words.recv() => word,
                 _ = looks.tick() => {
                     let silent = ControllerEvent::SilentPeerShare(self.links.silent_share());
-                    self.controller.tell(silent);
+                    self.controller.notify(silent);
                     continue;
                 }
             };
@@ -76,7 +76,7 @@
                 ControllerEvent::QuotaClaimsUndelivered(claims)
             }
         };
-        self.controller.tell(event);
+        self.controller.notify(event);
     }
 
     async fn notify(self, entries: Vec<IpAddr>, notices: Vec<QuotaNotice>) {
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -215,7 +215,7 @@
         let new = settings.borrow_and_update().clone();
         let cfg = controller_config(&MeshSettings { policy, ..new });
         service.send_replace(cfg.service.clone());
-        controller.tell(ControllerEvent::SettingsChanged(Box::new(cfg)));
+        controller.notify(ControllerEvent::SettingsChanged(Box::new(cfg)));
     }
 }
 
