--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -100,8 +100,8 @@
     pub(super) fn is_config_fresh(&self, now: Instant) -> bool {
         let answered = self
             .publisher_answered
-            .is_some_and(|at| now.saturating_duration_since(at) <= self.cfg.publisher_fresh);
-        answered && self.publisher_sound
+            .is_some_and(|at| now.saturating_duration_since(at) <= self.cfg.max_publisher_age);
+        answered && self.publisher_healthy
     }
 
     /// Applies load shedding. Returns the share of similar requests that is currently admitted, or a denial.
@@ -196,7 +196,7 @@
             return self.budget.earn(&req.service, INNER_BUDGET_SHARE, now);
         }
         self.budget.earn(&req.service, 1.0, now);
-        if let Some(stats) = self.stats.get(&req.route) {
+        if let Some(stats) = self.route_stats.get(&req.route) {
             for (service, count) in stats.downstream.iter() {
                 self.budget
                     .earn(service, count * (1.0 - INNER_BUDGET_SHARE), now);
@@ -210,7 +210,7 @@
         if ended.answer_complete {
             self.answered(ended.fingerprint, now);
         }
-        let stats = get_or_insert(&mut self.stats, &ended.route, RouteStats::new);
+        let stats = get_or_insert(&mut self.route_stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
                 relative: stats.answered(ended.took),
@@ -262,7 +262,11 @@
             return false;
         }
         let mut costs = vec![(req.service.clone(), 1.0)];
-        if let Some(stats) = self.stats.get(&req.route).filter(|_| req.may_have_run) {
+        if let Some(stats) = self
+            .route_stats
+            .get(&req.route)
+            .filter(|_| req.may_have_run)
+        {
             for (service, count) in stats.downstream.iter() {
                 costs.push((service.clone(), count));
             }
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -145,10 +145,10 @@
 
     /// Remembers the id of a removed instance.
     pub(super) fn remember_removed(&mut self, id: SmolStr) {
-        if self.left.len() >= MAX_REMOVED_INSTANCES {
-            self.left.pop_front();
+        if self.removed_instances.len() >= MAX_REMOVED_INSTANCES {
+            self.removed_instances.pop_front();
         }
-        self.left.push_back(id);
+        self.removed_instances.push_back(id);
     }
 
     /// Whether an instance is draining or was removed, and so accepts no new requests.
@@ -156,7 +156,7 @@
         match self.fleet.member_state(instance) {
             Some(member_state) => member_state == MemberState::Draining,
             // Not in the list: either removed, or so new that the list does not contain it yet.
-            None => self.left.iter().any(|id| id == instance),
+            None => self.removed_instances.iter().any(|id| id == instance),
         }
     }
 
@@ -213,7 +213,7 @@
             busy: self.gate.busy(),
             level: self.gate.level(),
             stopping: self.drain.is_some(),
-            cut_off: !self.publisher_sound,
+            cut_off: !self.publisher_healthy,
             downstream: Vec::new(),
             finding: None,
         }
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -22,7 +22,7 @@
         let Some(drain) = &self.drain else {
             return true;
         };
-        let stats = self.stats.get(&route.name);
+        let stats = self.route_stats.get(&route.name);
         let expected = stats.map_or(Duration::ZERO, |stats| stats.usual());
         let left = ask
             .time_left
--- a/crates/node/src/mesh/controller/entries.rs
+++ b/crates/node/src/mesh/controller/entries.rs
@@ -1,42 +1,42 @@
-//! Published entries that name no instance.
+//! Published entries that do not describe a usable instance.
 
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::mesh::{EntryFault, Instance, MeshConfig};
 use smol_str::SmolStr;
 
-/// Entries that name no instance, as long as they are published.
+/// Published entries that were rejected. They are kept until they are corrected or removed.
 #[derive(Clone, Debug, Default)]
-pub struct Entries {
-    bad: Map<SmolStr, EntryFault>,
-    /// Those that would be good if a configuration named their service.
-    unnamed: Map<SmolStr, Instance>,
+pub struct RejectedEntries {
+    faults: Map<SmolStr, EntryFault>,
+    /// Entries whose only fault is that no configuration names their service.
+    unknown_service: Map<SmolStr, Instance>,
 }
 
-impl Entries {
-    /// Takes in a fault; whether the entry had another one before or none, so that each is told once.
-    pub fn turned_bad(&mut self, id: &SmolStr, fault: EntryFault) -> bool {
-        self.bad.insert(id.clone(), fault) != Some(fault)
+impl RejectedEntries {
+    /// Records a fault. Returns whether it differs from the entry's previous state, so that each fault is logged once.
+    pub fn record_fault(&mut self, id: &SmolStr, fault: EntryFault) -> bool {
+        self.faults.insert(id.clone(), fault) != Some(fault)
     }
 
-    /// Keeps an entry until a configuration names its service.
-    pub fn keep(&mut self, instance: Instance) {
-        self.unnamed.insert(instance.id.clone(), instance);
+    /// Holds an entry until a configuration names its service.
+    pub fn hold(&mut self, instance: Instance) {
+        self.unknown_service.insert(instance.id.clone(), instance);
     }
 
-    /// An entry was written well, or removed.
-    pub fn forget(&mut self, id: &SmolStr) {
-        self.bad.remove(id);
-        self.unnamed.remove(id);
+    /// Forgets an entry that was corrected or removed.
+    pub fn remove(&mut self, id: &SmolStr) {
+        self.faults.remove(id);
+        self.unknown_service.remove(id);
     }
 
-    /// The kept entries whose service a new configuration names; they are not kept any more.
+    /// Removes and returns the held entries whose service is named by the new configuration.
     pub fn take_named(&mut self, config: &MeshConfig) -> Vec<Instance> {
-        let kept = std::mem::take(&mut self.unnamed);
-        let (named, unnamed): (Map<_, _>, Map<_, _>) = kept
+        let held = std::mem::take(&mut self.unknown_service);
+        let (named, unknown): (Map<_, _>, Map<_, _>) = held
             .into_iter()
             .partition(|(_, instance)| config.names(&instance.service));
-        self.unnamed = unnamed;
-        self.bad.retain(|id, _| !named.contains_key(id));
+        self.unknown_service = unknown;
+        self.faults.retain(|id, _| !named.contains_key(id));
         named.into_values().collect()
     }
 }
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -56,20 +56,20 @@
     /// The publisher answers.
     pub(super) fn publisher_answered(&mut self) {
         let now = self.clock.now();
-        if !self.publisher_sound {
+        if !self.publisher_healthy {
             info!(self.journal.log(), "publisher answers"; "away_ms" => self.publisher_age_ms(now));
         }
-        self.publisher_sound = true;
+        self.publisher_healthy = true;
         self.publisher_answered = Some(now);
         self.fleet.publisher_back(now);
     }
 
     /// The publisher does not answer as it should.
     pub(super) fn publisher_failed(&mut self) {
-        if self.publisher_sound {
+        if self.publisher_healthy {
             warn!(self.journal.log(), "publisher lost"; "age_ms" => self.publisher_age_ms(self.clock.now()));
         }
-        self.publisher_sound = false;
+        self.publisher_healthy = false;
         self.fleet.publisher_lost();
     }
 
@@ -98,7 +98,7 @@
     /// The own instance, where this node does not hear the publisher. Its entry may lapse although it works, and the nodes
     /// that hear the publisher must know.
     pub(super) fn own_cut_off(&self) -> Option<SmolStr> {
-        match self.publisher_sound {
+        match self.publisher_healthy {
             true => None,
             false => Some(self.fleet.at_address(self.cfg.target)?.id.clone()),
         }
@@ -121,7 +121,7 @@
                 }
             }
             Update::InstanceGone(id) => {
-                self.entries.forget(&id);
+                self.rejected_entries.remove(&id);
                 self.apply_gone(id);
             }
             Update::BadEntry { id, fault, detail } => self.bad_entry(&id, fault, &detail),
@@ -134,19 +134,19 @@
     fn named(&mut self, instance: Instance) -> Option<Instance> {
         let config = self.config.as_ref();
         if config.is_none_or(|config| config.names(&instance.service)) {
-            self.entries.forget(&instance.id);
+            self.rejected_entries.remove(&instance.id);
             return Some(instance);
         }
         let id = instance.id.clone();
         let detail = format!("the service is `{}`", instance.service);
-        self.entries.keep(instance);
+        self.rejected_entries.hold(instance);
         self.bad_entry(&id, EntryFault::Service, &detail);
         None
     }
 
     /// An entry names no instance: nobody is used by its id until it is written well again.
     fn bad_entry(&mut self, id: &SmolStr, fault: EntryFault, detail: &str) {
-        if !self.entries.turned_bad(id, fault) {
+        if !self.rejected_entries.record_fault(id, fault) {
             return;
         }
         self.metrics.entry_fault(fault);
@@ -172,7 +172,7 @@
         self.forget_old_routes(&config);
         self.limits.send_replace(config.limits());
         self.gate.set_ranks(config.last_shed_order() + 1);
-        let kept = self.entries.take_named(&config);
+        let kept = self.rejected_entries.take_named(&config);
         self.config = Some(config);
         self.forget_old_workspaces();
         for instance in kept {
@@ -192,7 +192,7 @@
             old.as_deref().and_then(find) == find(new)
         };
         self.splits.retain(|name, _| same_parts(name));
-        self.stats.retain(|name, _| names.contains(name));
+        self.route_stats.retain(|name, _| names.contains(name));
         self.shedder.retain(|name| names.contains(name));
     }
 
--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -18,10 +18,10 @@
 impl Controller {
     /// Reports what was decided since the last report, where it is due.
     pub(super) fn report_quotas(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.quotas_reported) < REPORT_INTERVAL {
+        if now.saturating_duration_since(self.last_quota_report) < REPORT_INTERVAL {
             return;
         }
-        self.quotas_reported = now;
+        self.last_quota_report = now;
         self.report_entry_quotas();
         self.report_home_quotas();
     }
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -153,7 +153,7 @@
     /// As a home: checks whether others may have been made homes in the place of this node.
     pub(super) fn check_replaced(&mut self, nodes_silent: f64) {
         let now = self.clock.now();
-        let publisher_silent = match (self.publisher_sound, self.publisher_answered) {
+        let publisher_silent = match (self.publisher_healthy, self.publisher_answered) {
             (false, Some(at)) => now.saturating_duration_since(at),
             _ => Duration::ZERO,
         };
@@ -194,7 +194,7 @@
     }
 
     fn say(&self, word: QuotaWord) {
-        if self.quota_words.send(word).is_err() {
+        if self.quota_messages.send(word).is_err() {
             warn!(self.journal.log(), "quotas are not told"; "reason" => "the task that tells them has ended");
         }
     }
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -1,4 +1,4 @@
-//! The controller's state.
+//! State and configuration of the controller.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::entries::Entries;
+use super::entries::RejectedEntries;
 use super::quarantine::Quarantine;
 use super::route_stats::RouteStats;
 use super::runs::Runs;
@@ -29,30 +29,31 @@
 use crate::mesh::metrics::MeshMetrics;
 use crate::mesh::quotas::QuotaWord;
 
-/// How a controller decides.
+/// Settings of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerConfig {
-    /// The service beside this node.
+    /// Service of the local target.
     pub service: ServiceName,
-    /// Address of the target beside this node.
+    /// Address of the local target.
     pub target: SocketAddr,
-    /// Repeats.
+    /// Retry budgets.
     pub budget: RetryBudgetConfig,
-    /// Choice of instances.
+    /// Instance selection.
     pub fleet: FleetConfig,
-    /// Shedding at the entry.
+    /// Load shedding of external requests at the entry.
     pub shedder: ShedderConfig,
-    /// Waiting for the target.
+    /// Queueing and concurrency limits of the local target.
     pub gate: GateConfig,
-    /// Admission between the signal to stop and the end.
+    /// Admission while the node drains, between the stop signal and its exit.
     pub drain: DrainConfig,
-    /// Quotas of workspaces.
+    /// Workspace quotas.
     pub quotas: QuotaConfig,
-    /// Requests that crash targets.
+    /// Quarantine of requests that crash targets.
     pub quarantine: QuarantineConfig,
-    /// Age of the publisher's last answer up to which an unknown route is said not to exist.
-    pub publisher_fresh: Duration,
-    /// Level from which requests from outside are not sent again after a failure: what it costs is missing to others.
+    /// Maximum age of the publisher's last answer at which an unknown route is reported as nonexistent.
+    pub max_publisher_age: Duration,
+    /// Overload level above which failed external requests are not retried, since retries would take capacity from
+    /// other requests.
     pub no_repeat_level: f64,
 }
 
@@ -68,32 +69,32 @@
             drain: DrainConfig::default(),
             quotas: QuotaConfig::default(),
             quarantine: QuarantineConfig::default(),
-            publisher_fresh: Duration::from_millis(2600),
+            max_publisher_age: Duration::from_millis(2600),
             no_repeat_level: 0.5,
         }
     }
 }
 
-/// A request that waits for a slot.
+/// A request that waits for a slot, and the channel for its reply.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub req: SlotRequest,
     pub reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
 }
 
-/// Where a controller sends what others are to do.
+/// Channels on which a controller notifies other tasks.
 pub struct ControllerChannels {
-    /// Its own events, for the guards that it gives out.
+    /// The controller's own events, sent by the guards that it hands out.
     pub events: mpsc::UnboundedSender<ControllerEvent>,
-    /// What a caller may send.
+    /// Limits on what callers may send.
     pub limits: watch::Sender<CallerLimits>,
-    /// Quotas of workspaces, for other nodes.
-    pub quota_words: mpsc::UnboundedSender<QuotaWord>,
-    /// Requests that crash targets, for other nodes.
+    /// Messages about workspace quotas for other nodes.
+    pub quota_messages: mpsc::UnboundedSender<QuotaWord>,
+    /// Findings about requests that crash targets, for other nodes.
     pub findings: mpsc::UnboundedSender<FindingsMessage>,
 }
 
-/// Everything that a node decides by.
+/// Holds all state that a node's decisions depend on.
 pub struct Controller {
     pub(super) cfg: ControllerConfig,
     pub(super) clock: SharedClock,
@@ -102,9 +103,9 @@
     pub(super) rng: SmallRng,
     pub(super) config: Option<Arc<MeshConfig>>,
     pub(super) splits: Map<SmolStr, Split>,
-    pub(super) stats: Map<SmolStr, RouteStats>,
+    pub(super) route_stats: Map<SmolStr, RouteStats>,
     pub(super) fleet: Fleet,
-    pub(super) entries: Entries,
+    pub(super) rejected_entries: RejectedEntries,
     pub(super) shedder: Shedder,
     pub(super) budget: RetryBudget,
     pub(super) gate: TargetGate,
@@ -112,26 +113,30 @@
     pub(super) entry_quotas: EntryQuotas,
     pub(super) home_quotas: HomeQuotas,
     pub(super) quota_router: QuotaRouter,
-    /// When decisions about quotas were last reported.
-    pub(super) quotas_reported: Instant,
-    pub(super) quota_words: mpsc::UnboundedSender<QuotaWord>,
+    /// When quota decisions were last reported.
+    pub(super) last_quota_report: Instant,
+    pub(super) quota_messages: mpsc::UnboundedSender<QuotaWord>,
     pub(super) waiting: Map<Ticket, Waiter>,
     pub(super) quarantine: Quarantine,
     pub(super) findings: mpsc::UnboundedSender<FindingsMessage>,
-    pub(super) left: VecDeque<SmolStr>,
-    /// Era of the last list.
+    /// Ids of the most recently removed instances, oldest first.
+    pub(super) removed_instances: VecDeque<SmolStr>,
+    /// Era of the last snapshot from the publisher.
     pub(super) era: Option<Era>,
+    /// When the publisher last answered.
     pub(super) publisher_answered: Option<Instant>,
-    pub(super) publisher_sound: bool,
-    /// Set by the first signal to stop.
+    /// Whether the last contact with the publisher succeeded.
+    pub(super) publisher_healthy: bool,
+    /// Set by the first stop signal.
     pub(super) drain: Option<Drain>,
     pub(super) journal: Journal,
     pub(super) metrics: MeshMetrics,
+    /// Overload level of this node that was last logged.
     pub(super) logged_level: f64,
 }
 
 impl Controller {
-    /// A controller that knows neither configuration nor instances.
+    /// Creates a controller without a configuration or instances.
     pub fn new(
         cfg: ControllerConfig,
         clock: SharedClock,
@@ -144,31 +149,31 @@
         let ControllerChannels {
             events,
             limits,
-            quota_words,
+            quota_messages,
             findings,
         } = channels;
         Self {
             shedder: Shedder::new(cfg.shedder, rng.random(), now),
             config: None,
             splits: Map::default(),
-            stats: Map::default(),
+            route_stats: Map::default(),
             fleet: Fleet::new(cfg.fleet.clone()),
-            entries: Entries::default(),
+            rejected_entries: RejectedEntries::default(),
             budget: RetryBudget::new(cfg.budget),
             gate: TargetGate::new(cfg.gate, now),
             runs: Runs::default(),
             entry_quotas: EntryQuotas::new(cfg.quotas, rng.random(), now),
             home_quotas: HomeQuotas::new(cfg.quotas.bound, now),
             quota_router: QuotaRouter::new(rng.random_range(0..1024)),
-            quotas_reported: now,
-            quota_words,
+            last_quota_report: now,
+            quota_messages,
             waiting: Map::default(),
             quarantine: Quarantine::new(cfg.quarantine),
             findings,
-            left: VecDeque::new(),
+            removed_instances: VecDeque::new(),
             era: None,
             publisher_answered: None,
-            publisher_sound: false,
+            publisher_healthy: false,
             drain: None,
             journal,
             metrics,
@@ -181,9 +186,9 @@
         }
     }
 
-    /// Takes in changed settings: bounds of repeats, waiting for the target, the service's name. Where this node and its
-    /// target are is part of what others know of it, and stays until the next start.
-    pub(super) fn configure(&mut self, cfg: ControllerConfig) {
+    /// Applies reloaded settings: retry budgets, queueing for the local target and the service name. The target address
+    /// and the fleet settings are part of what other nodes know about this node, and only change at the next start.
+    pub(super) fn apply_settings(&mut self, cfg: ControllerConfig) {
         self.budget.set_config(cfg.budget);
         self.gate.set_config(cfg.gate);
         self.cfg = ControllerConfig {
@@ -193,7 +198,7 @@
         };
     }
 
-    /// Whether the node can serve requests.
+    /// Whether the node is ready to serve requests.
     pub(super) fn is_ready(&self) -> bool {
         self.config.is_some() && self.drain.is_none()
     }
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -48,7 +48,7 @@
             ControllerEvent::PublisherFailed => self.publisher_failed(),
             ControllerEvent::Stop => self.stop(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
-            ControllerEvent::SettingsChanged(cfg) => self.configure(*cfg),
+            ControllerEvent::SettingsChanged(cfg) => self.apply_settings(*cfg),
             ControllerEvent::Readiness(tx) => drop(tx.send(self.is_ready())),
             ControllerEvent::ReadersView(cfg, tx) => drop(tx.send(self.readers_view(&cfg))),
             ControllerEvent::QuotaUnused(workspace) => self.quota_unused(&workspace),
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -77,7 +77,7 @@
         ControllerChannels {
             events: tx,
             limits: limits_tx,
-            quota_words: words_tx,
+            quota_messages: words_tx,
             findings: findings_tx,
         },
         journal.clone(),
