--- a/crates/node/src/mesh/controller.rs
+++ b/crates/node/src/mesh/controller.rs
@@ -1,4 +1,5 @@
-//! The task that owns everything a node decides by: configuration, instances, levels, budgets and the target's gate.
+//! The controller task. It owns the state that a node's decisions depend on: configuration, instances, overload levels,
+//! retry budgets and the gate of the local target.
 
 mod admission;
 mod authentication;
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -1,4 +1,4 @@
-//! What a node that has been told to stop still admits.
+//! Admission while the node drains before it stops.
 
 use std::time::{Duration, Instant};
 
@@ -7,16 +7,16 @@
 use super::{AdmissionRequest, Controller};
 
 impl Controller {
-    /// The node is about to stop.
-    pub(super) fn stop(&mut self) {
+    /// Starts draining after a stop signal.
+    pub(super) fn start_drain(&mut self) {
         self.drain = Some(Drain::new(self.cfg.drain, self.clock.now()));
     }
 
-    /// Whether a request of a caller is admitted although the node may be draining.
+    /// Whether draining, if it has started, still allows a request from an external caller.
     pub(super) fn drain_admits_caller(
         &self,
         route: &Route,
-        ask: &AdmissionRequest,
+        req: &AdmissionRequest,
         now: Instant,
     ) -> bool {
         let Some(drain) = &self.drain else {
@@ -24,13 +24,13 @@
         };
         let stats = self.route_stats.get(&route.name);
         let expected = stats.map_or(Duration::ZERO, |stats| stats.usual());
-        let left = ask
+        let left = req
             .time_left
             .map_or(route.timeout, |left| left.min(route.timeout));
         drain.admits_caller(expected, left, now)
     }
 
-    /// Whether a request of another node is admitted although this one may be draining.
+    /// Whether draining, if it has started, still allows a request from another node.
     pub(super) fn drain_admits_peer(&self, req: &Waiting, now: Instant) -> bool {
         let Some(drain) = &self.drain else {
             return true;
@@ -39,7 +39,7 @@
         drain.admits_peer(self.gate.expected_time(req), left, now)
     }
 
-    /// Logs what this host still has at the end of the grace period.
+    /// Logs the requests that still run or wait on this host at the end of the grace period.
     pub(super) fn log_unfinished(&self) {
         let now = self.clock.now();
         for run in self.runs.iter() {
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -1,4 +1,4 @@
-//! The controller's loop: one event after the other.
+//! Event loop of the controller. Events are handled strictly one at a time.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use super::{Controller, ControllerEvent};
 
-/// Time between looks at everything that only time changes: levels, expired requests, lapsed entries. Short beside the
-/// times that callers wait, long beside the work of a look.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between updates of all state that changes with time alone: overload levels, expired requests, lapsed
+/// entries. It is short compared to the timeouts of callers and long compared to the duration of one update.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a controller until every handle to it is gone.
+/// Runs a controller until every handle to it has been dropped.
 pub async fn run_controller(
     mut controller: Controller,
     mut rx: mpsc::UnboundedReceiver<ControllerEvent>,
 ) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -30,15 +30,16 @@
 }
 
 impl Controller {
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, event: ControllerEvent) {
-        // Where a reply can't be delivered, its task has ended with its request; guards inside give back what they hold.
+        // If a reply can't be delivered, the task of that request has ended. Dropping the reply drops the guards in it,
+        // which release what they hold.
         match event {
-            ControllerEvent::Admit(ask, tx) => drop(tx.send(self.admit(&ask))),
-            ControllerEvent::SelectInstance(ask, tx) => drop(tx.send(self.select_instance(ask))),
+            ControllerEvent::Admit(req, tx) => drop(tx.send(self.admit(&req))),
+            ControllerEvent::SelectInstance(req, tx) => drop(tx.send(self.select_instance(req))),
             ControllerEvent::SendCompleted(key, ended) => self.complete_send(key, ended),
-            ControllerEvent::Retry(ask, tx) => drop(tx.send(self.allow_retry(&ask))),
-            ControllerEvent::AcquireSlot(ask, tx) => self.acquire_slot(ask, tx),
+            ControllerEvent::Retry(req, tx) => drop(tx.send(self.allow_retry(&req))),
+            ControllerEvent::AcquireSlot(req, tx) => self.acquire_slot(req, tx),
             ControllerEvent::SlotReleased(ticket, release, tx) => {
                 self.release_slot(ticket, release, tx)
             }
@@ -46,7 +47,7 @@
             ControllerEvent::PublisherSnapshot(batch) => self.listed(batch),
             ControllerEvent::PublisherAnswered => self.publisher_answered(),
             ControllerEvent::PublisherFailed => self.publisher_failed(),
-            ControllerEvent::Stop => self.stop(),
+            ControllerEvent::Stop => self.start_drain(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
             ControllerEvent::SettingsChanged(cfg) => self.apply_settings(*cfg),
             ControllerEvent::Readiness(tx) => drop(tx.send(self.is_ready())),
