--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -1,4 +1,4 @@
-//! Runs requests at the target beside the node.
+//! Runs requests at the local target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,39 +14,39 @@
 use crate::mesh::journal::Journal;
 use crate::mesh::target::{ExchangeFault, Exchanged, TargetPool, WireRequest, exchange};
 
-/// Time beyond its deadline for which a request that may run once only keeps its slot. Its target stops by itself at the
-/// deadline; this is for its answer, and for a target that forgets to stop.
-const ONCE_GRACE: Duration = Duration::from_millis(500);
+/// Time after its deadline for which an at-most-once request keeps its slot. The target itself stops at the deadline;
+/// the grace time leaves room for its answer to arrive, and bounds the wait for a target that fails to stop.
+const AT_MOST_ONCE_GRACE: Duration = Duration::from_millis(500);
 
-/// What is needed to run requests; cheap to clone.
+/// Everything needed to run requests at the local target. Cheap to clone.
 #[derive(Clone)]
 pub struct Host {
-    /// Gives slots.
+    /// Grants slots.
     pub controller: ControllerHandle,
     /// Connections to the target.
     pub pool: TargetPool,
     /// Header names.
     pub dialect: Arc<Dialect>,
-    /// Time.
+    /// Clock.
     pub clock: SharedClock,
-    /// Lines about failures.
+    /// Journal in which failures are logged.
     pub journal: Journal,
 }
 
-/// How a run at the target has ended.
-struct Ran {
+/// The result of a run at the target.
+struct RunResult {
     result: Result<TargetAnswer, Refused>,
     end: RunEnd,
 }
 
-/// Why a target has not answered.
-struct NoAnswer {
+/// The reason why an exchange with the target yielded no answer.
+struct ExchangeFailure {
     refused: Refused,
-    /// The end of the target's process that cost the answer.
+    /// The crash of the target's process that caused the failure, if there was one.
     crash: Option<CrashId>,
 }
 
-impl From<Refused> for NoAnswer {
+impl From<Refused> for ExchangeFailure {
     fn from(refused: Refused) -> Self {
         Self {
             refused,
@@ -56,12 +56,13 @@
 }
 
 impl Host {
-    /// Runs a request, or tells why it did not run.
+    /// Runs a request, or returns the reason why it did not run.
     ///
-    /// Dropped before the end, an idempotent request is broken off at the target, so that it does not work for nobody.
-    /// One that may run once only goes on: broken off it may or may not have had its effect.
+    /// If the returned future is dropped early, an idempotent request is aborted at the target, which would otherwise
+    /// work on an answer that no one reads. An at-most-once request continues, since an aborted one may or may not have
+    /// taken effect.
     pub async fn run(&self, req: HostedRequest) -> HostReply {
-        let ask = SlotRequest {
+        let slot_request = SlotRequest {
             instance: req.instance.clone(),
             id: req.id.clone(),
             fingerprint: req.fingerprint,
@@ -75,67 +76,70 @@
             queue_timeout: req.queue_timeout,
             cut_off: req.cut_off.clone(),
         };
-        let slot = match self.controller.acquire_slot(ask).await {
+        let slot = match self.controller.acquire_slot(slot_request).await {
             Ok(granted) => granted.guard,
-            Err(refused) => return not_granted(refused),
+            Err(refused) => return slot_refused(refused),
         };
         match req.repeat {
             Repeat::Idempotent => self.run_in_slot(req, slot, Duration::ZERO).await,
             Repeat::AtMostOnce => {
                 let host = self.clone();
                 let running =
-                    tokio::spawn(async move { host.run_in_slot(req, slot, ONCE_GRACE).await });
-                running.await.unwrap_or_else(|_| lost())
+                    tokio::spawn(
+                        async move { host.run_in_slot(req, slot, AT_MOST_ONCE_GRACE).await },
+                    );
+                running.await.unwrap_or_else(|_| task_failed())
             }
         }
     }
 
     async fn run_in_slot(&self, req: HostedRequest, slot: SlotGuard, grace: Duration) -> HostReply {
-        let Ran { mut result, end } = self.at_target(req, grace).await;
-        let left = slot.release(end).await;
-        // Told to come again, its caller would end the next target.
-        if left.standing == Standing::Refused && matches!(end, RunEnd::Crashed(_)) {
+        let RunResult { mut result, end } = self.run_at_target(req, grace).await;
+        let outcome = slot.release(end).await;
+        // The refusal tells the caller not to retry: a retry would crash the next target.
+        if outcome.standing == Standing::Refused && matches!(end, RunEnd::Crashed(_)) {
             result = Err(Refused::from(Refusal::CrashesTargets));
         }
         HostReply {
             result,
-            report: left.report,
+            report: outcome.report,
         }
     }
 
-    async fn at_target(&self, mut req: HostedRequest, grace: Duration) -> Ran {
-        match self.exchanged(&mut req, grace).await {
+    async fn run_at_target(&self, mut req: HostedRequest, grace: Duration) -> RunResult {
+        match self.exchange_with_target(&mut req, grace).await {
             Ok(exchanged) => {
                 let end = match exchanged.answer.ended_well(self.dialect.not_run) {
                     true => RunEnd::Answered,
                     false => RunEnd::Other,
                 };
-                let result = self.judge(&req, exchanged);
-                Ran { result, end }
+                let result = self.check_answer(&req, exchanged);
+                RunResult { result, end }
             }
-            Err(NoAnswer { refused, crash }) => Ran {
+            Err(ExchangeFailure { refused, crash }) => RunResult {
                 result: Err(refused),
                 end: crash.map_or(RunEnd::Other, RunEnd::Crashed),
             },
         }
     }
 
-    async fn exchanged(
+    async fn exchange_with_target(
         &self,
         req: &mut HostedRequest,
         grace: Duration,
-    ) -> Result<Exchanged, NoAnswer> {
-        let careful = req.repeat == Repeat::AtMostOnce;
-        let kept = self.pool.take(careful);
-        let conn = match kept {
+    ) -> Result<Exchanged, ExchangeFailure> {
+        let at_most_once = req.repeat == Repeat::AtMostOnce;
+        let pooled = self.pool.take(at_most_once);
+        let conn = match pooled {
             Some(conn) => conn,
             None => self
                 .pool
                 .connect()
                 .await
-                .map_err(|e| self.failed(req, Refusal::NoInstance, &e.to_string()))?,
+                .map_err(|e| self.log_failure(req, Refusal::NoInstance, &e.to_string()))?,
         };
-        // The clock counts suspensions, the runtime's timers don't: the last look before the request leaves the node.
+        // Last check before the request leaves the node. Unlike the runtime's timers, the clock also advances while the
+        // machine is suspended.
         let left = req.deadline.saturating_duration_since(self.clock.now());
         if left.is_zero() {
             return Err(Refused::from(Refusal::ExpiredUnsent).into());
@@ -147,49 +151,59 @@
             Ok(Ok(exchanged)) => Ok(exchanged),
             Ok(Err(ExchangeFault::CallerCut)) => Err(Refused::from(Refusal::CallerGone).into()),
             Ok(Err(fault @ ExchangeFault::Closed(_))) => {
-                Err(self.lost(req, Refusal::Lost, &fault).await)
-            }
-            Ok(Err(fault @ ExchangeFault::Broken(_))) => {
-                Err(self.lost(req, Refusal::BrokenAnswer, &fault).await)
+                Err(self.exchange_broken(req, Refusal::Lost, &fault).await)
             }
+            Ok(Err(fault @ ExchangeFault::Broken(_))) => Err(self
+                .exchange_broken(req, Refusal::BrokenAnswer, &fault)
+                .await),
             Err(_) => Err(Refused::from(Refusal::Expired).into()),
         }
     }
 
-    /// A request without a whole answer, and whether the target has ended under it.
-    async fn lost(&self, req: &HostedRequest, refusal: Refusal, fault: &ExchangeFault) -> NoAnswer {
+    /// Handles an exchange that broke off, and determines whether the target crashed during it.
+    async fn exchange_broken(
+        &self,
+        req: &HostedRequest,
+        refusal: Refusal,
+        fault: &ExchangeFault,
+    ) -> ExchangeFailure {
         let crash = self.pool.crash(self.clock.now()).await;
         if let Some(crash) = crash {
             let Self { journal, .. } = self;
             journal.crashed_under(&req.id, req.fingerprint, &req.instance, crash);
         }
-        NoAnswer {
-            refused: self.failed(req, refusal, &fault.to_string()),
+        ExchangeFailure {
+            refused: self.log_failure(req, refusal, &fault.to_string()),
             crash,
         }
     }
 
-    /// Decides whether an answer may be passed on.
-    fn judge(&self, req: &HostedRequest, exchanged: Exchanged) -> Result<TargetAnswer, Refused> {
+    /// Checks whether an answer may be passed on to the caller.
+    fn check_answer(
+        &self,
+        req: &HostedRequest,
+        exchanged: Exchanged,
+    ) -> Result<TargetAnswer, Refused> {
         let status = exchanged.answer.status;
         if status == StatusCode::MISDIRECTED_REQUEST {
-            return Err(self.failed(req, Refusal::WrongInstance, "another instance answers"));
+            return Err(self.log_failure(req, Refusal::WrongInstance, "another instance answers"));
         }
         if exchanged.not_run && status != StatusCode::BAD_REQUEST {
-            return Err(self.failed(req, Refusal::TargetRefused, status.as_str()));
+            return Err(self.log_failure(req, Refusal::TargetRefused, status.as_str()));
         }
-        // A success that the target did not sign is not its own; a caller would take foreign bytes for its answer.
+        // A success without the target's signature may come from elsewhere and must not reach the caller as its answer.
         if status.is_success() && !exchanged.signed {
-            return Err(self.failed(req, Refusal::BrokenAnswer, "an unsigned success"));
+            return Err(self.log_failure(req, Refusal::BrokenAnswer, "an unsigned success"));
         }
-        // These statuses promise that nothing ran, and without its mark the target has not said so.
-        if promises_not_run(status) {
-            return Err(self.failed(req, Refusal::BrokenAnswer, status.as_str()));
+        // These statuses guarantee that nothing ran, which the target has not confirmed without its not-run marker.
+        if guarantees_not_run(status) {
+            return Err(self.log_failure(req, Refusal::BrokenAnswer, status.as_str()));
         }
         Ok(exchanged.answer)
     }
 
-    fn failed(&self, req: &HostedRequest, refusal: Refusal, detail: &str) -> Refused {
+    /// Logs the failure of a request at the target and converts the reason for the reply.
+    fn log_failure(&self, req: &HostedRequest, refusal: Refusal, detail: &str) -> Refused {
         self.journal.target_failed(
             &req.id,
             req.fingerprint,
@@ -201,8 +215,8 @@
     }
 }
 
-/// Statuses by which callers know that a request has not run and never will.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Whether callers conclude from this status that the request has not run and never will.
+fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -211,18 +225,18 @@
     )
 }
 
-fn not_granted(not: SlotRefusal) -> HostReply {
+fn slot_refused(refused: SlotRefusal) -> HostReply {
     HostReply {
         result: Err(Refused {
-            refusal: not.refusal,
-            retry_after: not.retry_after,
+            refusal: refused.refusal,
+            retry_after: refused.retry_after,
         }),
-        report: not.report,
+        report: refused.report,
     }
 }
 
-/// The task that ran the request has ended without a reply, which only a defect causes: nothing is known.
-fn lost() -> HostReply {
+/// Reply for a request whose task ended without one. Only a bug causes this, and the outcome of the request is unknown.
+fn task_failed() -> HostReply {
     HostReply {
         result: Err(Refused::from(Refusal::Lost)),
         report: Report::default(),
