--- a/crates/node/src/mesh/entry.rs
+++ b/crates/node/src/mesh/entry.rs
@@ -1,4 +1,4 @@
-//! A request from its caller to its answer.
+//! Entry of requests into the mesh: handles a caller's request from its arrival to the answer.
 
 mod attempts;
 
@@ -23,49 +23,49 @@
 use crate::mesh::journal::{Ending, Journal};
 use crate::mesh::link::LinkHub;
 
-/// When to come back where nothing better is known.
-const BACK_DEFAULT: Duration = Duration::from_millis(400);
+/// Retry delay that is announced to callers if no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Share of its remaining time after which a caller is asked to come back at most.
-const BACK_SHARE: f64 = 0.32;
+/// Longest retry delay that is announced to a caller, as a share of the time that the caller has left.
+const MAX_RETRY_AFTER_SHARE: f64 = 0.32;
 
-/// What is needed to serve callers; cheap to clone.
+/// Everything needed to serve callers. Cheap to clone.
 #[derive(Clone)]
 pub struct Entry {
-    /// Decides.
+    /// Decides on admission, instances and retries.
     pub controller: ControllerHandle,
     /// Links to other nodes.
     pub links: LinkHub,
-    /// The own target.
+    /// Runs requests at the local target.
     pub host: Host,
     /// Header names.
     pub dialect: Arc<Dialect>,
-    /// Time.
+    /// Clock.
     pub clock: SharedClock,
-    /// Lines about requests.
+    /// Journal in which the end of each request is logged.
     pub journal: Journal,
-    /// The service beside this node, as the settings tell it.
+    /// Service of the local target, taken from the settings.
     pub service: watch::Receiver<ServiceName>,
-    /// Turns true when a stopping node's grace period is nearly over.
+    /// Becomes true when the grace period of a stopping node is nearly over.
     pub grace_over: watch::Receiver<bool>,
-    /// How long requests wait for a target at most.
+    /// Limits on the time that requests wait in the queue of a target.
     pub queue_timeout: QueueTimeoutConfig,
-    /// What is taken off the time limits of requests.
+    /// Safety margins subtracted from the time limits of requests.
     pub limits: TimeLimits,
-    /// Port at which nodes take requests of others.
+    /// Port on which nodes accept requests from other nodes.
     pub peers_port: u16,
-    /// Recognises requests that are sent again.
+    /// Computes fingerprints, by which retries of a request are recognised.
     pub fingerprinter: Fingerprinter,
 }
 
 impl Entry {
-    /// Serves a request.
+    /// Serves a caller's request.
     pub async fn serve(&self, mut req: CallerRequest) -> CallerAnswer {
         let credential = take_credential(&mut req.head.headers, &self.dialect);
         let id = text_header(&req.head.headers, self.dialect.request_id);
-        let told = number_header(&req.head.headers, self.dialect.time_left_ms);
-        let time_left = told.map(Duration::from_millis);
-        let ask = AdmissionRequest {
+        let time_left_ms = number_header(&req.head.headers, self.dialect.time_left_ms);
+        let time_left = time_left_ms.map(Duration::from_millis);
+        let admission = AdmissionRequest {
             host: text_header(&req.head.headers, HOST.as_str()),
             path: SmolStr::new(req.head.path()),
             id: id.clone(),
@@ -73,14 +73,14 @@
             credential,
         };
         let arrived = req.arrived;
-        let admitted = match self.controller.admit(ask).await {
+        let admitted = match self.controller.admit(admission).await {
             Ok(admitted) => admitted,
-            Err(denied) => {
+            Err(denial) => {
                 let refused = Refused {
-                    refusal: denied.refusal,
-                    retry_after: denied.retry_after,
+                    refusal: denial.refusal,
+                    retry_after: denial.retry_after,
                 };
-                self.log_denied(&id, denied, arrived, time_left);
+                self.log_denial(&id, denial, arrived, time_left);
                 return self.refuse(refused, &id, time_left);
             }
         };
@@ -98,7 +98,7 @@
             Err(_) => Err(attempts.expired()),
         };
         attempts.log(&result);
-        attempts.settle_quota(&result);
+        attempts.refund_quota(&result);
         match result {
             Ok(answer) => CallerAnswer {
                 status: answer.status,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Waits for a request, and logs it if it has not ended when the grace period is nearly over.
+    /// Waits for a request, and logs it if it is still unfinished when the grace period is nearly over.
     async fn log_if_unfinished<F>(
         &self,
         id: &str,
@@ -131,7 +131,7 @@
         served.await
     }
 
-    /// The node's own answer.
+    /// Builds the answer by which the node itself refuses a request.
     pub fn refuse(&self, refused: Refused, id: &str, time_left: Option<Duration>) -> CallerAnswer {
         let rule = refused.refusal.rule();
         let mut headers = HeaderMap::new();
@@ -139,9 +139,11 @@
             headers.insert(HeaderName::from_static(self.dialect.request_id), id);
         }
         if rule.retry_after {
-            let wait = refused.retry_after.unwrap_or(BACK_DEFAULT);
-            let most = time_left.map(|left| left.mul_f64(BACK_SHARE));
-            let wait = most.map_or(wait, |most| wait.min(most)).as_secs_f64();
+            let wait = refused.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+            let max_wait = time_left.map(|left| left.mul_f64(MAX_RETRY_AFTER_SHARE));
+            let wait = max_wait
+                .map_or(wait, |max_wait| wait.min(max_wait))
+                .as_secs_f64();
             if let Ok(value) = HeaderValue::from_str(&format!("{wait:.3}")) {
                 headers.insert(RETRY_AFTER, value);
             }
@@ -154,28 +156,28 @@
         }
     }
 
-    fn log_denied(&self, id: &str, denied: Denial, arrived: Instant, time_left: Option<Duration>) {
+    fn log_denial(&self, id: &str, denial: Denial, arrived: Instant, time_left: Option<Duration>) {
         self.journal.ended(Ending {
             id,
             fingerprint: None,
             route: "",
             service: "",
             instance: "",
-            status: denied.refusal.rule().status,
-            refusal: denied.refusal.as_str(),
+            status: denial.refusal.rule().status,
+            refusal: denial.refusal.as_str(),
             attempts: 0,
             took: self.clock.now().saturating_duration_since(arrived),
             limit: time_left.unwrap_or_default(),
-            config: denied.config_version,
+            config: denial.config_version,
             inner: false,
         });
     }
 }
 
-/// Takes the key out of a request, and with it what only nodes may say: the name of the workspace.
+/// Removes the API key from the headers and returns it. Also removes the workspace name, which only nodes may set.
 ///
-/// Passed on, a key would be known to every target that serves its holder, and a target would take a name that a caller has
-/// made up for the word of a node.
+/// If the key were forwarded, every target that serves its owner would learn it. If a workspace name sent by a caller
+/// were forwarded, targets would trust it as if a node had set it.
 fn take_credential(headers: &mut HeaderMap, dialect: &Dialect) -> Credential {
     headers.remove(dialect.workspace);
     let mut keys = headers.get_all(dialect.workspace_key).iter();
@@ -186,7 +188,7 @@
             key.set_sensitive(true);
             Credential::Key(key)
         }
-        // Which of two keys counts would be a matter of who reads them.
+        // With two keys, which one counts would depend on the reader.
         (Some(_), Some(_)) => Credential::Duplicate,
     };
     headers.remove(dialect.workspace_key);
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: sent to a host, rerouted or retried until one answers.
+//! The attempts to serve one request: it is sent to a host, then rerouted or retried until one answers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -21,11 +21,11 @@
 use crate::mesh::journal::Ending;
 use crate::mesh::link::{self, LinkFault};
 
-/// Reroutes of a request at most, after hosts that refused it without asking their targets. Each costs a round trip between
-/// nodes; more of them would only carry the load of a full service around.
+/// Maximum number of reroutes of a request after hosts refused it without involving their targets. Each one costs a
+/// round trip between nodes, and more of them would only shift the load of an overloaded service around.
 const MAX_REROUTES: usize = 2;
 
-/// A request with its attempts so far.
+/// A request and the state of its attempts.
 pub(super) struct Attempts<'e> {
     entry: &'e Entry,
     admitted: AdmittedRequest,
@@ -37,23 +37,24 @@
     pub(super) deadline: Instant,
     caller_deadline: Option<Instant>,
     tried: Vec<InstanceKey>,
-    at_targets: u32,
+    /// Number of attempts that reached a target or may have reached one.
+    target_attempts: u32,
     reroutes: usize,
     last_instance: SmolStr,
-    /// Whether a host has it now, so that its target may be at work on it.
-    at_target: bool,
-    /// What its caller is told if nothing more comes of it.
-    so_far: AttemptResult,
+    /// Whether an attempt is in progress, so that a target may be working on the request.
+    attempt_in_progress: bool,
+    /// Result for the caller if no further attempt changes it.
+    result_so_far: AttemptResult,
 }
 
-/// A target's answer, or why there is none.
+/// A target's answer, or the reason why there is none.
 type AttemptResult = Result<TargetAnswer, Refused>;
 
-/// What to do after an attempt.
+/// The next step after an attempt.
 enum Step {
-    /// Its caller gets this.
+    /// Return this result to the caller.
     Finish(AttemptResult),
-    /// Try elsewhere; if there is nowhere else, this is the result.
+    /// Try another instance. If there is none, this is the result.
     Retry(AttemptResult),
 }
 
@@ -76,7 +77,7 @@
         let fingerprint = fingerprint(entry, &req, &admitted);
         let mut head = req.head;
         strip_hop_by_hop(&mut head.headers);
-        // The host sets them anew, so they need not travel between nodes.
+        // The host sets these headers itself, so they are not sent between nodes.
         head.headers.remove(entry.dialect.time_left_ms);
         if !id.is_empty() {
             head.headers.remove(entry.dialect.request_id);
@@ -92,15 +93,15 @@
             deadline,
             caller_deadline,
             tried: Vec::new(),
-            at_targets: 0,
+            target_attempts: 0,
             reroutes: 0,
             last_instance: SmolStr::default(),
-            at_target: false,
-            so_far: Err(Refused::from(Refusal::NoInstance)),
+            attempt_in_progress: false,
+            result_so_far: Err(Refused::from(Refusal::NoInstance)),
         }
     }
 
-    /// Sends the request to instances until one answers or nothing is left to try.
+    /// Sends the request to instances until one answers or no further attempt is possible.
     pub(super) async fn run(&mut self) -> AttemptResult {
         loop {
             let to = match self.next_instance().await {
@@ -114,12 +115,12 @@
             let instance = to.chosen.id.clone();
             self.tried.push(to.chosen.key);
             self.last_instance = instance.clone();
-            self.at_target = true;
+            self.attempt_in_progress = true;
             let next = self.attempt(to, body).await;
-            self.at_target = false;
+            self.attempt_in_progress = false;
             match next {
                 Step::Finish(result) => {
-                    self.ended(result);
+                    self.record_result(result);
                     return self.take_result();
                 }
                 Step::Retry(result) => {
@@ -130,25 +131,29 @@
                         &instance,
                         &reason,
                     );
-                    self.ended(result);
+                    self.record_result(result);
                 }
             }
         }
     }
 
-    /// An attempt has ended. One that has not run says nothing about an earlier one that may have.
-    fn ended(&mut self, result: AttemptResult) {
-        if may_have_run(&result) || !may_have_run(&self.so_far) {
-            self.so_far = result;
+    /// Records the result of an attempt. An attempt that has not run does not replace the result of an earlier one that
+    /// may have run.
+    fn record_result(&mut self, result: AttemptResult) {
+        if may_have_run(&result) || !may_have_run(&self.result_so_far) {
+            self.result_so_far = result;
         }
     }
 
     fn take_result(&mut self) -> AttemptResult {
-        std::mem::replace(&mut self.so_far, Err(Refused::from(Refusal::NoInstance)))
+        std::mem::replace(
+            &mut self.result_so_far,
+            Err(Refused::from(Refusal::NoInstance)),
+        )
     }
 
     async fn next_instance(&self) -> Result<SelectedInstance, Refusal> {
-        let ask = InstanceRequest {
+        let req = InstanceRequest {
             service: self.admitted.service.clone(),
             route: self.route_name(),
             fingerprint: self.fingerprint,
@@ -160,10 +165,10 @@
             tried: self.tried.clone(),
             key: self.admitted.key.clone(),
         };
-        self.entry.controller.select_instance(ask).await
+        self.entry.controller.select_instance(req).await
     }
 
-    /// The body, and a copy kept for another attempt where it is held.
+    /// Takes the body. A copy is kept for another attempt if the body is buffered.
     fn take_body(&mut self) -> Option<Body> {
         let body = self.body.take()?;
         self.body = body.copy();
@@ -171,16 +176,16 @@
     }
 
     async fn attempt(&mut self, to: SelectedInstance, body: Body) -> Step {
-        let req = self.hosted(&to, body);
+        let req = self.hosted_request(&to, body);
         let reply = match to.is_local {
             true => Ok(self.entry.host.run(req).await),
-            false => self.over_link(to.chosen.address.ip(), req).await,
+            false => self.send_to_peer(to.chosen.address.ip(), req).await,
         };
         match reply {
-            Ok(reply) => self.replied(reply, to.guard).await,
+            Ok(reply) => self.handle_reply(reply, to.guard).await,
             Err(LinkFault::NotSent) => {
                 to.guard.end(SendOutcome::NotReached, None);
-                self.rerouted(Refusal::NoInstance)
+                self.reroute(Refusal::NoInstance)
             }
             Err(fault) => {
                 let reason = fault.to_string();
@@ -188,38 +193,39 @@
                     .journal
                     .reply_lost(&self.id, &self.last_instance, &reason);
                 to.guard.end(SendOutcome::NotReached, None);
-                self.at_targets += 1;
-                self.failed(Err(Refused::from(Refusal::Lost)), true).await
+                self.target_attempts += 1;
+                self.retry_after_failure(Err(Refused::from(Refusal::Lost)), true)
+                    .await
             }
         }
     }
 
-    async fn over_link(&self, ip: IpAddr, req: HostedRequest) -> Result<HostReply, LinkFault> {
+    async fn send_to_peer(&self, ip: IpAddr, req: HostedRequest) -> Result<HostReply, LinkFault> {
         let peer = SocketAddr::new(ip, self.entry.peers_port);
         link::send(&self.entry.links, peer, req).await
     }
 
-    async fn replied(&mut self, reply: HostReply, mut guard: SendGuard) -> Step {
+    async fn handle_reply(&mut self, reply: HostReply, mut guard: SendGuard) -> Step {
         let HostReply { result, report } = reply;
         if matches!(&result, Ok(answer) if answer.ended_well(self.entry.dialect.not_run)) {
             guard.set_answer_complete();
         }
         match result {
             Ok(answer) if answer.status.is_server_error() => {
-                self.at_targets += 1;
+                self.target_attempts += 1;
                 guard.end(SendOutcome::Failed, Some(report));
-                self.failed(Ok(answer), true).await
+                self.retry_after_failure(Ok(answer), true).await
             }
             Ok(answer) => {
                 let outcome = SendOutcome::Answered { relative: 1.0 };
                 guard.end(outcome, Some(report));
                 Step::Finish(Ok(answer))
             }
-            Err(refused) => self.refused(refused, report, guard).await,
+            Err(refused) => self.handle_refusal(refused, report, guard).await,
         }
     }
 
-    async fn refused(&mut self, refused: Refused, report: Report, guard: SendGuard) -> Step {
+    async fn handle_refusal(&mut self, refused: Refused, report: Report, guard: SendGuard) -> Step {
         let outcome = match refused.refusal {
             _ if report.finding.is_some() => SendOutcome::TargetGone,
             Refusal::Busy => SendOutcome::HostBusy,
@@ -233,28 +239,28 @@
         };
         guard.end(outcome, Some(report));
         match refused.refusal {
-            // The target was not asked: moving costs nothing but time.
+            // The target was not involved, so a reroute costs only time.
             Refusal::Busy | Refusal::Stopping | Refusal::NoInstance => {
-                let mut next = self.rerouted(refused.refusal);
+                let mut next = self.reroute(refused.refusal);
                 if let Step::Retry(Err(last)) | Step::Finish(Err(last)) = &mut next {
                     last.retry_after = refused.retry_after;
                 }
                 next
             }
             Refusal::TargetRefused | Refusal::WrongInstance => {
-                self.at_targets += 1;
-                self.failed(Err(refused), false).await
+                self.target_attempts += 1;
+                self.retry_after_failure(Err(refused), false).await
             }
             Refusal::Lost | Refusal::BrokenAnswer => {
-                self.at_targets += 1;
-                self.failed(Err(refused), true).await
+                self.target_attempts += 1;
+                self.retry_after_failure(Err(refused), true).await
             }
             _ => Step::Finish(Err(refused)),
         }
     }
 
-    /// After a host has refused without asking its target.
-    fn rerouted(&mut self, refusal: Refusal) -> Step {
+    /// Next step after a host refused the request without involving its target.
+    fn reroute(&mut self, refusal: Refusal) -> Step {
         self.reroutes += 1;
         match self.reroutes <= MAX_REROUTES {
             true => Step::Retry(Err(Refused::from(refusal))),
@@ -262,27 +268,27 @@
         }
     }
 
-    /// After a target has failed: sent again where that is harmless, allowed and affordable.
-    async fn failed(&self, result: AttemptResult, may_have_run: bool) -> Step {
+    /// Next step after a target failed: a retry if it is safe, allowed by the route and covered by the retry budget.
+    async fn retry_after_failure(&self, result: AttemptResult, may_have_run: bool) -> Step {
         let route = self.admitted.config.route(self.admitted.route);
-        let harmless = !may_have_run || route.repeat == Repeat::Idempotent;
-        if !harmless || self.at_targets >= route.max_attempts || self.body.is_none() {
+        let safe = !may_have_run || route.repeat == Repeat::Idempotent;
+        if !safe || self.target_attempts >= route.max_attempts || self.body.is_none() {
             return Step::Finish(result);
         }
-        let ask = RetryRequest {
+        let req = RetryRequest {
             service: self.admitted.service.clone(),
             route: self.route_name(),
             may_have_run,
             inner: self.admitted.parent.is_some(),
             rank: self.admitted.rank,
         };
-        match self.entry.controller.allow_retry(ask).await {
+        match self.entry.controller.allow_retry(req).await {
             true => Step::Retry(result),
             false => Step::Finish(result),
         }
     }
 
-    fn hosted(&self, to: &SelectedInstance, body: Body) -> HostedRequest {
+    fn hosted_request(&self, to: &SelectedInstance, body: Body) -> HostedRequest {
         let route = self.admitted.config.route(self.admitted.route);
         HostedRequest {
             head: self.head.clone(),
@@ -304,7 +310,7 @@
         }
     }
 
-    /// How long the request may be expected to wait for a target.
+    /// Longest expected queueing time at which a host still enqueues the request.
     fn queue_timeout(&self) -> Duration {
         let route = self.admitted.config.route(self.admitted.route);
         let req = QueueTimeoutRequest {
@@ -316,22 +322,22 @@
         self.entry.queue_timeout.of(&req, self.entry.clock.now())
     }
 
-    /// What its caller is told when its time is over.
+    /// Refusal returned to the caller when the deadline has passed.
     pub(super) fn expired(&self) -> Refused {
-        match self.at_target || may_have_run(&self.so_far) {
+        match self.attempt_in_progress || may_have_run(&self.result_so_far) {
             true => Refused::from(Refusal::Expired),
             false => Refused::from(Refusal::ExpiredUnsent),
         }
     }
 
-    /// Time that its caller will still wait, where it said so.
+    /// Remaining time until the caller gives up, if the caller sent it.
     pub(super) fn time_left(&self) -> Option<Duration> {
         let now = self.entry.clock.now();
         self.caller_deadline
             .map(|deadline| deadline.saturating_duration_since(now))
     }
 
-    /// When the request from outside that all of this serves entered the mesh.
+    /// When the originating external request entered the mesh.
     fn began(&self) -> Instant {
         let parent = self.admitted.parent.as_ref();
         parent.map_or(self.arrived, |parent| parent.began)
@@ -342,23 +348,23 @@
         route.name.clone()
     }
 
-    /// Gives back what a request that has not run took of its workspace's quota.
-    pub(super) fn settle_quota(&self, result: &AttemptResult) {
+    /// Gives back the workspace quota that was taken by a request which has not run.
+    pub(super) fn refund_quota(&self, result: &AttemptResult) {
         let Err(refused) = result else {
             return;
         };
-        let of_caller = self
+        let workspace = self
             .admitted
             .workspace
             .as_ref()
             .filter(|_| self.admitted.parent.is_none());
-        if let Some(workspace) = of_caller.filter(|_| refused.refusal.is_not_run()) {
+        if let Some(workspace) = workspace.filter(|_| refused.refusal.is_not_run()) {
             let unused = ControllerEvent::QuotaUnused(workspace.clone());
             self.entry.controller.notify(unused);
         }
     }
 
-    /// Tells the journal what its caller gets.
+    /// Logs the result that the caller gets.
     pub(super) fn log(&self, result: &AttemptResult) {
         let (status, refusal) = match result {
             Ok(answer) => (answer.status.as_u16(), ""),
@@ -392,7 +398,7 @@
     })
 }
 
-/// Whether a target may have worked on a request that ended so.
+/// Whether a target may have worked on a request with this result.
 fn may_have_run(result: &AttemptResult) -> bool {
     match result {
         Ok(_) => true,
