--- a/crates/node/src/mesh/call.rs
+++ b/crates/node/src/mesh/call.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as they pass through a node.
+//! Types for requests and answers on their way through a node.
 
 use std::time::{Duration, Instant};
 
@@ -13,45 +13,48 @@
 
 use crate::h1::RequestHead;
 
-/// Body bytes that are held whole, so that the request can be sent again and the answer be checked before it is passed on.
-pub const HELD_BODY: usize = 64 * 1024;
+/// Largest body, in bytes, that is buffered as a whole. A buffered request can be retried, and a buffered answer can be
+/// checked before it is passed on.
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// Most bytes of one piece of a body; what has been held goes on as its first piece.
+/// Largest chunk of a streamed body, in bytes. What was buffered of the body is passed on as its first chunk.
 ///
-/// Other nodes take no larger one. Held to the end of the read that reached the bound, and not cut to it, a body whose parts
-/// came in unlucky sizes was lost on a link: its caller got a 502, or an answer that ended in the middle.
-pub const LARGEST_PIECE: usize = HELD_BODY;
+/// Other nodes reject larger chunks. The buffered part must therefore be cut to exactly this size. When it extended to
+/// the end of the read that reached the limit, bodies whose parts arrived in certain sizes were lost on a link: the
+/// caller got a 502, or an answer that ended in the middle.
+pub const MAX_BODY_CHUNK: usize = MAX_BUFFERED_BODY;
 
-/// Pieces of a larger body that wait between two tasks; with pieces of 16 KiB a body holds 64 KiB at most.
-pub const WAITING_PIECES: usize = 4;
+/// Number of chunks of a streamed body that are queued between two tasks. With chunks of 16 KiB, a body occupies at
+/// most 64 KiB.
+pub const BODY_CHANNEL_CAPACITY: usize = 4;
 
-/// A body ended early or was reset.
+/// Error for a body that ended early or was reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the body was cut short")]
-pub struct CutShort;
+#[error("the body was truncated")]
+pub struct BodyTruncated;
 
-/// A body on its way.
+/// The body of a request or answer.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it.
+    /// A buffered body.
     Whole(Bytes),
-    /// Piece by piece; an end of the channel without an error is the end of the body.
+    /// A body received in chunks. The body is complete if the channel closes without an error.
     Stream {
-        /// Its length, where it is known beforehand.
+        /// Length in bytes, if known in advance.
         length: Option<u64>,
-        /// The pieces.
-        rx: mpsc::Receiver<Result<Bytes, CutShort>>,
+        /// Receives the chunks.
+        rx: mpsc::Receiver<Result<Bytes, BodyTruncated>>,
     },
 }
 
 impl Body {
-    /// A body without bytes.
+    /// Creates an empty body.
     pub const fn empty() -> Self {
         Self::Whole(Bytes::new())
     }
 
-    /// A copy of the body for a retry, where it is held.
-    pub fn copy(&self) -> Option<Self> {
+    /// Returns a copy of the body for a retry, if it is buffered.
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
             Self::Stream { .. } => None,
@@ -59,57 +62,57 @@
     }
 }
 
-/// A request as it came from a caller.
+/// A request as received from a caller.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Its head as sent.
+    /// Head as sent by the caller.
     pub head: RequestHead,
-    /// Its body.
+    /// Body.
     pub body: Body,
-    /// Digest of what of its body is held.
+    /// Digest of the buffered part of the body.
     pub digest: BodyDigest,
-    /// When its head had arrived.
+    /// When the complete head had arrived.
     pub arrived: Instant,
 }
 
-/// A request for the target of one host.
+/// A request to be run by the target of a particular host.
 #[derive(Debug)]
 pub struct HostedRequest {
-    /// Head with end-to-end headers only.
+    /// Head, with end-to-end headers only.
     pub head: RequestHead,
     /// Body.
     pub body: Body,
-    /// Id of the request; empty where the caller gave none.
+    /// Request id; empty if the caller sent none.
     pub id: SmolStr,
-    /// What stays the same when it is sent again.
+    /// Fingerprint of the request, the same for all its retries.
     pub fingerprint: Fingerprint,
-    /// The only instance that may run it.
+    /// Id of the only instance that may run the request.
     pub instance: SmolStr,
-    /// Urgency of the request from outside that it serves.
+    /// Rank of the originating external request.
     pub rank: u8,
-    /// Workspace of that request.
+    /// Workspace of the originating request.
     pub workspace: Option<SmolStr>,
-    /// Whether a run waits for it.
+    /// Whether it is a call made by a run.
     pub inner: bool,
-    /// When the request from outside that it serves entered the mesh.
+    /// When the originating request entered the mesh.
     pub began: Instant,
-    /// Share of the requests from outside like that which it serves that its entry admitted.
-    pub admitted: f64,
-    /// Its route.
+    /// Share of the external requests like the originating one that its entry node admitted.
+    pub admitted_share: f64,
+    /// Identifies the route in reports and frames.
     pub kind: RequestKind,
-    /// How often it may run.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// When nobody waits for it any more.
+    /// Deadline, after which no one waits for the answer.
     pub deadline: Instant,
-    /// Longest wait for its target that it should take; expected to wait longer, it is refused at once.
+    /// Longest acceptable queueing time. If the expected time is longer, the request is refused at once.
     pub queue_timeout: Duration,
-    /// Service of the machine where it began.
+    /// Service of the entry node that sent the request.
     pub origin: ServiceName,
-    /// The instance beside the sending node, where that node is cut off from the publisher.
+    /// Id of the instance next to the sending node, if that node is cut off from the publisher.
     pub cut_off: Option<SmolStr>,
 }
 
-/// A target's answer, checked to be the one to this request.
+/// A target's answer, verified to belong to the request.
 #[derive(Debug)]
 pub struct TargetAnswer {
     /// Status.
@@ -121,25 +124,25 @@
 }
 
 impl TargetAnswer {
-    /// Whether the target has run the request to its end and is none the worse for it; an answer at the time limit, or one in
-    /// place of a run, does not show that.
-    pub fn ended_well(&self, not_run: &str) -> bool {
+    /// Whether the target ran the request to completion and is unharmed by it. An answer at the time limit, or one sent
+    /// instead of a run, does not show that.
+    pub fn completed_normally(&self, not_run: &str) -> bool {
         let is_whole = matches!(self.body, Body::Whole(_));
         is_whole && !self.status.is_server_error() && !self.headers.contains_key(not_run)
     }
 }
 
-/// Why a host has no answer of its target.
+/// The reason why a request has no answer from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// The reason.
+    /// Reason of the refusal.
     pub refusal: Refusal,
-    /// When it may be worth to come back.
+    /// When a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl From<Refusal> for Refused {
-    /// Refused without a time to come back.
+    /// Converts a refusal without a retry delay.
     fn from(refusal: Refusal) -> Self {
         Self {
             refusal,
@@ -148,57 +151,57 @@
     }
 }
 
-/// What a host tells with each reply.
+/// Status report that a host attaches to each reply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests running and waiting at the host.
+    /// Number of requests running and waiting at the host.
     pub busy: u32,
-    /// Level of overload of the host, from 0.
+    /// Overload level of the host; 0 for no overload.
     pub level: f64,
-    /// Whether the host is about to stop.
+    /// Whether the host is draining.
     pub stopping: bool,
     /// Whether the host is cut off from the publisher.
     pub cut_off: bool,
-    /// What this run has caused, by service.
-    pub downstream: Vec<Caused>,
-    /// What is held against the request, where the target crashed under it.
+    /// Downstream calls caused by the run, by service.
+    pub downstream: Vec<DownstreamCalls>,
+    /// Quarantine finding about the request, if the target crashed while running it.
     pub finding: Option<Finding>,
 }
 
-/// How a run at the target has ended, as far as the request's standing is concerned.
+/// How a run at the target ended, as it affects the quarantine standing of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Neither of the others.
+    /// Any other end.
     #[default]
     Other,
-    /// The target has answered whole.
+    /// The target sent a complete answer.
     Answered,
-    /// The target's process has ended.
+    /// The target's process ended during the run.
     Crashed(CrashId),
 }
 
 impl Report {
-    /// Highest level of a service on the way of the request.
-    pub fn highest(&self) -> f64 {
+    /// Highest overload level among the host and the services called downstream.
+    pub fn max_level(&self) -> f64 {
         let below = self.downstream.iter().map(|below| below.level);
         below.fold(self.level, f64::max)
     }
 }
 
-/// What a run has caused at one service.
+/// Downstream calls that a run caused at one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Caused {
-    /// The service.
+pub struct DownstreamCalls {
+    /// Called service.
     pub service: ServiceName,
-    /// Arrivals.
+    /// Number of calls that arrived.
     pub count: u32,
-    /// Mean level of overload that they met. Requests can be placed elsewhere within a service, so its mean counts; the
-    /// highest of several calls would follow the fluctuations of single hosts.
+    /// Mean overload level that the calls encountered. The mean is used because requests can be moved to other
+    /// instances of a service; the maximum over several calls would follow the fluctuations of single hosts.
     pub level: f64,
 }
 
-impl Caused {
-    /// Adds what was caused at the same service.
+impl DownstreamCalls {
+    /// Adds further calls to the same service.
     pub fn add(&mut self, count: u32, level: f64) {
         let sum = self.level * f64::from(self.count) + level * f64::from(count);
         self.count = self.count.saturating_add(count);
@@ -206,16 +209,16 @@
     }
 }
 
-/// A host's reply.
+/// A host's reply to a request.
 #[derive(Debug)]
 pub struct HostReply {
-    /// The answer, or why there is none.
+    /// The target's answer, or the reason why there is none.
     pub result: Result<TargetAnswer, Refused>,
-    /// What the host tells besides.
+    /// Status report of the host.
     pub report: Report,
 }
 
-/// What a caller gets.
+/// The answer that is sent to a caller.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// Status.
@@ -224,6 +227,6 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Body,
-    /// Whether the connection ends with this answer, since what follows on it can't be told apart.
+    /// Whether to close the connection after this answer, because the next request on it could not be delimited.
     pub close: bool,
 }
--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -19,7 +19,8 @@
     BodyDecoder, Decoded, Framing, H1Error, RequestHead, parse_request, request_framing,
 };
 use crate::mesh::call::{
-    Body, CallerAnswer, CallerRequest, CutShort, HELD_BODY, LARGEST_PIECE, WAITING_PIECES,
+    BODY_CHANNEL_CAPACITY, Body, BodyTruncated, CallerAnswer, CallerRequest, MAX_BODY_CHUNK,
+    MAX_BUFFERED_BODY,
 };
 
 /// Bytes read at a time while a long body comes in.
@@ -194,7 +195,7 @@
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let (pieces, rx) = mpsc::channel(WAITING_PIECES);
+        let (pieces, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let mut total = held.len() as u64;
         // The channel is empty and holds several pieces.
         let _ = pieces.send(Ok(held.freeze())).await;
@@ -204,7 +205,7 @@
             .await;
         if passed.is_err() {
             // A request whose body was cut must not look whole to its target.
-            let _ = pieces.send(Err(CutShort)).await;
+            let _ = pieces.send(Err(BodyTruncated)).await;
         }
         passed
     }
@@ -216,7 +217,7 @@
         limits: &CallerLimits,
     ) -> Result<bool, End> {
         loop {
-            let most = HELD_BODY.saturating_sub(held.len());
+            let most = MAX_BUFFERED_BODY.saturating_sub(held.len());
             let decoded = decoder.decode_up_to(&mut self.buf, most);
             match decoded.map_err(|_| End::Left)? {
                 Decoded::End => return Ok(true),
@@ -225,7 +226,7 @@
                     if held.len() as u64 > limits.body_bytes {
                         return Err(End::Left);
                     }
-                    if held.len() >= HELD_BODY && !decoder.is_done() {
+                    if held.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
                         return Ok(false);
                     }
                 }
@@ -239,10 +240,10 @@
         decoder: &mut BodyDecoder,
         total: &mut u64,
         limits: &CallerLimits,
-        pieces: &mpsc::Sender<Result<Bytes, CutShort>>,
+        pieces: &mpsc::Sender<Result<Bytes, BodyTruncated>>,
     ) -> Result<(), End> {
         loop {
-            let decoded = decoder.decode_up_to(&mut self.buf, LARGEST_PIECE);
+            let decoded = decoder.decode_up_to(&mut self.buf, MAX_BODY_CHUNK);
             match decoded.map_err(|_| End::Left)? {
                 Decoded::End => return Ok(()),
                 Decoded::Data(data) => {
--- a/crates/node/src/mesh/callers/writer.rs
+++ b/crates/node/src/mesh/callers/writer.rs
@@ -13,7 +13,7 @@
 
 use super::slot::{Shared, Slot};
 use crate::h1::{Framing, LAST_CHUNK, answer_head, chunk};
-use crate::mesh::call::{Body, CallerAnswer, CutShort};
+use crate::mesh::call::{Body, BodyTruncated, CallerAnswer};
 
 /// Writes answers in the order of their requests.
 pub struct Writer {
@@ -34,8 +34,8 @@
     }
 }
 
-impl From<CutShort> for Fault {
-    fn from(_: CutShort) -> Self {
+impl From<BodyTruncated> for Fault {
+    fn from(_: BodyTruncated) -> Self {
         Self::CutShort
     }
 }
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -227,7 +227,7 @@
                     .downstream
                     .learn(below.map(|below| (&below.service, below.count)));
             }
-            self.shedder.report(&ended.route, report.highest(), now);
+            self.shedder.report(&ended.route, report.max_level(), now);
             if report.stopping {
                 self.fleet.host_stopping(key, now);
             }
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 
 use super::ParentRun;
-use crate::mesh::call::{Caused, Report};
+use crate::mesh::call::{DownstreamCalls, Report};
 
 /// A request at the own target.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     /// When its time is over.
     pub deadline: Instant,
     /// What it has caused, by service.
-    pub downstream: Vec<Caused>,
+    pub downstream: Vec<DownstreamCalls>,
 }
 
 /// All of them, by ticket and by id.
@@ -128,10 +128,10 @@
     }
 }
 
-fn add(caused: &mut Vec<Caused>, service: &ServiceName, count: u32, level: f64) {
+fn add(caused: &mut Vec<DownstreamCalls>, service: &ServiceName, count: u32, level: f64) {
     match caused.iter_mut().find(|other| other.service == *service) {
         Some(known) => known.add(count, level),
-        None => caused.push(Caused {
+        None => caused.push(DownstreamCalls {
             service: service.clone(),
             count,
             level,
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -171,7 +171,7 @@
     /// Takes the body. A copy is kept for another attempt if the body is buffered.
     fn take_body(&mut self) -> Option<Body> {
         let body = self.body.take()?;
-        self.body = body.copy();
+        self.body = body.try_clone();
         Some(body)
     }
 
@@ -207,7 +207,7 @@
 
     async fn handle_reply(&mut self, reply: HostReply, mut guard: SendGuard) -> Step {
         let HostReply { result, report } = reply;
-        if matches!(&result, Ok(answer) if answer.ended_well(self.entry.dialect.not_run)) {
+        if matches!(&result, Ok(answer) if answer.completed_normally(self.entry.dialect.not_run)) {
             guard.set_answer_complete();
         }
         match result {
@@ -300,7 +300,7 @@
             workspace: self.admitted.workspace.clone(),
             inner: self.admitted.parent.is_some(),
             began: self.began(),
-            admitted: self.admitted.admitted_share,
+            admitted_share: self.admitted.admitted_share,
             kind: route.kind(),
             repeat: route.repeat,
             deadline: self.deadline,
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -68,7 +68,7 @@
             fingerprint: req.fingerprint,
             rank: req.rank,
             workspace: req.workspace.clone(),
-            admitted_share: req.admitted,
+            admitted_share: req.admitted_share,
             kind: req.kind,
             inner: req.inner,
             began: req.began,
@@ -109,7 +109,7 @@
     async fn run_at_target(&self, mut req: HostedRequest, grace: Duration) -> RunResult {
         match self.exchange_with_target(&mut req, grace).await {
             Ok(exchanged) => {
-                let end = match exchanged.answer.ended_well(self.dialect.not_run) {
+                let end = match exchanged.answer.completed_normally(self.dialect.not_run) {
                     true => RunEnd::Answered,
                     false => RunEnd::Other,
                 };
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -10,7 +10,7 @@
 use super::health::{Health, Incarnation};
 use super::hub::{Link, UNACKNOWLEDGED};
 use super::{LinkHub, pieces};
-use crate::mesh::call::{Body, HELD_BODY, HostReply, HostedRequest};
+use crate::mesh::call::{Body, HostReply, HostedRequest, MAX_BUFFERED_BODY};
 use crate::wire::FrameError;
 
 /// Why there is no reply.
@@ -111,7 +111,7 @@
     }
     let head: ReplyFrame = conn.read_head(MAX_HEAD).await?;
     match head.held() {
-        Some(length) if length > HELD_BODY => Err(FrameError::TooLarge(length).into()),
+        Some(length) if length > MAX_BUFFERED_BODY => Err(FrameError::TooLarge(length).into()),
         Some(length) => {
             let body = conn.read_body(length).await?;
             // Set back only now: what was sent may have waited until here for the target to read it.
--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -12,7 +12,9 @@
 use super::finding_frames::FindingFrame;
 use super::quota_frames::{ClaimFrame, NoticeFrame};
 use crate::h1::RequestHead;
-use crate::mesh::call::{Body, Caused, HostReply, HostedRequest, Refused, Report, TargetAnswer};
+use crate::mesh::call::{
+    Body, DownstreamCalls, HostReply, HostedRequest, Refused, Report, TargetAnswer,
+};
 use crate::mesh::news::FollowFrame;
 use crate::wire::{FrameError, HeaderFrame};
 
@@ -80,7 +82,7 @@
     level: u16,
     stopping: bool,
     cut_off: bool,
-    downstream: Vec<Caused>,
+    downstream: Vec<DownstreamCalls>,
     finding: Option<FindingFrame>,
     result: ResultFrame,
 }
@@ -117,7 +119,7 @@
             inner: req.inner,
             at_most_once: req.repeat == Repeat::AtMostOnce,
             kind: req.kind.0,
-            admitted: thousandths(req.admitted),
+            admitted: thousandths(req.admitted_share),
             age_ms: millis(now.saturating_duration_since(req.began)),
             left_ms: millis(req.deadline.saturating_duration_since(now)),
             queue_timeout_ms: millis(req.queue_timeout),
@@ -161,7 +163,7 @@
             inner: self.inner,
             began: before(now, self.age_ms),
             kind: RequestKind(self.kind),
-            admitted: f64::from(self.admitted) / THOUSANDTHS,
+            admitted_share: f64::from(self.admitted) / THOUSANDTHS,
             repeat: match self.at_most_once {
                 true => Repeat::AtMostOnce,
                 false => Repeat::Idempotent,
--- a/crates/node/src/mesh/link/pieces.rs
+++ b/crates/node/src/mesh/link/pieces.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::conn::PeerConn;
-use crate::mesh::call::{Body, CutShort, LARGEST_PIECE, WAITING_PIECES};
+use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, BodyTruncated, MAX_BODY_CHUNK};
 use crate::wire::FrameError;
 
 /// Longest time for which the rest of a body is read that nobody wants, so that closing does not reset an answer on its way.
@@ -23,7 +23,7 @@
 const PAUSE: Duration = Duration::from_secs(30);
 
 /// The pieces of a body.
-pub type Pieces = mpsc::Receiver<Result<Bytes, CutShort>>;
+pub type Pieces = mpsc::Receiver<Result<Bytes, BodyTruncated>>;
 
 /// Sends a request's body; `false` where the host has answered before the end.
 ///
@@ -37,7 +37,7 @@
             piece = rx.recv() => piece,
             () = conn.closed() => return Ok(false),
         };
-        let piece = piece.transpose().map_err(|CutShort| FrameError::Cut)?;
+        let piece = piece.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
         let is_end = piece.is_none();
         let piece = piece.unwrap_or_default();
         if !conn.write_piece_unless_answered(&piece).await? {
@@ -61,7 +61,7 @@
             piece = rx.recv() => piece,
             () = conn.closed() => return Err(FrameError::Cut),
         };
-        let piece = piece.transpose().map_err(|CutShort| FrameError::Cut)?;
+        let piece = piece.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
         let is_end = piece.is_none();
         conn.write_piece(&piece.unwrap_or_default()).await?;
         if is_end {
@@ -73,11 +73,11 @@
 /// Passes on a request's body; returns when the other end has left.
 pub async fn feed(
     conn: &mut PeerConn,
-    tx: mpsc::Sender<Result<Bytes, CutShort>>,
+    tx: mpsc::Sender<Result<Bytes, BodyTruncated>>,
     ended: &AtomicBool,
 ) {
     loop {
-        match conn.read_piece(LARGEST_PIECE).await {
+        match conn.read_piece(MAX_BODY_CHUNK).await {
             Ok(piece) if piece.is_empty() => break,
             Ok(piece) => {
                 if tx.send(Ok(piece)).await.is_err() {
@@ -85,7 +85,7 @@
                     return std::future::pending().await;
                 }
             }
-            Err(_) => return drop(tx.send(Err(CutShort)).await),
+            Err(_) => return drop(tx.send(Err(BodyTruncated)).await),
         }
     }
     drop(tx);
@@ -99,7 +99,7 @@
 pub async fn drain(conn: &mut PeerConn) -> bool {
     let rest = async {
         loop {
-            match conn.read_piece(LARGEST_PIECE).await {
+            match conn.read_piece(MAX_BODY_CHUNK).await {
                 Ok(piece) if piece.is_empty() => return true,
                 Ok(_) => {}
                 Err(_) => return false,
@@ -112,20 +112,20 @@
 
 /// The body of an answer, read as it comes. The connection is closed after it.
 pub fn receive(conn: PeerConn, length: Option<u64>) -> Body {
-    let (tx, rx) = mpsc::channel(WAITING_PIECES);
+    let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     tokio::spawn(receive_all(conn, tx, length));
     Body::Stream { length, rx }
 }
 
 async fn receive_all(
     mut conn: PeerConn,
-    tx: mpsc::Sender<Result<Bytes, CutShort>>,
+    tx: mpsc::Sender<Result<Bytes, BodyTruncated>>,
     length: Option<u64>,
 ) {
     let mut received = 0;
     loop {
         let piece = tokio::select! {
-            piece = conn.read_piece(LARGEST_PIECE) => piece,
+            piece = conn.read_piece(MAX_BODY_CHUNK) => piece,
             () = tx.closed() => return,
         };
         match piece {
@@ -137,7 +137,7 @@
             }
             Ok(_) if length.is_none_or(|length| length == received) => return,
             // Nobody who reads it is left where it can't be told.
-            Ok(_) | Err(_) => return drop(tx.send(Err(CutShort)).await),
+            Ok(_) | Err(_) => return drop(tx.send(Err(BodyTruncated)).await),
         }
     }
 }
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -16,7 +16,7 @@
 use super::hub::{KEPT, prepare};
 use super::pieces;
 use super::quota_frames::{VerdictFrame, VerdictsFrame};
-use crate::mesh::call::{Body, HELD_BODY, HostReply, WAITING_PIECES};
+use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, HostReply, MAX_BUFFERED_BODY};
 use crate::mesh::controller::ControllerEvent;
 use crate::mesh::host::Host;
 use crate::mesh::news::{Sharing, share};
@@ -132,7 +132,7 @@
 async fn run(conn: &mut PeerConn, head: RequestFrame, host: &Host) -> Result<bool, FrameError> {
     let ended = AtomicBool::new(true);
     let ran = match head.held() {
-        Some(length) if length > HELD_BODY => return Err(FrameError::TooLarge(length)),
+        Some(length) if length > MAX_BUFFERED_BODY => return Err(FrameError::TooLarge(length)),
         Some(length) => {
             let body = Body::Whole(conn.read_body(length).await?);
             let req = head.into_request(body, host.clock.now())?;
@@ -145,7 +145,7 @@
         }
         None => {
             ended.store(false, Ordering::Relaxed);
-            let (tx, rx) = mpsc::channel(WAITING_PIECES);
+            let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
             let length = head.length;
             let req = head.into_request(Body::Stream { length, rx }, host.clock.now())?;
             tokio::select! {
--- a/crates/node/src/mesh/target/exchange.rs
+++ b/crates/node/src/mesh/target/exchange.rs
@@ -16,7 +16,9 @@
     AnswerHead, BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, answer_framing, chunk,
     parse_answer, request_head, strip_hop_by_hop,
 };
-use crate::mesh::call::{Body, CutShort, HELD_BODY, LARGEST_PIECE, TargetAnswer, WAITING_PIECES};
+use crate::mesh::call::{
+    BODY_CHANNEL_CAPACITY, Body, BodyTruncated, MAX_BODY_CHUNK, MAX_BUFFERED_BODY, TargetAnswer,
+};
 
 /// Largest head of an answer, in bytes.
 const MAX_HEAD: usize = 64 * 1024;
@@ -159,7 +161,7 @@
                     .write_all(&request_head(&req.head, framing))
                     .await?;
                 while let Some(piece) = rx.recv().await {
-                    let piece = piece.map_err(|CutShort| SendFault::CallerCut)?;
+                    let piece = piece.map_err(|BodyTruncated| SendFault::CallerCut)?;
                     match framing {
                         Framing::Chunked => self.write.write_all(&chunk(&piece)).await?,
                         _ => self.write.write_all(&piece).await?,
@@ -240,12 +242,12 @@
     async fn hold(&mut self, decoder: &mut BodyDecoder) -> Result<(BytesMut, bool), ExchangeFault> {
         let mut held = BytesMut::new();
         loop {
-            let most = HELD_BODY.saturating_sub(held.len());
+            let most = MAX_BUFFERED_BODY.saturating_sub(held.len());
             match decoder.decode_up_to(self.buf, most)? {
                 Decoded::End => return Ok((held, true)),
                 Decoded::Data(data) => {
                     held.extend_from_slice(&data);
-                    if held.len() >= HELD_BODY && !decoder.is_done() {
+                    if held.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
                         return Ok((held, false));
                     }
                 }
@@ -292,7 +294,7 @@
         Framing::Length(length) => Some(length),
         _ => None,
     };
-    let (tx, rx) = mpsc::channel(WAITING_PIECES);
+    let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     tokio::spawn(async move {
         if tx.send(Ok(held)).await.is_err() {
             return;
@@ -300,7 +302,7 @@
         match pass_on(&mut conn, &mut decoder, &tx).await {
             Ok(true) if clean && conn.buf.is_empty() => pool.put(conn, keep),
             Ok(_) => {}
-            Err(CutShort) => drop(tx.send(Err(CutShort)).await),
+            Err(BodyTruncated) => drop(tx.send(Err(BodyTruncated)).await),
         }
     });
     Body::Stream { length, rx }
@@ -310,11 +312,11 @@
 async fn pass_on(
     conn: &mut TargetConn,
     decoder: &mut BodyDecoder,
-    tx: &mpsc::Sender<Result<Bytes, CutShort>>,
-) -> Result<bool, CutShort> {
+    tx: &mpsc::Sender<Result<Bytes, BodyTruncated>>,
+) -> Result<bool, BodyTruncated> {
     loop {
-        let decoded = decoder.decode_up_to(&mut conn.buf, LARGEST_PIECE);
-        match decoded.map_err(|_| CutShort)? {
+        let decoded = decoder.decode_up_to(&mut conn.buf, MAX_BODY_CHUNK);
+        match decoded.map_err(|_| BodyTruncated)? {
             Decoded::End => return Ok(true),
             Decoded::Data(data) => {
                 if tx.send(Ok(data)).await.is_err() {
@@ -328,9 +330,9 @@
                     () = tx.closed() => return Ok(false),
                 };
                 match read {
-                    Ok(0) => return decoder.finish().map(|()| true).map_err(|_| CutShort),
+                    Ok(0) => return decoder.finish().map(|()| true).map_err(|_| BodyTruncated),
                     Ok(_) => {}
-                    Err(_) => return Err(CutShort),
+                    Err(_) => return Err(BodyTruncated),
                 }
             }
         }
