--- a/crates/node/src/mesh/controller.rs
+++ b/crates/node/src/mesh/controller.rs
@@ -1,4 +1,5 @@
-//! The task that owns everything a node decides by: configuration, instances, levels, budgets and the target's gate.
+//! The controller task. It owns the state that a node's decisions depend on: configuration, instances, overload levels,
+//! retry budgets and the gate of the local target.
 
 mod admission;
 mod authentication;
@@ -18,8 +19,9 @@
 mod task;
 
 pub use event::{
-    AdmitAsk, Admitted, AfterRun, ControllerEvent, Credential, Denied, EndedSend, EnterAsk,
-    Granted, LeftSlot, NotGranted, OuterRun, RetryAsk, SendAsk, SendTo,
+    AdmissionRequest, AdmittedRequest, CompletedSend, ControllerEvent, Credential, Denial,
+    InstanceRequest, ParentRun, RetryRequest, RunOutcome, SelectedInstance, SlotGrant, SlotRefusal,
+    SlotRelease, SlotRequest,
 };
 pub use guards::{SendGuard, SlotGuard};
 pub use handle::ControllerHandle;
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -11,8 +11,8 @@
 use slog::{info, warn};
 use smol_str::SmolStr;
 
-use super::admission::denied;
-use super::{AdmitAsk, Controller, Denied};
+use super::admission::denial;
+use super::{AdmissionRequest, Controller, Denial};
 use crate::mesh::quotas::QuotaWord;
 
 /// A claim with the home that it goes to, or by itself where none is left.
@@ -23,9 +23,9 @@
     pub(super) fn within_quota(
         &mut self,
         workspace: &Workspace,
-        ask: &AdmitAsk,
+        ask: &AdmissionRequest,
         now: Instant,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), Denial> {
         let Some(quota) = workspace.quota else {
             return Ok(());
         };
@@ -35,7 +35,7 @@
         let age_ms = self.publisher_age_ms(now);
         self.journal
             .over_quota(&ask.id, workspace, quota, over, age_ms);
-        Err(denied(Refusal::OverQuota, Some(over.retry_after)))
+        Err(denial(Refusal::OverQuota, Some(over.retry_after)))
     }
 
     /// A request that counted towards a quota has not run.
@@ -153,7 +153,7 @@
     /// As a home: checks whether others may have been made homes in the place of this node.
     pub(super) fn check_replaced(&mut self, nodes_silent: f64) {
         let now = self.clock.now();
-        let publisher_silent = match (self.publisher_sound, self.publisher_answered) {
+        let publisher_silent = match (self.publisher_healthy, self.publisher_answered) {
             (false, Some(at)) => now.saturating_duration_since(at),
             _ => Duration::ZERO,
         };
@@ -194,7 +194,7 @@
     }
 
     fn say(&self, word: QuotaWord) {
-        if self.quota_words.send(word).is_err() {
+        if self.quota_messages.send(word).is_err() {
             warn!(self.journal.log(), "quotas are not told"; "reason" => "the task that tells them has ended");
         }
     }
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -8,8 +8,8 @@
 use coltsfootport_core::quarantine::Fingerprint;
 use smol_str::SmolStr;
 
-use super::OuterRun;
-use crate::mesh::call::{Caused, Report};
+use super::ParentRun;
+use crate::mesh::call::{DownstreamCalls, Report};
 
 /// A request at the own target.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     /// When its time is over.
     pub deadline: Instant,
     /// What it has caused, by service.
-    pub downstream: Vec<Caused>,
+    pub downstream: Vec<DownstreamCalls>,
 }
 
 /// All of them, by ticket and by id.
@@ -68,16 +68,16 @@
     ///
     /// A target's own calls have ids that begin with the id of the request which it runs, and a dot. Where they don't,
     /// the request counts as one from outside: it can be shed although work was done for it, and nothing else changes.
-    pub fn outer_of(&self, id: &str) -> Option<OuterRun> {
+    pub fn outer_of(&self, id: &str) -> Option<ParentRun> {
         let mut rest = id;
         while let Some((outer, _)) = rest.rsplit_once('.') {
             if let Some(ticket) = self.by_id.get(outer) {
                 let run = self.by_ticket.get(ticket)?;
-                return Some(OuterRun {
+                return Some(ParentRun {
                     id: run.id.clone(),
                     rank: run.rank,
                     workspace: run.workspace.clone(),
-                    admitted: run.admitted,
+                    admitted_share: run.admitted,
                     began: run.began,
                     deadline: run.deadline,
                 });
@@ -128,10 +128,10 @@
     }
 }
 
-fn add(caused: &mut Vec<Caused>, service: &ServiceName, count: u32, level: f64) {
+fn add(caused: &mut Vec<DownstreamCalls>, service: &ServiceName, count: u32, level: f64) {
     match caused.iter_mut().find(|other| other.service == *service) {
         Some(known) => known.add(count, level),
-        None => caused.push(Caused {
+        None => caused.push(DownstreamCalls {
             service: service.clone(),
             count,
             level,
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -1,4 +1,4 @@
-//! The controller's loop: one event after the other.
+//! Event loop of the controller. Events are handled strictly one at a time.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use super::{Controller, ControllerEvent};
 
-/// Time between looks at everything that only time changes: levels, expired requests, lapsed entries. Short beside the
-/// times that callers wait, long beside the work of a look.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between updates of all state that changes with time alone: overload levels, expired requests, lapsed
+/// entries. It is short compared to the timeouts of callers and long compared to the duration of one update.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a controller until every handle to it is gone.
+/// Runs a controller until every handle to it has been dropped.
 pub async fn run_controller(
     mut controller: Controller,
     mut rx: mpsc::UnboundedReceiver<ControllerEvent>,
 ) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -30,38 +30,41 @@
 }
 
 impl Controller {
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, event: ControllerEvent) {
-        // Where a reply can't be delivered, its task has ended with its request; guards inside give back what they hold.
+        // If a reply can't be delivered, the task of that request has ended. Dropping the reply drops the guards in it,
+        // which release what they hold.
         match event {
-            ControllerEvent::Admit(ask, tx) => drop(tx.send(self.admit(&ask))),
-            ControllerEvent::Send(ask, tx) => drop(tx.send(self.send(ask))),
-            ControllerEvent::SendEnded(key, ended) => self.send_ended(key, ended),
-            ControllerEvent::Retry(ask, tx) => drop(tx.send(self.retry(&ask))),
-            ControllerEvent::Enter(ask, tx) => self.enter(ask, tx),
-            ControllerEvent::Left(ticket, left, tx) => self.leave(ticket, left, tx),
-            ControllerEvent::News(batch) => self.news(batch),
-            ControllerEvent::Listed(batch) => self.listed(batch),
+            ControllerEvent::Admit(req, tx) => drop(tx.send(self.admit(&req))),
+            ControllerEvent::SelectInstance(req, tx) => drop(tx.send(self.select_instance(req))),
+            ControllerEvent::SendCompleted(key, ended) => self.complete_send(key, ended),
+            ControllerEvent::Retry(req, tx) => drop(tx.send(self.allow_retry(&req))),
+            ControllerEvent::AcquireSlot(req, tx) => self.acquire_slot(req, tx),
+            ControllerEvent::SlotReleased(ticket, release, tx) => {
+                self.release_slot(ticket, release, tx)
+            }
+            ControllerEvent::PublisherUpdates(batch) => self.news(batch),
+            ControllerEvent::PublisherSnapshot(batch) => self.listed(batch),
             ControllerEvent::PublisherAnswered => self.publisher_answered(),
             ControllerEvent::PublisherFailed => self.publisher_failed(),
-            ControllerEvent::Stop => self.stop(),
+            ControllerEvent::Stop => self.start_drain(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
-            ControllerEvent::Configured(cfg) => self.configure(*cfg),
-            ControllerEvent::IsReady(tx) => drop(tx.send(self.is_ready())),
+            ControllerEvent::SettingsChanged(cfg) => self.apply_settings(*cfg),
+            ControllerEvent::Readiness(tx) => drop(tx.send(self.is_ready())),
             ControllerEvent::ReadersView(cfg, tx) => drop(tx.send(self.readers_view(&cfg))),
             ControllerEvent::QuotaUnused(workspace) => self.quota_unused(&workspace),
-            ControllerEvent::QuotaHeard(notices) => self.quota_heard(notices),
-            ControllerEvent::QuotaConfirmed(confirmed) => self.quota_confirmed(&confirmed),
-            ControllerEvent::PeersSilent(share) => self.check_replaced(share),
-            ControllerEvent::QuotaUntold(claims) => self.quota_untold(claims),
-            ControllerEvent::QuotaClaimed(claims, tx) => {
+            ControllerEvent::QuotaNoticesReceived(notices) => self.quota_heard(notices),
+            ControllerEvent::QuotaClaimsConfirmed(confirmed) => self.quota_confirmed(&confirmed),
+            ControllerEvent::SilentPeerShare(share) => self.check_replaced(share),
+            ControllerEvent::QuotaClaimsUndelivered(claims) => self.quota_untold(claims),
+            ControllerEvent::QuotaClaimsReceived(claims, tx) => {
                 drop(tx.send(self.quota_claimed(&claims)));
             }
-            ControllerEvent::FindingsHeard(findings) => self.findings_heard(&findings),
-            ControllerEvent::FindingsPulled(digest, tx) => {
+            ControllerEvent::FindingsReceived(findings) => self.findings_heard(&findings),
+            ControllerEvent::FindingsRequested(digest, tx) => {
                 drop(tx.send(self.findings_unlike(digest)));
             }
-            ControllerEvent::Hosted(tx) => drop(tx.send(self.hosted())),
+            ControllerEvent::HostedRequests(tx) => drop(tx.send(self.hosted())),
         }
     }
 
@@ -70,12 +73,12 @@
         for id in self.fleet.tick(now) {
             self.ended(id, "lapsed");
         }
-        self.forget_waiters();
+        self.remove_abandoned_waiters();
         self.tend_quarantine(now);
         self.tell_homes(now);
         self.report_quotas(now);
         self.gate.update_level(now);
-        self.pump(now);
+        self.start_queued(now);
         self.show(now);
     }
 }
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -115,7 +115,7 @@
                     true if answered => self
                         .news
                         .controller
-                        .tell(ControllerEvent::PublisherAnswered),
+                        .notify(ControllerEvent::PublisherAnswered),
                     true => {}
                     false => self.tell_if_lost(),
                 }
@@ -160,7 +160,9 @@
                 board.forget_listing();
             }
         });
-        self.news.controller.tell(ControllerEvent::Listed(batch));
+        self.news
+            .controller
+            .notify(ControllerEvent::PublisherSnapshot(batch));
     }
 
     /// Several sources tell the same changes, each in answers of its own: what ends with a known position is known, and
@@ -183,13 +185,15 @@
             if from == Source::Publisher && changes.until.era == known.era {
                 self.news
                     .controller
-                    .tell(ControllerEvent::PublisherAnswered);
+                    .notify(ControllerEvent::PublisherAnswered);
             }
             return false;
         }
         self.position = Some(changes.until);
         self.news.board.send_modify(|board| board.push(changes));
-        self.news.controller.tell(ControllerEvent::News(batch));
+        self.news
+            .controller
+            .notify(ControllerEvent::PublisherUpdates(batch));
         false
     }
 
@@ -203,7 +207,9 @@
 
     fn tell_if_lost(&self) {
         if !self.sound && !self.readers.any_sound() {
-            self.news.controller.tell(ControllerEvent::PublisherFailed);
+            self.news
+                .controller
+                .notify(ControllerEvent::PublisherFailed);
         }
     }
 
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -77,7 +77,7 @@
         ControllerChannels {
             events: tx,
             limits: limits_tx,
-            quota_words: words_tx,
+            quota_messages: words_tx,
             findings: findings_tx,
         },
         journal.clone(),
@@ -215,7 +215,7 @@
         let new = settings.borrow_and_update().clone();
         let cfg = controller_config(&MeshSettings { policy, ..new });
         service.send_replace(cfg.service.clone());
-        controller.tell(ControllerEvent::Configured(Box::new(cfg)));
+        controller.notify(ControllerEvent::SettingsChanged(Box::new(cfg)));
     }
 }
 
