--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,20 +1,21 @@
-//! Requests that crash the targets which run them, and how the fleet stops sending them.
+//! Detects requests that crash the targets running them and stops them across the fleet.
 //!
-//! A crash makes all requests at work suspects. One whole answer clears a request. Suspects of several crashes run one at a
-//! time at a target, so that the next crash shows which of them it was; that one is refused everywhere.
+//! When a target crashes, every request running there becomes a suspect. A complete answer clears a request. Requests
+//! suspected of several crashes run one at a time per target, so that the next crash identifies the culprit, which is
+//! then refused by every node.
 
 mod config;
 mod crash_id;
 mod finding;
 mod fingerprint;
-mod register;
-mod standing;
+mod registry;
+mod suspicion;
 
 pub use config::QuarantineConfig;
 pub use crash_id::CrashId;
 pub use finding::{Crashes, Evidence, Finding};
 pub use fingerprint::{
-    BodyDigest, DIGESTED_BODY, Fingerprint, FingerprintKey, Fingerprinter, RequestParts,
+    BodyDigest, Fingerprint, FingerprintKey, Fingerprinter, MAX_DIGESTED_BODY_BYTES, RequestParts,
 };
-pub use register::Register;
-pub use standing::Standing;
+pub use registry::SuspectRegistry;
+pub use suspicion::SuspicionLevel;
--- a/crates/core/src/quarantine/crash_id.rs
+++ b/crates/core/src/quarantine/crash_id.rs
@@ -1,10 +1,10 @@
-//! Identity of one end of a target's process.
+//! Identifier of a crash of a target's process.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One unplanned end of a target's process, with a random number that the node beside it has drawn.
+/// Identifies one unplanned exit of a target's process by a random number drawn by the node next to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashId(pub u64);
 
--- a/crates/core/src/quarantine/finding.rs
+++ b/crates/core/src/quarantine/finding.rs
@@ -1,52 +1,53 @@
-//! What nodes tell each other about a request.
+//! Evidence about a request, as exchanged between nodes.
 
 use std::time::Duration;
 
 use super::{CrashId, Fingerprint};
 
-/// What is known against or for a request. Merging two of them in any order, any number of times, gives the same.
+/// Evidence against or for a request. Merging is commutative, associative and idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// Targets have crashed while it was at work.
+    /// Targets have crashed while running the request.
     Crashes(Crashes),
-    /// A target has answered it whole; outweighs every crash, as a request that crashes each target has no answer.
+    /// A target has answered the request completely. Overrides all crashes, because a request that crashes every target
+    /// never gets an answer.
     Answered,
 }
 
-/// Crashes under one request.
+/// The crashes in which a request is a suspect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Crashes {
-    /// The crashes, greatest number first; [`Crashes::MOST`] at most.
+    /// Ids of the crashes in descending order, at most [`Crashes::MAX_IDS`].
     pub ids: Vec<CrashId>,
-    /// Whether it was the only suspect at work at one of them.
-    pub alone: bool,
+    /// Whether the request was the sole suspect in at least one crash.
+    pub sole_suspect: bool,
 }
 
-/// What a node has found out about a request.
+/// The evidence that a node has about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What is known.
+    /// Evidence against or for the request.
     pub evidence: Evidence,
     /// Time since the latest crash or the answer.
     pub age: Duration,
 }
 
 impl Crashes {
-    /// Crashes that are told apart for one request.
-    pub const MOST: usize = 8;
+    /// Maximum number of distinct crashes recorded for a request.
+    pub const MAX_IDS: usize = 8;
 
-    /// Takes in others; `true` where there were new ones.
+    /// Merges other crashes into these; returns whether anything changed.
     ///
-    /// Keeps the greatest numbers, so that all nodes keep the same ones whatever the order in which they hear of them.
+    /// Keeps the greatest ids, so that all nodes keep the same ones regardless of the order in which they receive them.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let before = (self.ids.clone(), self.alone);
+        let before = (self.ids.clone(), self.sole_suspect);
         self.ids.extend_from_slice(&other.ids);
         self.ids.sort_unstable_by(|a, b| b.cmp(a));
         self.ids.dedup();
-        self.ids.truncate(Self::MOST);
-        self.alone |= other.alone;
-        (&self.ids, self.alone) != (&before.0, before.1)
+        self.ids.truncate(Self::MAX_IDS);
+        self.sole_suspect |= other.sole_suspect;
+        (&self.ids, self.sole_suspect) != (&before.0, before.1)
     }
 }
--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Identity of a request over attempts, callers' retries and nodes.
+//! Keyed fingerprints that identify a request across attempts, client retries and nodes.
 
 use std::fmt;
 
@@ -7,72 +7,73 @@
 use sha2::{Digest, Sha256};
 use smol_str::SmolStr;
 
-/// Bytes of a body that count towards its digest, as requests with longer bodies are sent on before they are complete.
-pub const DIGESTED_BODY: usize = 64 * 1024;
+/// Maximum number of body bytes covered by a [`BodyDigest`], because requests with longer bodies are forwarded before
+/// their body is complete.
+pub const MAX_DIGESTED_BODY_BYTES: usize = 64 * 1024;
 
-/// Key of all fingerprints of a fleet; every node must have the same.
+/// Key of the fingerprints. Every node of a fleet must have the same key.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct FingerprintKey(pub SmolStr);
 
-/// 128 bits of an HMAC-SHA-256 over what stays the same when a request is sent again.
+/// The first 128 bits of an HMAC-SHA-256 over the parts of a request that do not change when it is retried.
 ///
-/// Prints as its first 32 bits, which is enough to find it in logs and too little to guess a request from.
+/// Printed as its first 32 bits: enough to search logs for, too few to guess the request from.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u128);
 
-/// Digest of the beginning of a body.
+/// SHA-256 digest of the first [`MAX_DIGESTED_BODY_BYTES`] of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyDigest([u8; 32]);
 
-/// What stays the same when a request is sent again. Ids, time limits and framing do not.
+/// The parts of a request that do not change when it is retried, unlike ids, time limits and framing.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its host; case does not matter.
+    /// Host, compared case-insensitively.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// The workspace of its caller, or of the request from outside that it serves; `None` where there are none.
+    /// Workspace of the caller, or of the external request on whose behalf this one is made; `None` if there is none.
     pub workspace: Option<&'a str>,
-    /// Its body.
+    /// Digest of the body.
     pub body: BodyDigest,
 }
 
-/// Makes fingerprints; holds the state of the HMAC after its key.
+/// Computes fingerprints. Holds an HMAC state initialized with the key.
 #[derive(Clone)]
 pub struct Fingerprinter(Hmac<Sha256>);
 
 impl BodyDigest {
-    /// The digest of a body, or of its first [`DIGESTED_BODY`] bytes where it is longer.
+    /// Computes the digest of a body, or of its first [`MAX_DIGESTED_BODY_BYTES`] if it is longer.
     pub fn of(body: &[u8]) -> Self {
-        let counted = &body[..body.len().min(DIGESTED_BODY)];
-        Self(Sha256::digest(counted).into())
+        let prefix = &body[..body.len().min(MAX_DIGESTED_BODY_BYTES)];
+        Self(Sha256::digest(prefix).into())
     }
 }
 
 impl Fingerprinter {
-    /// Makes fingerprints with this key.
+    /// Creates a fingerprinter with the given key.
     pub fn new(key: &FingerprintKey) -> Self {
         let mac = Hmac::new_from_slice(key.0.as_bytes());
-        Self(mac.expect("an HMAC takes a key of any length"))
+        Self(mac.expect("HMAC accepts keys of any length"))
     }
 
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn fingerprint(&self, parts: &RequestParts<'_>) -> Fingerprint {
         let mut mac = self.0.clone();
         let host = parts.host.to_ascii_lowercase();
-        let texts = [parts.method, host.as_str(), parts.target];
-        for text in texts.into_iter().chain(parts.workspace) {
-            // With lengths, so that no two lists of parts read the same.
-            mac.update(&(text.len() as u64).to_be_bytes());
-            mac.update(text.as_bytes());
+        let fields = [parts.method, host.as_str(), parts.target];
+        for field in fields.into_iter().chain(parts.workspace) {
+            // Length prefixes keep different lists of parts from hashing to the same input.
+            mac.update(&(field.len() as u64).to_be_bytes());
+            mac.update(field.as_bytes());
         }
         mac.update(&parts.body.0);
-        let whole = mac.finalize().into_bytes();
-        let mut half = [0; 16];
-        half.copy_from_slice(&whole[..16]);
-        Fingerprint(u128::from_be_bytes(half))
+        let digest = mac.finalize().into_bytes();
+        let mut prefix = [0; 16];
+        prefix.copy_from_slice(&digest[..16]);
+        Fingerprint(u128::from_be_bytes(prefix))
     }
 }
 
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,132 +1,170 @@
-//! Suspicion of requests that crash targets.
+//! Tests of how requests that crash targets become suspects, are refused and are cleared.
 
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::quarantine::{
-    BodyDigest, CrashId, Crashes, DIGESTED_BODY, Evidence, Finding, Fingerprint, FingerprintKey,
-    Fingerprinter, QuarantineConfig, Register, RequestParts, Standing,
+    BodyDigest, CrashId, Crashes, Evidence, Finding, Fingerprint, FingerprintKey, Fingerprinter,
+    MAX_DIGESTED_BODY_BYTES, QuarantineConfig, RequestParts, SuspectRegistry, SuspicionLevel,
 };
 use proptest::prelude::*;
 
 const REQUEST: Fingerprint = Fingerprint(7);
 
-fn register() -> Register {
-    Register::new(QuarantineConfig::default())
+fn registry() -> SuspectRegistry {
+    SuspectRegistry::new(QuarantineConfig::default())
 }
 
-/// The number of crashes, and whether the request was the only suspect at the last one, to its standing.
+/// Checks the suspicion level for each number of crashes, with and without the request being the sole suspect in the
+/// last one.
 #[test]
 fn standing_follows_from_crashes() {
     struct Case {
         name: &'static str,
         crashes: u64,
-        alone: bool,
-        standing: Standing,
+        sole_suspect: bool,
+        level: SuspicionLevel,
     }
-    let case = |name, crashes, alone, standing| Case {
+    let case = |name, crashes, sole_suspect, level| Case {
         name,
         crashes,
-        alone,
-        standing,
+        sole_suspect,
+        level,
     };
     let cases = [
-        case("none", 0, false, Standing::Unsuspected),
-        case("one", 1, false, Standing::Suspected),
-        case("two", 2, false, Standing::Isolated),
-        case("two, one alone", 2, true, Standing::Isolated),
-        case("three, none alone", 3, false, Standing::Isolated),
-        case("three, one alone", 3, true, Standing::Refused),
-        case("five, none alone", 5, false, Standing::Refused),
+        case("none", 0, false, SuspicionLevel::Unsuspected),
+        case("one", 1, false, SuspicionLevel::Suspected),
+        case("two", 2, false, SuspicionLevel::Isolated),
+        case("two, sole suspect once", 2, true, SuspicionLevel::Isolated),
+        case(
+            "three, never sole suspect",
+            3,
+            false,
+            SuspicionLevel::Isolated,
+        ),
+        case("three, sole suspect once", 3, true, SuspicionLevel::Refused),
+        case(
+            "five, never sole suspect",
+            5,
+            false,
+            SuspicionLevel::Refused,
+        ),
     ];
     let now = Instant::now();
     for case in cases {
-        let mut register = register();
+        let mut registry = registry();
         for crash in 0..case.crashes {
-            let alone = case.alone && crash + 1 == case.crashes;
-            register.crashed(REQUEST, CrashId(crash), alone, now);
+            let sole_suspect = case.sole_suspect && crash + 1 == case.crashes;
+            registry.record_crash(REQUEST, CrashId(crash), sole_suspect, now);
         }
         assert_eq!(
-            register.standing(REQUEST, now),
-            case.standing,
+            registry.suspicion_level(REQUEST, now),
+            case.level,
             "{}",
             case.name
         );
     }
 }
 
-/// One crash that is told again and again, by many nodes: it counts as many.
+/// Guards against counting a crash more than once when many nodes report it.
 #[test]
 fn a_crash_counts_once() {
     let now = Instant::now();
-    let mut register = register();
+    let mut registry = registry();
     for _ in 0..10 {
-        register.crashed(REQUEST, CrashId(1), false, now);
+        registry.record_crash(REQUEST, CrashId(1), false, now);
     }
-    assert_eq!(register.standing(REQUEST, now), Standing::Suspected);
+    assert_eq!(
+        registry.suspicion_level(REQUEST, now),
+        SuspicionLevel::Suspected
+    );
 }
 
-/// A refused request whose retention is over: it crashes three more targets before it is refused again.
+/// Guards against forgetting the crashes of a request when its refusal ends: it would then crash three more targets
+/// before being refused again.
 #[test]
 fn a_refused_request_gets_one_probe_for_longer_and_longer_times() {
     let cfg = QuarantineConfig::default();
     let mut now = Instant::now();
-    let mut register = register();
+    let mut registry = registry();
     for crash in 0..3 {
-        register.crashed(REQUEST, CrashId(crash), true, now);
+        registry.record_crash(REQUEST, CrashId(crash), true, now);
     }
     for doublings in 0..4 {
         let refused_for = cfg.refuse_for * (1 << doublings);
         let last = now + refused_for - Duration::from_millis(1);
-        assert_eq!(register.standing(REQUEST, last), Standing::Refused);
+        assert_eq!(
+            registry.suspicion_level(REQUEST, last),
+            SuspicionLevel::Refused
+        );
         now += refused_for;
-        assert_eq!(register.standing(REQUEST, now), Standing::Isolated);
-        register.tick(now);
-        register.crashed(REQUEST, CrashId(10 + doublings), true, now);
-        assert_eq!(register.standing(REQUEST, now), Standing::Refused);
+        assert_eq!(
+            registry.suspicion_level(REQUEST, now),
+            SuspicionLevel::Isolated
+        );
+        registry.tick(now);
+        registry.record_crash(REQUEST, CrashId(10 + doublings), true, now);
+        assert_eq!(
+            registry.suspicion_level(REQUEST, now),
+            SuspicionLevel::Refused
+        );
     }
 }
 
-/// A popular request at work in several crashes: after an answer it is still suspected, or made so by late news.
+/// Guards against a harmless request staying a suspect after it has been answered, or becoming one again through late
+/// reports. A frequent request can be running during several crashes that it did not cause.
 #[test]
 fn an_answer_clears_a_request_for_good() {
     let now = Instant::now();
-    let mut register = register();
+    let mut registry = registry();
     for crash in 0..4 {
-        register.crashed(REQUEST, CrashId(crash), false, now);
+        registry.record_crash(REQUEST, CrashId(crash), false, now);
     }
-    assert!(register.answered(REQUEST, now));
-    assert_eq!(register.standing(REQUEST, now), Standing::Unsuspected);
-    register.crashed(REQUEST, CrashId(9), true, now);
-    assert_eq!(register.standing(REQUEST, now), Standing::Unsuspected);
+    assert!(registry.record_answer(REQUEST, now));
+    assert_eq!(
+        registry.suspicion_level(REQUEST, now),
+        SuspicionLevel::Unsuspected
+    );
+    registry.record_crash(REQUEST, CrashId(9), true, now);
+    assert_eq!(
+        registry.suspicion_level(REQUEST, now),
+        SuspicionLevel::Unsuspected
+    );
     let later = now + QuarantineConfig::default().cleared_for;
-    register.tick(later);
-    register.crashed(REQUEST, CrashId(10), true, later);
-    assert_eq!(register.standing(REQUEST, later), Standing::Suspected);
+    registry.tick(later);
+    registry.record_crash(REQUEST, CrashId(10), true, later);
+    assert_eq!(
+        registry.suspicion_level(REQUEST, later),
+        SuspicionLevel::Suspected
+    );
 }
 
-/// A flood of distinct requests that crash targets: it pushes out those that are refused.
+/// Guards against refused requests being evicted by a flood of distinct suspects.
 #[test]
 fn a_flood_of_suspects_does_not_evict_refused_requests() {
     let cfg = QuarantineConfig {
-        most_records: 64,
+        max_records: 64,
         ..Default::default()
     };
     let now = Instant::now();
-    let mut register = Register::new(cfg);
+    let mut registry = SuspectRegistry::new(cfg);
     for crash in 0..3 {
-        register.crashed(REQUEST, CrashId(crash), true, now);
+        registry.record_crash(REQUEST, CrashId(crash), true, now);
     }
     for other in 0..10_000 {
-        register.crashed(Fingerprint(1000 + other), CrashId(99), false, now);
+        registry.record_crash(Fingerprint(1000 + other), CrashId(99), false, now);
     }
-    assert_eq!(register.standing(REQUEST, now), Standing::Refused);
-    assert!(register.suspects() <= 64);
+    assert_eq!(
+        registry.suspicion_level(REQUEST, now),
+        SuspicionLevel::Refused
+    );
+    assert!(registry.suspect_count() <= 64);
 }
 
-/// What requests have in common when they are sent again, and what tells different ones apart.
+/// A retried request keeps its fingerprint; requests that differ in any fingerprinted part, or in the key, do not share
+/// one.
 #[test]
 fn fingerprints_tell_requests_apart() {
-    let long = vec![b'x'; DIGESTED_BODY + 1];
+    let long = vec![b'x'; MAX_DIGESTED_BODY_BYTES + 1];
     let fingerprinter = Fingerprinter::new(&FingerprintKey("key".into()));
     let parts = RequestParts {
         method: "POST",
@@ -142,9 +180,9 @@
             ..parts
         },
     ];
-    for again in same {
+    for retry in same {
         assert_eq!(
-            fingerprinter.fingerprint(&again),
+            fingerprinter.fingerprint(&retry),
             fingerprinter.fingerprint(&parts)
         );
     }
@@ -192,15 +230,15 @@
     );
     assert_eq!(
         BodyDigest::of(&long),
-        BodyDigest::of(&long[..DIGESTED_BODY])
+        BodyDigest::of(&long[..MAX_DIGESTED_BODY_BYTES])
     );
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
     prop_oneof![
-        8 => (proptest::collection::vec(0_u64..40, 1..4), any::<bool>()).prop_map(|(ids, alone)| {
+        8 => (proptest::collection::vec(0_u64..40, 1..4), any::<bool>()).prop_map(|(ids, sole_suspect)| {
             let mut crashes = Crashes::default();
-            crashes.merge(&Crashes { ids: ids.into_iter().map(CrashId).collect(), alone });
+            crashes.merge(&Crashes { ids: ids.into_iter().map(CrashId).collect(), sole_suspect });
             Evidence::Crashes(crashes)
         }),
         1 => Just(Evidence::Answered),
@@ -210,10 +248,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(30), ..Default::default() })]
 
-    /// Findings that reach nodes in another order, some of them twice: nodes believe different things for ever.
+    /// Guards against nodes disagreeing forever because findings reached them in different orders, some of them twice.
     #[test]
     fn nodes_that_have_heard_the_same_agree(
-        heard in proptest::collection::vec((0_u128..4, evidence()), 1..24),
+        received in proptest::collection::vec((0_u128..4, evidence()), 1..24),
         order in any::<proptest::sample::Index>(),
     ) {
         let now = Instant::now();
@@ -222,22 +260,22 @@
             evidence: evidence.clone(),
             age: Duration::ZERO,
         };
-        let (mut one, mut other) = (register(), register());
-        for told in &heard {
-            one.hear(&finding(told), now);
+        let (mut one, mut other) = (registry(), registry());
+        for item in &received {
+            one.merge(&finding(item), now);
         }
-        let mut turned: Vec<_> = heard.iter().chain(&heard).collect();
-        let middle = order.index(turned.len());
-        turned.rotate_left(middle);
-        turned.reverse();
-        for told in turned {
-            other.hear(&finding(told), now);
+        let mut reordered: Vec<_> = received.iter().chain(&received).collect();
+        let middle = order.index(reordered.len());
+        reordered.rotate_left(middle);
+        reordered.reverse();
+        for item in reordered {
+            other.merge(&finding(item), now);
         }
         prop_assert_eq!(one.digest(), other.digest());
         for fingerprint in 0..4 {
             let fingerprint = Fingerprint(fingerprint);
-            prop_assert_eq!(one.standing(fingerprint, now), other.standing(fingerprint, now));
+            prop_assert_eq!(one.suspicion_level(fingerprint, now), other.suspicion_level(fingerprint, now));
         }
-        prop_assert!(one.unlike(other.digest(), 100, now).is_empty());
+        prop_assert!(one.findings_for_peer(other.digest(), 100, now).is_empty());
     }
 }
--- a/crates/core/tests/quarantine_model.rs
+++ b/crates/core/tests/quarantine_model.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::quarantine::{
-    CrashId, Finding, Fingerprint, QuarantineConfig, Register, Standing,
+    CrashId, Finding, Fingerprint, QuarantineConfig, SuspectRegistry, SuspicionLevel,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -46,7 +46,7 @@
 const CRASHING: Fingerprint = Fingerprint(1);
 
 struct Fleet {
-    nodes: Vec<Register>,
+    nodes: Vec<SuspectRegistry>,
     /// Round in which a node is reached again; those that are cut off hear and tell nothing.
     cut_until: Vec<usize>,
     down_until: [usize; TARGETS],
@@ -63,7 +63,7 @@
 impl Fleet {
     fn new(seed: u64) -> Self {
         Self {
-            nodes: vec![Register::new(QuarantineConfig::default()); NODES],
+            nodes: vec![SuspectRegistry::new(QuarantineConfig::default()); NODES],
             cut_until: vec![0; NODES],
             down_until: [0; TARGETS],
             answers: Vec::new(),
@@ -88,14 +88,14 @@
         let round = self.round;
         let due = self.answers.extract_if(.., |(at, ..)| *at <= round);
         for (_, entry, fingerprint) in due.collect::<Vec<_>>() {
-            self.nodes[entry].answered(fingerprint, now);
+            self.nodes[entry].record_answer(fingerprint, now);
         }
         for node in 0..NODES {
             if self.is_cut(node) {
                 continue;
             }
             self.nodes[node].tick(now);
-            let untold = self.nodes[node].take_untold(512, now);
+            let untold = self.nodes[node].take_unsent(512, now);
             if !untold.is_empty() {
                 for _ in 0..FAN_OUT {
                     let other = self.rng.random_range(0..NODES);
@@ -105,7 +105,8 @@
             if round % PULL_ROUNDS == node % PULL_ROUNDS {
                 let other = self.rng.random_range(0..NODES);
                 if !self.is_cut(other) {
-                    let found = self.nodes[other].unlike(self.nodes[node].digest(), 512, now);
+                    let found =
+                        self.nodes[other].findings_for_peer(self.nodes[node].digest(), 512, now);
                     self.carry(other, node, &found);
                 }
             }
@@ -124,26 +125,26 @@
         });
         self.bytes[from] += MESSAGE_BYTES + sizes.sum::<usize>();
         for finding in findings {
-            self.nodes[to].hear(finding, self.now);
+            self.nodes[to].merge(finding, self.now);
         }
     }
 
     /// A copy of the crashing request enters at a node; `true` where it is refused.
     fn enter(&mut self, entry: usize) -> bool {
         for _ in 0..2 {
-            let standing = self.nodes[entry].standing(CRASHING, self.now);
+            let standing = self.nodes[entry].suspicion_level(CRASHING, self.now);
             let up: Vec<usize> = (0..TARGETS)
                 .filter(|target| self.down_until[*target] <= self.round)
                 .collect();
             let target = match standing {
-                Standing::Refused => return true,
-                Standing::Isolated => up.first().copied(),
+                SuspicionLevel::Refused => return true,
+                SuspicionLevel::Isolated => up.first().copied(),
                 _ => up.get(self.rng.random_range(0..up.len().max(1))).copied(),
             };
             let Some(target) = target else {
                 return false;
             };
-            if self.nodes[target].standing(CRASHING, self.now) == Standing::Refused {
+            if self.nodes[target].suspicion_level(CRASHING, self.now) == SuspicionLevel::Refused {
                 return true;
             }
             self.crash(target, entry);
@@ -157,16 +158,16 @@
         self.down_until[target] = self.round + DOWN_ROUNDS;
         let id = CrashId(self.crashes << 32);
         let now = self.now;
-        let alone = self.nodes[target].standing(CRASHING, now) >= Standing::Suspected;
-        self.nodes[target].crashed(CRASHING, id, alone, now);
+        let alone = self.nodes[target].suspicion_level(CRASHING, now) >= SuspicionLevel::Suspected;
+        self.nodes[target].record_crash(CRASHING, id, alone, now);
         let known = self.nodes[target].finding(CRASHING, now);
-        self.nodes[entry].hear(&known.expect("it is suspected"), now);
+        self.nodes[entry].merge(&known.expect("it is suspected"), now);
         for other in 0..BYSTANDERS {
             let fingerprint = Fingerprint(1000 * u128::from(self.crashes) + other);
-            self.nodes[target].crashed(fingerprint, id, false, now);
+            self.nodes[target].record_crash(fingerprint, id, false, now);
             let entry = self.rng.random_range(0..NODES);
             let known = self.nodes[target].finding(fingerprint, now);
-            self.nodes[entry].hear(&known.expect("it is suspected"), now);
+            self.nodes[entry].merge(&known.expect("it is suspected"), now);
             self.answers
                 .push((self.round + ANSWERED_AFTER, entry, fingerprint));
         }
@@ -183,7 +184,9 @@
 
     fn who_refuses(&self) -> usize {
         let nodes = self.nodes.iter();
-        let refuse = |node: &&Register| node.standing(CRASHING, self.now) == Standing::Refused;
+        let refuse = |node: &&SuspectRegistry| {
+            node.suspicion_level(CRASHING, self.now) == SuspicionLevel::Refused
+        };
         nodes.filter(refuse).count()
     }
 
@@ -193,8 +196,8 @@
             for crash in 1..=self.crashes {
                 for other in 0..BYSTANDERS {
                     let fingerprint = Fingerprint(1000 * u128::from(crash) + other);
-                    let standing = node.standing(fingerprint, self.now);
-                    refused += usize::from(standing >= Standing::Isolated);
+                    let standing = node.suspicion_level(fingerprint, self.now);
+                    refused += usize::from(standing >= SuspicionLevel::Isolated);
                 }
             }
         }
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -6,7 +6,7 @@
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, Split};
-use coltsfootport_core::quarantine::Standing;
+use coltsfootport_core::quarantine::SuspicionLevel;
 use rand::Rng;
 use smol_str::SmolStr;
 
@@ -141,16 +141,20 @@
         if !ask.tried.is_empty() && !self.still_holds(ask.key.as_ref()) {
             return Err(Refusal::NoInstance);
         }
-        let chosen = match self.quarantine.register.standing(ask.fingerprint, now) {
-            Standing::Refused => {
+        let chosen = match self
+            .quarantine
+            .registry
+            .suspicion_level(ask.fingerprint, now)
+        {
+            SuspicionLevel::Refused => {
                 self.log_refused(ask.fingerprint, now);
                 return Err(Refusal::CrashesTargets);
             }
-            Standing::Isolated => {
+            SuspicionLevel::Isolated => {
                 self.fleet
                     .choose_same(&ask.service, ask.fingerprint, &ask.tried, now)
             }
-            Standing::Suspected | Standing::Unsuspected => {
+            SuspicionLevel::Suspected | SuspicionLevel::Unsuspected => {
                 self.fleet
                     .choose(&ask.service, &ask.tried, now, &mut self.rng)
             }
@@ -211,7 +215,7 @@
         };
         if let Some(report) = &ended.report {
             if let Some(finding) = &report.finding {
-                self.quarantine.register.hear(finding, now);
+                self.quarantine.registry.merge(finding, now);
             }
             if matches!(outcome, SendOutcome::Answered { .. }) {
                 let below = report.downstream.iter();
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -8,7 +8,7 @@
     Chosen, InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
     SendOutcome, Ticket, UpdateBatch,
 };
-use coltsfootport_core::quarantine::{Finding, Fingerprint, Standing};
+use coltsfootport_core::quarantine::{Finding, Fingerprint, SuspicionLevel};
 use coltsfootport_core::workspace::{QuotaNotice, QuotaUsage, RoutedClaim, Verdict};
 use http::HeaderValue;
 use smol_str::SmolStr;
@@ -85,7 +85,7 @@
     /// What the host tells the entry.
     pub report: Report,
     /// How far the request is suspected now of crashing targets.
-    pub standing: Standing,
+    pub standing: SuspicionLevel,
 }
 
 /// A request as far as its admission is concerned.
--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -6,7 +6,7 @@
 
 use coltsfootport_core::mesh::{Refusal, Ticket};
 use coltsfootport_core::quarantine::{
-    CrashId, Finding, Fingerprint, QuarantineConfig, Register, Standing,
+    CrashId, Finding, Fingerprint, QuarantineConfig, SuspectRegistry, SuspicionLevel,
 };
 use rand::seq::IndexedRandom;
 use slog::{info, warn};
@@ -31,7 +31,7 @@
 
 /// The quarantine of one node.
 pub(super) struct Quarantine {
-    pub register: Register,
+    pub registry: SuspectRegistry,
     /// The isolated request that has the target.
     isolated: Option<Ticket>,
     /// Isolated requests that wait for it, oldest first.
@@ -58,7 +58,7 @@
 impl Quarantine {
     pub fn new(cfg: QuarantineConfig) -> Self {
         Self {
-            register: Register::new(cfg),
+            registry: SuspectRegistry::new(cfg),
             isolated: None,
             waiting: VecDeque::new(),
             crash: None,
@@ -75,22 +75,22 @@
     /// Lets a request go on to the gate, wait for others that are isolated, or refuses it.
     pub(super) fn enter_by_standing(&mut self, waiter: Waiter, now: Instant) {
         let fingerprint = waiter.ask.fingerprint;
-        match self.quarantine.register.standing(fingerprint, now) {
-            Standing::Unsuspected | Standing::Suspected => {
+        match self.quarantine.registry.suspicion_level(fingerprint, now) {
+            SuspicionLevel::Unsuspected | SuspicionLevel::Suspected => {
                 self.enter_gate(waiter, now);
             }
-            Standing::Isolated if self.quarantine.isolated.is_none() => {
+            SuspicionLevel::Isolated if self.quarantine.isolated.is_none() => {
                 self.quarantine.isolated = self.enter_gate(waiter, now);
             }
-            Standing::Isolated if self.quarantine.waiting.len() < MOST_ISOLATED => {
+            SuspicionLevel::Isolated if self.quarantine.waiting.len() < MOST_ISOLATED => {
                 self.metrics.isolated.inc();
                 self.quarantine.waiting.push_back(waiter);
             }
-            Standing::Isolated => {
+            SuspicionLevel::Isolated => {
                 let refused = self.not_granted(Refusal::Isolated, Some(RETRY_AFTER_ISOLATED));
                 drop(waiter.reply.send(Err(refused)));
             }
-            Standing::Refused => {
+            SuspicionLevel::Refused => {
                 self.log_refused(fingerprint, now);
                 let refused = self.not_granted(Refusal::CrashesTargets, None);
                 drop(waiter.reply.send(Err(refused)));
@@ -134,9 +134,14 @@
     }
 
     /// Takes in how a run has ended.
-    pub(super) fn run_ended(&mut self, ticket: Ticket, end: RunEnd, now: Instant) -> Standing {
+    pub(super) fn run_ended(
+        &mut self,
+        ticket: Ticket,
+        end: RunEnd,
+        now: Instant,
+    ) -> SuspicionLevel {
         let Some(run) = self.runs.get(ticket) else {
-            return Standing::Unsuspected;
+            return SuspicionLevel::Unsuspected;
         };
         let fingerprint = run.fingerprint;
         match end {
@@ -147,12 +152,12 @@
             }
             RunEnd::Crashed(_) | RunEnd::Other => {}
         }
-        self.quarantine.register.standing(fingerprint, now)
+        self.quarantine.registry.suspicion_level(fingerprint, now)
     }
 
     /// A target, the own one or that of another node, has answered a request whole.
     pub(super) fn answered(&mut self, fingerprint: Fingerprint, now: Instant) {
-        if self.quarantine.register.answered(fingerprint, now) {
+        if self.quarantine.registry.record_answer(fingerprint, now) {
             self.review_isolated(now);
         }
     }
@@ -165,7 +170,7 @@
         now: Instant,
     ) -> Option<Finding> {
         match end {
-            RunEnd::Crashed(_) => self.quarantine.register.finding(fingerprint, now),
+            RunEnd::Crashed(_) => self.quarantine.registry.finding(fingerprint, now),
             RunEnd::Answered | RunEnd::Other => None,
         }
     }
@@ -175,18 +180,18 @@
         fingerprint: Fingerprint,
         crash: CrashId,
         now: Instant,
-    ) -> Standing {
+    ) -> SuspicionLevel {
         let known = self.quarantine.crash.take();
         let crash = match known.filter(|known| known.id == crash) {
             Some(known) => known,
             None => self.own_crash(crash, now),
         };
         let alone = crash.was_alone(fingerprint);
-        let register = &mut self.quarantine.register;
-        let before = register.standing(fingerprint, now);
-        let standing = register.crashed(fingerprint, crash.id, alone, now);
+        let registry = &mut self.quarantine.registry;
+        let before = registry.suspicion_level(fingerprint, now);
+        let standing = registry.record_crash(fingerprint, crash.id, alone, now);
         self.quarantine.crash = Some(crash);
-        if standing != before && standing >= Standing::Isolated {
+        if standing != before && standing >= SuspicionLevel::Isolated {
             warn!(self.journal.log(), "request suspected"; "fingerprint" => fingerprint.to_string(),
                 "standing" => standing.as_str(), "was" => before.as_str(), "alone" => alone);
         }
@@ -195,9 +200,10 @@
 
     fn own_crash(&self, id: CrashId, now: Instant) -> OwnCrash {
         let at_work = self.runs.iter().map(|run| run.fingerprint);
-        let register = &self.quarantine.register;
-        let is_suspect =
-            |other: &Fingerprint| register.standing(*other, now) >= Standing::Suspected;
+        let registry = &self.quarantine.registry;
+        let is_suspect = |other: &Fingerprint| {
+            registry.suspicion_level(*other, now) >= SuspicionLevel::Suspected
+        };
         let suspects: Vec<Fingerprint> = at_work.filter(is_suspect).collect();
         self.metrics.target_crashes.inc();
         warn!(self.journal.log(), "target's process has ended"; "crash" => id.to_string(),
@@ -210,7 +216,7 @@
         let now = self.clock.now();
         let mut heard = false;
         for finding in findings {
-            heard |= self.quarantine.register.hear(finding, now);
+            heard |= self.quarantine.registry.merge(finding, now);
         }
         if heard {
             self.review_isolated(now);
@@ -219,16 +225,16 @@
 
     /// What this node knows, where it differs from what the digest stands for.
     pub(super) fn findings_unlike(&self, digest: u64) -> Vec<Finding> {
-        let register = &self.quarantine.register;
-        register.unlike(digest, MOST_FINDINGS, self.clock.now())
+        let registry = &self.quarantine.registry;
+        registry.findings_for_peer(digest, MOST_FINDINGS, self.clock.now())
     }
 
     /// Lets time pass: pushes new findings to peers, and pulls from one of them from time to time.
     pub(super) fn tend_quarantine(&mut self, now: Instant) {
         let was_pulled = self.quarantine.pulled;
-        self.quarantine.register.tick(now);
+        self.quarantine.registry.tick(now);
         self.review_expired(now);
-        let untold = self.quarantine.register.take_untold(MOST_FINDINGS, now);
+        let untold = self.quarantine.registry.take_unsent(MOST_FINDINGS, now);
         if !untold.is_empty() {
             let nodes = self.other_nodes(FAN_OUT);
             self.spread(FindingsMessage::Push(nodes, untold));
@@ -238,10 +244,10 @@
             && let [node] = self.other_nodes(1)[..]
         {
             self.quarantine.pulled = Some(now);
-            let digest = self.quarantine.register.digest();
+            let digest = self.quarantine.registry.digest();
             self.spread(FindingsMessage::Pull(node, digest));
         }
-        let suspects = self.quarantine.register.suspects();
+        let suspects = self.quarantine.registry.suspect_count();
         self.metrics.suspects.set(suspects as i64);
     }
 
@@ -271,7 +277,7 @@
 
     /// Logs that a request is refused, and why.
     pub(super) fn log_refused(&self, fingerprint: Fingerprint, now: Instant) {
-        if let Some(finding) = self.quarantine.register.finding(fingerprint, now) {
+        if let Some(finding) = self.quarantine.registry.finding(fingerprint, now) {
             self.journal.quarantined(&finding);
         }
     }
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{Dialect, Refusal, Repeat};
-use coltsfootport_core::quarantine::{CrashId, Standing};
+use coltsfootport_core::quarantine::{CrashId, SuspicionLevel};
 use http::StatusCode;
 use tokio::time::timeout;
 
@@ -94,7 +94,7 @@
         let Ran { mut result, end } = self.at_target(req, grace).await;
         let left = slot.leave(end).await;
         // Told to come again, its caller would end the next target.
-        if left.standing == Standing::Refused && matches!(end, RunEnd::Crashed(_)) {
+        if left.standing == SuspicionLevel::Refused && matches!(end, RunEnd::Crashed(_)) {
             result = Err(Refused::from(Refusal::CrashesTargets));
         }
         HostReply {
--- a/crates/node/src/mesh/journal.rs
+++ b/crates/node/src/mesh/journal.rs
@@ -170,7 +170,7 @@
         };
         if let Some(dropped) = self.trouble() {
             info!(self.log, "refused as it crashes targets"; "fingerprint" => finding.fingerprint.to_string(),
-                "crashes" => crashes.ids.len(), "alone" => crashes.alone,
+                "crashes" => crashes.ids.len(), "alone" => crashes.sole_suspect,
                 "age_ms" => finding.age.as_millis() as u64, "dropped" => dropped);
         }
     }
--- a/crates/node/src/mesh/link/finding_frames.rs
+++ b/crates/node/src/mesh/link/finding_frames.rs
@@ -31,9 +31,9 @@
         Self {
             fingerprint: finding.fingerprint,
             evidence: match &finding.evidence {
-                Evidence::Crashes(Crashes { ids, alone }) => EvidenceFrame::Crashes {
+                Evidence::Crashes(Crashes { ids, sole_suspect }) => EvidenceFrame::Crashes {
                     ids: ids.clone(),
-                    alone: *alone,
+                    alone: *sole_suspect,
                 },
                 Evidence::Answered => EvidenceFrame::Answered,
             },
@@ -48,8 +48,11 @@
             fingerprint: frame.fingerprint,
             evidence: match frame.evidence {
                 EvidenceFrame::Crashes { mut ids, alone } => {
-                    ids.truncate(Crashes::MOST);
-                    Evidence::Crashes(Crashes { ids, alone })
+                    ids.truncate(Crashes::MAX_IDS);
+                    Evidence::Crashes(Crashes {
+                        ids,
+                        sole_suspect: alone,
+                    })
                 }
                 EvidenceFrame::Answered => Evidence::Answered,
             },
