--- a/crates/core/tests/quarantine_model.rs
+++ b/crates/core/tests/quarantine_model.rs
@@ -1,4 +1,5 @@
-//! How 1,400 nodes learn of a request that crashes targets, in rounds of the time between two looks of a node.
+//! Simulates how findings about a request that crashes targets spread among 1,400 nodes. A round lasts as long as the
+//! interval between two ticks of a node.
 
 use std::time::{Duration, Instant};
 
@@ -10,51 +11,53 @@
 
 const NODES: usize = 1400;
 
-/// Targets of the service that the crashing request is for.
+/// Number of targets of the service that the crashing request calls.
 const TARGETS: usize = 8;
 
 const ROUND: Duration = Duration::from_millis(50);
 
-/// Rounds of a run, ten seconds.
+/// Length of a simulation: ten seconds.
 const ROUNDS: usize = 200;
 
-/// Rounds within which all nodes in touch must know of the third crash, three seconds.
+/// Time within which all connected nodes must know of the third crash: three seconds.
 const REACTION_ROUNDS: usize = 60;
 
-/// Nodes that each one tells what is new to it.
-const FAN_OUT: usize = 6;
+/// Number of peers to which a node pushes new findings.
+const PUSH_FANOUT: usize = 6;
 
-/// Rounds between two questions of a node to another one.
+/// Rounds between two pulls of a node.
 const PULL_ROUNDS: usize = 20;
 
-/// Other requests at work at a target when it ends.
+/// Number of other requests running at a target when it crashes.
 const BYSTANDERS: u128 = 30;
 
-/// Rounds after which a bystander that was sent on is answered.
+/// Rounds after which a bystander that is retried elsewhere is answered.
 const ANSWERED_AFTER: usize = 3;
 
-/// Rounds until a target that has ended is back.
+/// Rounds until a crashed target is back.
 const DOWN_ROUNDS: usize = 60;
 
-/// Bytes of a message beside its findings, with the headers of its packets.
+/// Size of a message without its findings, including packet headers.
 const MESSAGE_BYTES: usize = 80;
 
-/// Bytes of a finding with one crash, and of each further one.
+/// Size of a finding without its crashes.
 const FINDING_BYTES: usize = 34;
+
+/// Size of each crash in a finding.
 const CRASH_BYTES: usize = 10;
 
 const CRASHING: Fingerprint = Fingerprint(1);
 
 struct Fleet {
     nodes: Vec<SuspectRegistry>,
-    /// Round in which a node is reached again; those that are cut off hear and tell nothing.
-    cut_until: Vec<usize>,
+    /// Round in which each node is connected again. A disconnected node neither sends nor receives findings.
+    disconnected_until: Vec<usize>,
     down_until: [usize; TARGETS],
-    /// Round, entry and fingerprint of each bystander's answer.
+    /// Round, entry node and fingerprint of each bystander's answer.
     answers: Vec<(usize, usize, Fingerprint)>,
-    bytes: Vec<usize>,
-    crashes: u64,
-    ended: usize,
+    sent_bytes: Vec<usize>,
+    last_crash_id: u64,
+    crashed_targets: usize,
     round: usize,
     now: Instant,
     rng: SmallRng,
@@ -64,24 +67,24 @@
     fn new(seed: u64) -> Self {
         Self {
             nodes: vec![SuspectRegistry::new(QuarantineConfig::default()); NODES],
-            cut_until: vec![0; NODES],
+            disconnected_until: vec![0; NODES],
             down_until: [0; TARGETS],
             answers: Vec::new(),
-            bytes: vec![0; NODES],
-            crashes: 0,
-            ended: 0,
+            sent_bytes: vec![0; NODES],
+            last_crash_id: 0,
+            crashed_targets: 0,
             round: 0,
             now: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    fn is_cut(&self, node: usize) -> bool {
-        self.cut_until[node] > self.round
+    fn is_disconnected(&self, node: usize) -> bool {
+        self.disconnected_until[node] > self.round
     }
 
-    /// One round: what is told and asked arrives within it.
-    fn pass(&mut self) {
+    /// Simulates one round. Messages arrive in the round in which they are sent.
+    fn step(&mut self) {
         self.round += 1;
         self.now += ROUND;
         let now = self.now;
@@ -91,30 +94,30 @@
             self.nodes[entry].record_answer(fingerprint, now);
         }
         for node in 0..NODES {
-            if self.is_cut(node) {
+            if self.is_disconnected(node) {
                 continue;
             }
             self.nodes[node].tick(now);
-            let untold = self.nodes[node].take_unsent(512, now);
-            if !untold.is_empty() {
-                for _ in 0..FAN_OUT {
+            let unsent = self.nodes[node].take_unsent(512, now);
+            if !unsent.is_empty() {
+                for _ in 0..PUSH_FANOUT {
                     let other = self.rng.random_range(0..NODES);
-                    self.carry(node, other, &untold);
+                    self.deliver(node, other, &unsent);
                 }
             }
             if round % PULL_ROUNDS == node % PULL_ROUNDS {
                 let other = self.rng.random_range(0..NODES);
-                if !self.is_cut(other) {
-                    let found =
+                if !self.is_disconnected(other) {
+                    let findings =
                         self.nodes[other].findings_for_peer(self.nodes[node].digest(), 512, now);
-                    self.carry(other, node, &found);
+                    self.deliver(other, node, &findings);
                 }
             }
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize, findings: &[Finding]) {
-        if self.is_cut(to) {
+    fn deliver(&mut self, from: usize, to: usize, findings: &[Finding]) {
+        if self.is_disconnected(to) {
             return;
         }
         let sizes = findings.iter().map(|finding| match &finding.evidence {
@@ -123,20 +126,20 @@
                 FINDING_BYTES + CRASH_BYTES * crashes.ids.len()
             }
         });
-        self.bytes[from] += MESSAGE_BYTES + sizes.sum::<usize>();
+        self.sent_bytes[from] += MESSAGE_BYTES + sizes.sum::<usize>();
         for finding in findings {
             self.nodes[to].merge(finding, self.now);
         }
     }
 
-    /// A copy of the crashing request enters at a node; `true` where it is refused.
-    fn enter(&mut self, entry: usize) -> bool {
+    /// Sends a copy of the crashing request through an entry node, with one retry; returns whether it was refused.
+    fn send_crashing(&mut self, entry: usize) -> bool {
         for _ in 0..2 {
-            let standing = self.nodes[entry].suspicion_level(CRASHING, self.now);
+            let level = self.nodes[entry].suspicion_level(CRASHING, self.now);
             let up: Vec<usize> = (0..TARGETS)
                 .filter(|target| self.down_until[*target] <= self.round)
                 .collect();
-            let target = match standing {
+            let target = match level {
                 SuspicionLevel::Refused => return true,
                 SuspicionLevel::Isolated => up.first().copied(),
                 _ => up.get(self.rng.random_range(0..up.len().max(1))).copied(),
@@ -153,36 +156,37 @@
     }
 
     fn crash(&mut self, target: usize, entry: usize) {
-        self.crashes += 1;
-        self.ended += 1;
+        self.last_crash_id += 1;
+        self.crashed_targets += 1;
         self.down_until[target] = self.round + DOWN_ROUNDS;
-        let id = CrashId(self.crashes << 32);
+        let id = CrashId(self.last_crash_id << 32);
         let now = self.now;
-        let alone = self.nodes[target].suspicion_level(CRASHING, now) >= SuspicionLevel::Suspected;
-        self.nodes[target].record_crash(CRASHING, id, alone, now);
-        let known = self.nodes[target].finding(CRASHING, now);
-        self.nodes[entry].merge(&known.expect("it is suspected"), now);
+        let sole_suspect =
+            self.nodes[target].suspicion_level(CRASHING, now) >= SuspicionLevel::Suspected;
+        self.nodes[target].record_crash(CRASHING, id, sole_suspect, now);
+        let finding = self.nodes[target].finding(CRASHING, now);
+        self.nodes[entry].merge(&finding.expect("the request is a suspect"), now);
         for other in 0..BYSTANDERS {
-            let fingerprint = Fingerprint(1000 * u128::from(self.crashes) + other);
+            let fingerprint = Fingerprint(1000 * u128::from(self.last_crash_id) + other);
             self.nodes[target].record_crash(fingerprint, id, false, now);
             let entry = self.rng.random_range(0..NODES);
-            let known = self.nodes[target].finding(fingerprint, now);
-            self.nodes[entry].merge(&known.expect("it is suspected"), now);
+            let finding = self.nodes[target].finding(fingerprint, now);
+            self.nodes[entry].merge(&finding.expect("the request is a suspect"), now);
             self.answers
                 .push((self.round + ANSWERED_AFTER, entry, fingerprint));
         }
     }
 
-    fn any_in_touch(&mut self) -> usize {
+    fn random_connected_node(&mut self) -> usize {
         loop {
             let node = self.rng.random_range(0..NODES);
-            if !self.is_cut(node) {
+            if !self.is_disconnected(node) {
                 return node;
             }
         }
     }
 
-    fn who_refuses(&self) -> usize {
+    fn refusing_nodes(&self) -> usize {
         let nodes = self.nodes.iter();
         let refuse = |node: &&SuspectRegistry| {
             node.suspicion_level(CRASHING, self.now) == SuspicionLevel::Refused
@@ -193,11 +197,11 @@
     fn refused_bystanders(&self) -> usize {
         let mut refused = 0;
         for node in &self.nodes {
-            for crash in 1..=self.crashes {
+            for crash in 1..=self.last_crash_id {
                 for other in 0..BYSTANDERS {
                     let fingerprint = Fingerprint(1000 * u128::from(crash) + other);
-                    let standing = node.suspicion_level(fingerprint, self.now);
-                    refused += usize::from(standing >= SuspicionLevel::Isolated);
+                    let level = node.suspicion_level(fingerprint, self.now);
+                    refused += usize::from(level >= SuspicionLevel::Isolated);
                 }
             }
         }
@@ -205,57 +209,66 @@
     }
 }
 
-/// A request that comes again ten times a second at any of 1,400 nodes, a twentieth of which are cut off for five seconds.
+/// A crashing request arrives ten times a second at random nodes while a twentieth of the 1,400 nodes are disconnected
+/// for five seconds. Guards against findings spreading too slowly, using too much bandwidth, or quarantining
+/// bystanders.
 #[test]
 fn all_nodes_refuse_a_crashing_request_within_three_seconds() {
     for seed in 0..2 {
         let mut fleet = Fleet::new(seed);
         for node in (0..NODES).step_by(20).skip(1) {
-            fleet.cut_until[node] = 100;
+            fleet.disconnected_until[node] = 100;
         }
-        let (mut refused, mut third) = (0, None);
+        let (mut refused, mut third_crash) = (0, None);
         while fleet.round < ROUNDS {
-            let entry = fleet.any_in_touch();
-            refused += usize::from(fleet.enter(entry));
-            third = third.or((fleet.ended >= 3).then_some(fleet.round));
-            fleet.pass();
-            fleet.pass();
-            if third.is_some_and(|third| fleet.round == third + REACTION_ROUNDS) {
-                let cut = (0..NODES).filter(|node| fleet.is_cut(*node)).count();
-                assert_eq!(fleet.who_refuses(), NODES - cut);
+            let entry = fleet.random_connected_node();
+            refused += usize::from(fleet.send_crashing(entry));
+            third_crash = third_crash.or((fleet.crashed_targets >= 3).then_some(fleet.round));
+            fleet.step();
+            fleet.step();
+            if third_crash.is_some_and(|round| fleet.round == round + REACTION_ROUNDS) {
+                let disconnected = (0..NODES)
+                    .filter(|node| fleet.is_disconnected(*node))
+                    .count();
+                assert_eq!(fleet.refusing_nodes(), NODES - disconnected);
             }
         }
         let seconds = ROUND.as_secs_f64() * ROUNDS as f64;
-        let mean = fleet.bytes.iter().sum::<usize>() as f64 / NODES as f64 / seconds;
+        let mean = fleet.sent_bytes.iter().sum::<usize>() as f64 / NODES as f64 / seconds;
         println!(
-            "seed {seed}: {} targets ended, {refused} copies refused; {mean:.0} bytes a second and node over {seconds} s",
-            fleet.ended,
+            "seed {seed}: {} targets crashed, {refused} copies refused; {mean:.0} bytes/s per node over {seconds} s",
+            fleet.crashed_targets,
+        );
+        assert!(
+            fleet.crashed_targets <= 4,
+            "{} targets crashed",
+            fleet.crashed_targets
         );
-        assert!(fleet.ended <= 4, "{} targets ended", fleet.ended);
-        assert_eq!(fleet.who_refuses(), NODES);
+        assert_eq!(fleet.refusing_nodes(), NODES);
         assert_eq!(fleet.refused_bystanders(), 0);
-        assert!(mean < 5000.0, "{mean} bytes a second and node");
+        assert!(mean < 5000.0, "{mean} bytes/s per node");
     }
 }
 
-/// Nodes that were cut off, or have started, when the others learnt: they send what these refuse.
+/// Guards against a node catching up too slowly after it was disconnected, or not yet started, while the others learned
+/// of a crashing request. Until then it forwards what they refuse.
 #[test]
 fn a_node_that_returns_learns_within_three_seconds() {
     let mut fleet = Fleet::new(9);
     for node in (0..NODES).step_by(20) {
-        fleet.cut_until[node] = 100;
+        fleet.disconnected_until[node] = 100;
     }
-    while !fleet.enter(1) {
-        fleet.pass();
+    while !fleet.send_crashing(1) {
+        fleet.step();
     }
     while fleet.round < 100 {
-        fleet.pass();
+        fleet.step();
     }
-    let returned = fleet.round;
-    while fleet.who_refuses() < NODES {
-        fleet.pass();
+    let reconnected_at = fleet.round;
+    while fleet.refusing_nodes() < NODES {
+        fleet.step();
     }
-    let took = ROUND * (fleet.round - returned) as u32;
-    println!("learnt within {took:?}");
+    let took = ROUND * (fleet.round - reconnected_at) as u32;
+    println!("all nodes refuse the request after {took:?}");
     assert!(took < Duration::from_secs(3), "{took:?}");
 }
