--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -204,7 +204,7 @@
     pub(super) fn send_ended(&mut self, key: InstanceKey, ended: EndedSend) {
         let now = self.clock.now();
         if ended.answered_whole {
-            self.answered(ended.fingerprint, now);
+            self.record_answer(ended.fingerprint, now);
         }
         let stats = entry(&mut self.stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -34,7 +34,7 @@
             drop(reply.send(Err(self.not_granted(Refusal::ExpiredUnsent, None))));
             return;
         }
-        self.enter_by_standing(Waiter { ask, reply }, now);
+        self.enter_by_suspicion(Waiter { ask, reply }, now);
     }
 
     /// Gives a request that need not be isolated a slot, lets it wait, or refuses it; the ticket where it is not refused.
@@ -85,16 +85,16 @@
     ) {
         let now = self.clock.now();
         self.gate.leave(ticket, left.held, now);
-        let standing = self.run_ended(ticket, left.end, now);
+        let standing = self.record_run_end(ticket, left.end, now);
         let run = self.runs.remove(ticket);
-        self.leave_isolation(ticket, now);
+        self.end_isolation(ticket, now);
         self.pump(now);
         let Some(reply) = reply else {
             return;
         };
         let mut report = self.report();
         if let Some(run) = run {
-            report.finding = self.finding_after(left.end, run.fingerprint, now);
+            report.finding = self.finding_after_run(left.end, run.fingerprint, now);
             report.downstream = run.downstream;
         }
         drop(reply.send(AfterRun { report, standing }));
@@ -123,7 +123,7 @@
             }
             !gone
         });
-        self.forget_isolated();
+        self.prune_isolated();
     }
 
     /// Refuses everyone who waits for an instance that takes nothing new; their entries choose another one.
@@ -138,7 +138,7 @@
             self.gate.cancel(ticket);
             self.refuse_waiter(ticket, Refusal::Stopping);
         }
-        self.review_isolated(self.clock.now());
+        self.recheck_isolated(self.clock.now());
     }
 
     /// Takes in that an instance is gone for good.
--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash targets: who runs, waits or is refused at this host, and what other nodes are told.
+//! Quarantine of requests that crash targets: admits, queues or refuses them at this node and exchanges findings with
+//! other nodes.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -17,39 +18,42 @@
 use crate::mesh::findings::FindingsMessage;
 use crate::mesh::link::MOST_FINDINGS;
 
-/// Isolated requests that wait at a host at most.
-const MOST_ISOLATED: usize = 64;
+/// Maximum number of isolated requests waiting at a node.
+const MAX_ISOLATED_WAITING: usize = 64;
 
-/// When a request is to come back that found too many others waiting.
+/// Retry delay suggested to an isolated request that is refused because the queue is full.
 const RETRY_AFTER_ISOLATED: Duration = Duration::from_millis(500);
 
-/// Peers that a node sends new findings to. They forward them, so nearly all nodes have them within a few rounds.
-const FAN_OUT: usize = 6;
+/// Number of peers to which a node pushes new findings. They forward them in turn, so that nearly all nodes have them
+/// within a few rounds.
+const PUSH_FANOUT: usize = 6;
 
-/// Time between two pulls from a random peer, which bring what pushes have missed: after a start, a partition, or by chance.
+/// Interval between pulls from a random peer. Pulls recover findings that pushes have missed after a start, after a
+/// partition, or by chance.
 const PULL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The quarantine of one node.
+/// Quarantine state of a node.
 pub(super) struct Quarantine {
     pub registry: SuspectRegistry,
-    /// The isolated request that has the target.
+    /// Ticket of the isolated request that has entered the target's gate; all others wait for it to leave.
     isolated: Option<Ticket>,
-    /// Isolated requests that wait for it, oldest first.
+    /// Isolated requests waiting for it, oldest first.
     waiting: VecDeque<Waiter>,
-    /// The latest crash of the own target.
-    crash: Option<OwnCrash>,
-    pulled: Option<Instant>,
+    /// The latest crash of the node's target.
+    last_crash: Option<TargetCrash>,
+    /// Time of the latest pull.
+    last_pull: Option<Instant>,
 }
 
-/// A crash of the own target.
-struct OwnCrash {
+/// A crash of the node's target.
+struct TargetCrash {
     id: CrashId,
-    /// Requests at work then that had been suspected before.
+    /// Requests running at the time that were suspects already.
     suspects: Vec<Fingerprint>,
 }
 
-impl OwnCrash {
-    fn was_alone(&self, fingerprint: Fingerprint) -> bool {
+impl TargetCrash {
+    fn is_sole_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.contains(&fingerprint)
             && self.suspects.iter().all(|other| *other == fingerprint)
     }
@@ -61,19 +65,21 @@
             registry: SuspectRegistry::new(cfg),
             isolated: None,
             waiting: VecDeque::new(),
-            crash: None,
-            pulled: None,
+            last_crash: None,
+            last_pull: None,
         }
     }
 
-    pub fn waiting(&self) -> usize {
+    /// Returns the number of waiting isolated requests.
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 }
 
 impl Controller {
-    /// Lets a request go on to the gate, wait for others that are isolated, or refuses it.
-    pub(super) fn enter_by_standing(&mut self, waiter: Waiter, now: Instant) {
+    /// Depending on the suspicion level of a request, passes it to the gate, queues it behind other isolated requests,
+    /// or refuses it.
+    pub(super) fn enter_by_suspicion(&mut self, waiter: Waiter, now: Instant) {
         let fingerprint = waiter.ask.fingerprint;
         match self.quarantine.registry.suspicion_level(fingerprint, now) {
             SuspicionLevel::Unsuspected | SuspicionLevel::Suspected => {
@@ -82,7 +88,7 @@
             SuspicionLevel::Isolated if self.quarantine.isolated.is_none() => {
                 self.quarantine.isolated = self.enter_gate(waiter, now);
             }
-            SuspicionLevel::Isolated if self.quarantine.waiting.len() < MOST_ISOLATED => {
+            SuspicionLevel::Isolated if self.quarantine.waiting.len() < MAX_ISOLATED_WAITING => {
                 self.metrics.isolated.inc();
                 self.quarantine.waiting.push_back(waiter);
             }
@@ -98,22 +104,22 @@
         }
     }
 
-    /// A request that may have been isolated is gone from the target.
-    pub(super) fn leave_isolation(&mut self, ticket: Ticket, now: Instant) {
+    /// Ends the isolation of a request that has left the target, if it was isolated, so that the next one can enter.
+    pub(super) fn end_isolation(&mut self, ticket: Ticket, now: Instant) {
         if self.quarantine.isolated == Some(ticket) {
             self.quarantine.isolated = None;
-            self.review_isolated(now);
+            self.recheck_isolated(now);
         }
     }
 
-    /// Looks again at the isolated requests that wait, as something may have changed for them.
-    pub(super) fn review_isolated(&mut self, now: Instant) {
+    /// Re-evaluates the waiting isolated requests after a change that may admit or refuse them.
+    pub(super) fn recheck_isolated(&mut self, now: Instant) {
         for waiter in std::mem::take(&mut self.quarantine.waiting) {
             let refusal = match &waiter.ask {
                 ask if self.has_left(&ask.instance) => Refusal::Stopping,
                 ask if ask.deadline <= now => Refusal::ExpiredUnsent,
                 _ => {
-                    self.enter_by_standing(waiter, now);
+                    self.enter_by_suspicion(waiter, now);
                     continue;
                 }
             };
@@ -121,20 +127,20 @@
         }
     }
 
-    /// Takes those out of the queue whose callers have left.
-    pub(super) fn forget_isolated(&mut self) {
+    /// Removes waiting requests whose callers have disconnected.
+    pub(super) fn prune_isolated(&mut self) {
         let waiting = &mut self.quarantine.waiting;
         waiting.retain(|waiter| !waiter.reply.is_closed());
         let gone =
             |ticket: &Ticket| !self.runs.holds(*ticket) && !self.waiting.contains_key(ticket);
         if self.quarantine.isolated.as_ref().is_some_and(gone) {
             self.quarantine.isolated = None;
-            self.review_isolated(self.clock.now());
+            self.recheck_isolated(self.clock.now());
         }
     }
 
-    /// Takes in how a run has ended.
-    pub(super) fn run_ended(
+    /// Records how a run ended and returns the resulting suspicion level of its request.
+    pub(super) fn record_run_end(
         &mut self,
         ticket: Ticket,
         end: RunEnd,
@@ -145,25 +151,25 @@
         };
         let fingerprint = run.fingerprint;
         match end {
-            RunEnd::Answered => self.answered(fingerprint, now),
-            // A target that has said that it leaves ends as planned.
+            RunEnd::Answered => self.record_answer(fingerprint, now),
+            // The exit of a target that has announced its shutdown is planned and not a crash.
             RunEnd::Crashed(crash) if !self.has_left(&run.instance) => {
-                return self.crashed_under(fingerprint, crash, now);
+                return self.record_crash(fingerprint, crash, now);
             }
             RunEnd::Crashed(_) | RunEnd::Other => {}
         }
         self.quarantine.registry.suspicion_level(fingerprint, now)
     }
 
-    /// A target, the own one or that of another node, has answered a request whole.
-    pub(super) fn answered(&mut self, fingerprint: Fingerprint, now: Instant) {
+    /// Records that this node's target, or that of another node, answered a request completely.
+    pub(super) fn record_answer(&mut self, fingerprint: Fingerprint, now: Instant) {
         if self.quarantine.registry.record_answer(fingerprint, now) {
-            self.review_isolated(now);
+            self.recheck_isolated(now);
         }
     }
 
-    /// What the entry of a request is told after a crash.
-    pub(super) fn finding_after(
+    /// Returns the finding to report to the entry node if the run ended in a crash.
+    pub(super) fn finding_after_run(
         &self,
         end: RunEnd,
         fingerprint: Fingerprint,
@@ -175,116 +181,118 @@
         }
     }
 
-    fn crashed_under(
+    fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         crash: CrashId,
         now: Instant,
     ) -> SuspicionLevel {
-        let known = self.quarantine.crash.take();
+        let known = self.quarantine.last_crash.take();
         let crash = match known.filter(|known| known.id == crash) {
             Some(known) => known,
-            None => self.own_crash(crash, now),
+            None => self.note_target_crash(crash, now),
         };
-        let alone = crash.was_alone(fingerprint);
+        let sole_suspect = crash.is_sole_suspect(fingerprint);
         let registry = &mut self.quarantine.registry;
         let before = registry.suspicion_level(fingerprint, now);
-        let standing = registry.record_crash(fingerprint, crash.id, alone, now);
-        self.quarantine.crash = Some(crash);
-        if standing != before && standing >= SuspicionLevel::Isolated {
+        let level = registry.record_crash(fingerprint, crash.id, sole_suspect, now);
+        self.quarantine.last_crash = Some(crash);
+        if level != before && level >= SuspicionLevel::Isolated {
             warn!(self.journal.log(), "request suspected"; "fingerprint" => fingerprint.to_string(),
-                "standing" => standing.as_str(), "was" => before.as_str(), "alone" => alone);
+                "standing" => level.as_str(), "was" => before.as_str(), "alone" => sole_suspect);
         }
-        standing
+        level
     }
 
-    fn own_crash(&self, id: CrashId, now: Instant) -> OwnCrash {
-        let at_work = self.runs.iter().map(|run| run.fingerprint);
+    /// Counts and logs a crash of the node's target, and captures the suspects running at the time.
+    fn note_target_crash(&self, id: CrashId, now: Instant) -> TargetCrash {
+        let running = self.runs.iter().map(|run| run.fingerprint);
         let registry = &self.quarantine.registry;
         let is_suspect = |other: &Fingerprint| {
             registry.suspicion_level(*other, now) >= SuspicionLevel::Suspected
         };
-        let suspects: Vec<Fingerprint> = at_work.filter(is_suspect).collect();
+        let suspects: Vec<Fingerprint> = running.filter(is_suspect).collect();
         self.metrics.target_crashes.inc();
         warn!(self.journal.log(), "target's process has ended"; "crash" => id.to_string(),
             "at_work" => self.runs.len(), "suspects" => suspects.len());
-        OwnCrash { id, suspects }
+        TargetCrash { id, suspects }
     }
 
-    /// Takes in what other nodes know.
-    pub(super) fn findings_heard(&mut self, findings: &[Finding]) {
+    /// Merges findings of other nodes.
+    pub(super) fn merge_findings(&mut self, findings: &[Finding]) {
         let now = self.clock.now();
-        let mut heard = false;
+        let mut changed = false;
         for finding in findings {
-            heard |= self.quarantine.registry.merge(finding, now);
+            changed |= self.quarantine.registry.merge(finding, now);
         }
-        if heard {
-            self.review_isolated(now);
+        if changed {
+            self.recheck_isolated(now);
         }
     }
 
-    /// What this node knows, where it differs from what the digest stands for.
-    pub(super) fn findings_unlike(&self, digest: u64) -> Vec<Finding> {
+    /// Returns the findings to send to a peer whose registry has the given digest; empty if the registries are equal.
+    pub(super) fn findings_for_peer(&self, digest: u64) -> Vec<Finding> {
         let registry = &self.quarantine.registry;
         registry.findings_for_peer(digest, MOST_FINDINGS, self.clock.now())
     }
 
-    /// Lets time pass: pushes new findings to peers, and pulls from one of them from time to time.
-    pub(super) fn tend_quarantine(&mut self, now: Instant) {
-        let was_pulled = self.quarantine.pulled;
+    /// Expires old evidence, pushes new findings to random peers and periodically pulls from one of them.
+    pub(super) fn tick_quarantine(&mut self, now: Instant) {
+        let last_pull = self.quarantine.last_pull;
         self.quarantine.registry.tick(now);
-        self.review_expired(now);
-        let untold = self.quarantine.registry.take_unsent(MOST_FINDINGS, now);
-        if !untold.is_empty() {
-            let nodes = self.other_nodes(FAN_OUT);
-            self.spread(FindingsMessage::Push(nodes, untold));
+        self.recheck_expired(now);
+        let unsent = self.quarantine.registry.take_unsent(MOST_FINDINGS, now);
+        if !unsent.is_empty() {
+            let nodes = self.random_peers(PUSH_FANOUT);
+            self.send_findings(FindingsMessage::Push(nodes, unsent));
         }
         let is_due = |at| now.saturating_duration_since(at) >= PULL_INTERVAL;
-        if was_pulled.is_none_or(is_due)
-            && let [node] = self.other_nodes(1)[..]
+        if last_pull.is_none_or(is_due)
+            && let [node] = self.random_peers(1)[..]
         {
-            self.quarantine.pulled = Some(now);
+            self.quarantine.last_pull = Some(now);
             let digest = self.quarantine.registry.digest();
-            self.spread(FindingsMessage::Pull(node, digest));
+            self.send_findings(FindingsMessage::Pull(node, digest));
         }
         let suspects = self.quarantine.registry.suspect_count();
         self.metrics.suspects.set(suspects as i64);
     }
 
-    fn review_expired(&mut self, now: Instant) {
+    /// Re-evaluates the waiting requests if the deadline of one has passed.
+    fn recheck_expired(&mut self, now: Instant) {
         let mut waiting = self.quarantine.waiting.iter();
         if waiting.any(|waiter| waiter.ask.deadline <= now) {
-            self.review_isolated(now);
+            self.recheck_isolated(now);
         }
     }
 
-    /// Some other nodes, drawn anew each time.
-    fn other_nodes(&mut self, most: usize) -> Vec<IpAddr> {
+    /// Chooses up to `count` other nodes at random.
+    fn random_peers(&mut self, count: usize) -> Vec<IpAddr> {
         let own = self.cfg.target.ip();
-        let listed = self.fleet.iter();
-        let nodes = listed.map(|(instance, _)| instance.address.ip());
+        let members = self.fleet.iter();
+        let nodes = members.map(|(instance, _)| instance.address.ip());
         let nodes: Vec<IpAddr> = nodes.filter(|node| *node != own).collect();
         nodes
-            .choose_multiple(&mut self.rng, most)
+            .choose_multiple(&mut self.rng, count)
             .copied()
             .collect()
     }
 
-    /// Requests of others that wait or run here.
-    pub(super) fn hosted(&self) -> usize {
-        self.runs.len() + self.waiting.len() + self.quarantine.waiting()
+    /// Returns the number of requests waiting or running at this node's target.
+    pub(super) fn hosted_count(&self) -> usize {
+        self.runs.len() + self.waiting.len() + self.quarantine.waiting_count()
     }
 
-    /// Logs that a request is refused, and why.
+    /// Logs the finding for which a request is refused.
     pub(super) fn log_refused(&self, fingerprint: Fingerprint, now: Instant) {
         if let Some(finding) = self.quarantine.registry.finding(fingerprint, now) {
             self.journal.quarantined(&finding);
         }
     }
 
-    fn spread(&self, message: FindingsMessage) {
+    fn send_findings(&self, message: FindingsMessage) {
         if self.findings.send(message).is_err() {
-            info!(self.journal.log(), "findings are not told"; "reason" => "the task that tells them has ended");
+            info!(self.journal.log(), "cannot send findings"; "reason" => "the exchange task has ended");
         }
     }
 }
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -57,11 +57,11 @@
             ControllerEvent::QuotaClaimed(claims, tx) => {
                 drop(tx.send(self.quota_claimed(&claims)));
             }
-            ControllerEvent::FindingsHeard(findings) => self.findings_heard(&findings),
+            ControllerEvent::FindingsHeard(findings) => self.merge_findings(&findings),
             ControllerEvent::FindingsPulled(digest, tx) => {
-                drop(tx.send(self.findings_unlike(digest)));
+                drop(tx.send(self.findings_for_peer(digest)));
             }
-            ControllerEvent::Hosted(tx) => drop(tx.send(self.hosted())),
+            ControllerEvent::Hosted(tx) => drop(tx.send(self.hosted_count())),
         }
     }
 
@@ -71,7 +71,7 @@
             self.ended(id, "lapsed");
         }
         self.forget_waiters();
-        self.tend_quarantine(now);
+        self.tick_quarantine(now);
         self.tell_homes(now);
         self.report_quotas(now);
         self.gate.update_level(now);
