--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -59,11 +59,11 @@
                 let workspace = self.authenticate(&config, route, ask, now)?;
                 let rank = config.rank(route, workspace);
                 if let Some(workspace) = workspace {
-                    self.within_quota(workspace, ask, now)?;
+                    self.check_quota(workspace, ask, now)?;
                 }
                 let share = self.shed(&config, key, rank, ask, now);
                 if let (Err(_), Some(workspace)) = (&share, workspace) {
-                    self.quota_unused(&workspace.name);
+                    self.release_quota(&workspace.name);
                 }
                 let share = share?;
                 (rank, workspace.map(|known| known.name.clone()), share)
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -174,7 +174,7 @@
         self.gate.set_ranks(config.last_shed_order() + 1);
         let kept = self.entries.take_named(&config);
         self.config = Some(config);
-        self.forget_old_workspaces();
+        self.prune_workspaces();
         for instance in kept {
             self.apply_instance(instance);
         }
@@ -231,7 +231,7 @@
 
     fn after_news(&mut self) {
         self.budget.set_nodes(self.fleet.len());
-        self.refresh_quota_homes();
+        self.update_quota_homes();
         if let Some(own) = self.fleet.at_address(self.cfg.target) {
             self.gate.set_slots(own.slots);
         }
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas of workspaces: as an entry, and as a home.
+//! Workspace quotas. As an entry, a node counts and limits requests and reports usage to the homes of a workspace. As a
+//! home, it collects usage and decides which share of the requests entries admit.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -13,14 +14,14 @@
 
 use super::admission::denied;
 use super::{AdmitAsk, Controller, Denied};
-use crate::mesh::quotas::QuotaWord;
+use crate::mesh::quotas::QuotaMessage;
 
-/// A claim with the home that it goes to, or by itself where none is left.
-type Routed = Result<(IpAddr, RoutedClaim), QuotaClaim>;
+/// A claim with the home to send it to, or the claim alone if no home is left to try.
+type ClaimRoute = Result<(IpAddr, RoutedClaim), QuotaClaim>;
 
 impl Controller {
-    /// Counts a request towards the quota of its workspace, or refuses it.
-    pub(super) fn within_quota(
+    /// Counts a request against the quota of its workspace, or refuses it.
+    pub(super) fn check_quota(
         &mut self,
         workspace: &Workspace,
         ask: &AdmitAsk,
@@ -38,59 +39,59 @@
         Err(denied(Refusal::OverQuota, Some(over.retry_after)))
     }
 
-    /// A request that counted towards a quota has not run.
-    pub(super) fn quota_unused(&mut self, workspace: &SmolStr) {
+    /// Returns the quota used by a request that did not run.
+    pub(super) fn release_quota(&mut self, workspace: &SmolStr) {
         let now = self.clock.now();
         self.entry_quotas.give_back(workspace, now);
     }
 
-    /// Tells homes what was asked and used.
-    pub(super) fn tell_homes(&mut self, now: Instant) {
+    /// Reports to the homes how many requests arrived and how many were admitted.
+    pub(super) fn send_quota_claims(&mut self, now: Instant) {
         let claims = self.entry_quotas.claims(now);
-        let routed = claims.into_iter();
-        let routed = routed.map(|claim| self.quota_router.first(claim));
-        let routed = routed.collect();
-        self.send_claims(routed, now);
+        let routes = claims.into_iter();
+        let routes = routes.map(|claim| self.quota_router.first(claim));
+        let routes = routes.collect();
+        self.send_routed_claims(routes, now);
     }
 
-    /// Sends claims to the homes that were found for them, and puts back those for which there is none.
-    fn send_claims(&mut self, routed: Vec<Routed>, now: Instant) {
+    /// Sends each claim to its home, and returns claims without a home to the entry's accounts.
+    fn send_routed_claims(&mut self, routes: Vec<ClaimRoute>, now: Instant) {
         let mut by_home: Map<IpAddr, Vec<RoutedClaim>> = Map::default();
-        for routed in routed {
-            match routed {
+        for route in routes {
+            match route {
                 Ok((home, routed)) => by_home.entry(home).or_default().push(routed),
                 Err(claim) => self.entry_quotas.untold(&claim, now),
             }
         }
         for (home, claims) in by_home {
             if home != self.cfg.target.ip() {
-                self.say(QuotaWord::Claims(home, claims));
+                self.send_quota_message(QuotaMessage::Claims(home, claims));
                 continue;
             }
             for routed in claims {
                 let usage = &routed.claim.usage;
-                let verdict = self.claimed(usage, now).unwrap_or(Verdict::UNLIMITED);
+                let verdict = self.accept_claim(usage, now).unwrap_or(Verdict::UNLIMITED);
                 self.entry_quotas
                     .confirmed(&routed.claim, routed.place, verdict, now);
             }
         }
     }
 
-    /// A home has not answered: the next one is asked.
-    pub(super) fn quota_untold(&mut self, claims: Vec<RoutedClaim>) {
+    /// Marks the home of each of these unanswered claims as unreachable and tries the next home.
+    pub(super) fn reroute_claims(&mut self, claims: Vec<RoutedClaim>) {
         let now = self.clock.now();
         for routed in &claims {
             self.entry_quotas
                 .unreached(&routed.claim.usage.workspace, routed.place);
         }
-        let next = claims.into_iter();
-        let next = next.map(|routed| self.quota_router.next(routed));
-        let next = next.collect();
-        self.send_claims(next, now);
+        let routes = claims.into_iter();
+        let routes = routes.map(|routed| self.quota_router.next(routed));
+        let routes = routes.collect();
+        self.send_routed_claims(routes, now);
     }
 
-    /// Homes have told their verdicts.
-    pub(super) fn quota_heard(&mut self, notices: Vec<QuotaNotice>) {
+    /// Applies verdicts that homes sent without a claim.
+    pub(super) fn apply_quota_notices(&mut self, notices: Vec<QuotaNotice>) {
         let now = self.clock.now();
         for notice in notices {
             self.entry_quotas
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Homes have taken in claims.
-    pub(super) fn quota_confirmed(&mut self, confirmed: &[(RoutedClaim, Verdict)]) {
+    /// Confirms claims that homes accepted, and applies their verdicts.
+    pub(super) fn confirm_claims(&mut self, confirmed: &[(RoutedClaim, Verdict)]) {
         let now = self.clock.now();
         self.entry_quotas.reached(now);
         for (routed, verdict) in confirmed {
@@ -108,15 +109,16 @@
         }
     }
 
-    /// As a home: takes in claims of another node. Empty where this node does not know one of the workspaces yet, so that the
-    /// entry asks another home.
-    pub(super) fn quota_claimed(&mut self, claims: &[QuotaUsage]) -> Vec<Verdict> {
+    /// As a home, accepts claims of another node and returns a verdict for each. The result is empty if this node does not
+    /// know one of the workspaces yet, so that the entry tries another home.
+    pub(super) fn accept_claims(&mut self, claims: &[QuotaUsage]) -> Vec<Verdict> {
         let now = self.clock.now();
-        let verdicts = claims.iter().map(|claim| self.claimed(claim, now));
+        let verdicts = claims.iter().map(|claim| self.accept_claim(claim, now));
         verdicts.collect::<Option<_>>().unwrap_or_default()
     }
 
-    fn claimed(&mut self, claim: &QuotaUsage, now: Instant) -> Option<Verdict> {
+    /// As a home, accounts a claim and returns the verdict, or `None` if the workspace is unknown.
+    fn accept_claim(&mut self, claim: &QuotaUsage, now: Instant) -> Option<Verdict> {
         let directory = self.config.as_ref()?.directory()?;
         let Some(quota) = directory.named(&claim.workspace)?.quota else {
             return Some(Verdict::UNLIMITED);
@@ -126,16 +128,17 @@
             .home_quotas
             .claimed(&claim.workspace, quota, asked, used, now);
         if self.home_quotas.tells_all(&claim.workspace, &verdict, now) {
-            self.tell_entries(&claim.workspace, verdict, now);
+            self.notify_entries(&claim.workspace, verdict, now);
         }
         Some(verdict)
     }
 
-    /// As a home: tells all entries that a workspace is beyond its quota.
-    fn tell_entries(&mut self, workspace: &SmolStr, verdict: Verdict, now: Instant) {
+    /// As a home, notifies all entries that a workspace exceeds its quota.
+    fn notify_entries(&mut self, workspace: &SmolStr, verdict: Verdict, now: Instant) {
         let own = self.cfg.target.ip();
         let homes = self.quota_router.homes(workspace);
-        // Another node took this one for a home by a list that differs for a moment; it has its verdict.
+        // Another node, whose fleet list differs for a moment, took this node for a home. It gets the verdict as the
+        // answer to its claim.
         let Some(place) = homes.iter().position(|home| *home == own) else {
             return;
         };
@@ -147,10 +150,10 @@
         };
         let others = self.quota_router.nodes().filter(|node| *node != own);
         let others = others.collect();
-        self.say(QuotaWord::Notices(others, vec![notice]));
+        self.send_quota_message(QuotaMessage::Notices(others, vec![notice]));
     }
 
-    /// As a home: checks whether others may have been made homes in the place of this node.
+    /// As a home, checks whether other nodes may have replaced this one as a home.
     pub(super) fn check_replaced(&mut self, nodes_silent: f64) {
         let now = self.clock.now();
         let publisher_silent = match (self.publisher_sound, self.publisher_answered) {
@@ -166,11 +169,11 @@
         }
     }
 
-    /// Takes in who is published, reached or not.
-    pub(super) fn refresh_quota_homes(&mut self) {
-        let listed = self.fleet.iter();
-        let staying = listed.filter(|(_, state)| *state != MemberState::Draining);
-        let nodes: Vec<_> = staying
+    /// Updates the candidate homes from the published instances, reachable or not, except draining ones.
+    pub(super) fn update_quota_homes(&mut self) {
+        let members = self.fleet.iter();
+        let active = members.filter(|(_, state)| *state != MemberState::Draining);
+        let nodes: Vec<_> = active
             .map(|(instance, _)| {
                 let domain = SmolStr::new(instance.domain.as_str());
                 (instance.address.ip(), domain)
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Forgets workspaces that a new configuration does not name.
-    pub(super) fn forget_old_workspaces(&mut self) {
+    /// Drops the accounts of workspaces that a new configuration does not contain.
+    pub(super) fn prune_workspaces(&mut self) {
         let Some(directory) = self.config.as_ref().and_then(|config| config.directory()) else {
             return;
         };
@@ -193,9 +196,9 @@
         self.quota_router.forget_workspaces();
     }
 
-    fn say(&self, word: QuotaWord) {
-        if self.quota_words.send(word).is_err() {
-            warn!(self.journal.log(), "quotas are not told"; "reason" => "the task that tells them has ended");
+    fn send_quota_message(&self, message: QuotaMessage) {
+        if self.quota_words.send(message).is_err() {
+            warn!(self.journal.log(), "cannot send quota message"; "reason" => "the sending task has ended");
         }
     }
 }
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -27,7 +27,7 @@
 use crate::mesh::findings::FindingsMessage;
 use crate::mesh::journal::Journal;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::quotas::QuotaWord;
+use crate::mesh::quotas::QuotaMessage;
 
 /// How a controller decides.
 #[derive(Clone, Debug, PartialEq)]
@@ -88,7 +88,7 @@
     /// What a caller may send.
     pub limits: watch::Sender<CallerLimits>,
     /// Quotas of workspaces, for other nodes.
-    pub quota_words: mpsc::UnboundedSender<QuotaWord>,
+    pub quota_words: mpsc::UnboundedSender<QuotaMessage>,
     /// Requests that crash targets, for other nodes.
     pub findings: mpsc::UnboundedSender<FindingsMessage>,
 }
@@ -114,7 +114,7 @@
     pub(super) quota_router: QuotaRouter,
     /// When decisions about quotas were last reported.
     pub(super) quotas_reported: Instant,
-    pub(super) quota_words: mpsc::UnboundedSender<QuotaWord>,
+    pub(super) quota_words: mpsc::UnboundedSender<QuotaMessage>,
     pub(super) waiting: Map<Ticket, Waiter>,
     pub(super) quarantine: Quarantine,
     pub(super) findings: mpsc::UnboundedSender<FindingsMessage>,
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -49,13 +49,13 @@
             ControllerEvent::Configured(cfg) => self.configure(*cfg),
             ControllerEvent::IsReady(tx) => drop(tx.send(self.is_ready())),
             ControllerEvent::ReadersView(cfg, tx) => drop(tx.send(self.readers_view(&cfg))),
-            ControllerEvent::QuotaUnused(workspace) => self.quota_unused(&workspace),
-            ControllerEvent::QuotaHeard(notices) => self.quota_heard(notices),
-            ControllerEvent::QuotaConfirmed(confirmed) => self.quota_confirmed(&confirmed),
+            ControllerEvent::QuotaUnused(workspace) => self.release_quota(&workspace),
+            ControllerEvent::QuotaHeard(notices) => self.apply_quota_notices(notices),
+            ControllerEvent::QuotaConfirmed(confirmed) => self.confirm_claims(&confirmed),
             ControllerEvent::PeersSilent(share) => self.check_replaced(share),
-            ControllerEvent::QuotaUntold(claims) => self.quota_untold(claims),
+            ControllerEvent::QuotaUntold(claims) => self.reroute_claims(claims),
             ControllerEvent::QuotaClaimed(claims, tx) => {
-                drop(tx.send(self.quota_claimed(&claims)));
+                drop(tx.send(self.accept_claims(&claims)));
             }
             ControllerEvent::FindingsHeard(findings) => self.merge_findings(&findings),
             ControllerEvent::FindingsPulled(digest, tx) => {
@@ -72,7 +72,7 @@
         }
         self.forget_waiters();
         self.tick_quarantine(now);
-        self.tell_homes(now);
+        self.send_quota_claims(now);
         self.report_quotas(now);
         self.gate.update_level(now);
         self.pump(now);
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -16,7 +16,7 @@
 
 /// What the controller has to say about quotas.
 #[derive(Debug)]
-pub enum QuotaWord {
+pub enum QuotaMessage {
     /// To a home: what was used.
     Claims(IpAddr, Vec<RoutedClaim>),
     /// To entries: what this node, a home, has decided.
@@ -38,7 +38,7 @@
 
 impl QuotaCarrier {
     /// Runs until the controller is gone. Each word goes by itself: a home that is gone holds no other one up.
-    pub async fn run(self, mut words: mpsc::UnboundedReceiver<QuotaWord>) {
+    pub async fn run(self, mut words: mpsc::UnboundedReceiver<QuotaMessage>) {
         let mut looks = interval(SILENCE_LOOKS);
         looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -54,10 +54,10 @@
                 return;
             };
             match word {
-                QuotaWord::Claims(home, claims) => {
+                QuotaMessage::Claims(home, claims) => {
                     tokio::spawn(self.clone().claim(home, claims));
                 }
-                QuotaWord::Notices(entries, notices) => {
+                QuotaMessage::Notices(entries, notices) => {
                     tokio::spawn(self.clone().notify(entries, notices));
                 }
             }
