--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -1,4 +1,4 @@
-//! Logs and counts what was decided about quotas.
+//! Periodic logs and metrics of quota decisions.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 
 use super::Controller;
 
-/// Time between two reports.
+/// Interval between reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Workspaces in a report at most, as an entry and as a home each.
+/// Maximum number of workspaces logged per report and role (entry or home).
 const MAX_REPORTED: usize = 4;
 
 impl Controller {
-    /// Reports what was decided since the last report, where it is due.
+    /// Logs and counts the decisions since the last report, if a report is due.
     pub(super) fn report_quotas(&mut self, now: Instant) {
         if now.saturating_duration_since(self.quotas_reported) < REPORT_INTERVAL {
             return;
@@ -26,6 +26,8 @@
         self.report_home_quotas();
     }
 
+    /// Counts all decisions of this node as an entry. Logs the workspaces with the most refusals, among those that had
+    /// a refusal or an admission without any reachable home.
     fn report_entry_quotas(&mut self) {
         let mut limited: Vec<(SmolStr, QuotaTally)> = Vec::new();
         for (workspace, tally) in self.entry_quotas.tallies() {
@@ -47,6 +49,8 @@
         }
     }
 
+    /// Logs the workspaces with the highest demand among those for which this node, as a home, lets entries admit only a
+    /// share of the requests.
     fn report_home_quotas(&mut self) {
         let mut limited: Vec<HomeTally> = self
             .home_quotas
