--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -1,4 +1,5 @@
-//! The task that exchanges findings about requests that crash targets with other nodes: pushes of what is new, pulls of the rest.
+//! Task that exchanges findings about requests that crash targets with other nodes: it pushes new findings and pulls
+//! missed ones.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,30 +10,31 @@
 use super::controller::{ControllerEvent, ControllerHandle};
 use super::link::{self, LinkHub};
 
-/// What the controller wants other nodes to be told or asked.
+/// A message about findings that the controller wants sent to other nodes.
 #[derive(Debug)]
 pub enum FindingsMessage {
-    /// Tell these nodes.
+    /// Sends findings to these nodes.
     Push(Vec<IpAddr>, Vec<Finding>),
-    /// Ask this node for what it knows, unless that is what the digest stands for.
+    /// Asks a node for its findings, unless its registry has the given digest.
     Pull(IpAddr, u64),
 }
 
-/// Exchanges findings for as long as the controller lives.
+/// Exchanges findings for as long as the controller runs.
 #[derive(Clone)]
-pub struct FindingsSpreader {
-    /// Who decides.
+pub struct FindingsExchange {
+    /// Receives the pulled findings.
     pub controller: ControllerHandle,
     /// Links to other nodes.
     pub links: LinkHub,
-    /// Port at which nodes take messages of others.
+    /// Port on which nodes accept connections from peers.
     pub peers_port: u16,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-impl FindingsSpreader {
-    /// Runs until the controller is gone. A node that does not answer holds no other one up.
+impl FindingsExchange {
+    /// Runs until the controller is gone. Each message is sent by a task of its own, so that an unresponsive node does
+    /// not delay the others.
     pub async fn run(self, mut messages: mpsc::UnboundedReceiver<FindingsMessage>) {
         while let Some(message) = messages.recv().await {
             match message {
@@ -49,9 +51,9 @@
     }
 
     async fn push(self, node: IpAddr, findings: Vec<Finding>) {
-        // A node that can't be reached now hears it from others, or asks when it can.
+        // A node that is unreachable now gets the findings from other nodes or by its next pull.
         if let Err(e) = link::tell_findings(&self.links, self.address(node), &findings).await {
-            debug!(self.log, "findings not told"; "peer" => %node, "reason" => %e);
+            debug!(self.log, "cannot push findings"; "peer" => %node, "reason" => %e);
         }
     }
 
@@ -61,7 +63,7 @@
             Ok(findings) => self
                 .controller
                 .tell(ControllerEvent::FindingsHeard(findings)),
-            Err(e) => debug!(self.log, "findings not pulled"; "peer" => %node, "reason" => %e),
+            Err(e) => debug!(self.log, "cannot pull findings"; "peer" => %node, "reason" => %e),
         }
     }
 
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -1,4 +1,4 @@
-//! The task that carries words about quotas between the controller and other nodes.
+//! Task that sends quota messages of the controller to other nodes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,49 +11,50 @@
 use super::controller::{ControllerEvent, ControllerHandle};
 use super::link::{self, LinkHub};
 
-/// Time between two looks at how many nodes are silent.
-const SILENCE_LOOKS: Duration = Duration::from_millis(500);
+/// Interval between checks of how many nodes are silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the controller has to say about quotas.
+/// A quota message that the controller wants sent.
 #[derive(Debug)]
 pub enum QuotaMessage {
-    /// To a home: what was used.
+    /// Reports usage to a home.
     Claims(IpAddr, Vec<RoutedClaim>),
-    /// To entries: what this node, a home, has decided.
+    /// Sends verdicts of this node, as a home, to entries.
     Notices(Vec<IpAddr>, Vec<QuotaNotice>),
 }
 
-/// Carries words for as long as the controller lives.
+/// Sends quota messages for as long as the controller runs.
 #[derive(Clone)]
-pub struct QuotaCarrier {
-    /// Who decides.
+pub struct QuotaSender {
+    /// Receives the answers of homes and the share of silent nodes.
     pub controller: ControllerHandle,
     /// Links to other nodes.
     pub links: LinkHub,
-    /// Port at which nodes take words of others.
+    /// Port on which nodes accept connections from peers.
     pub peers_port: u16,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-impl QuotaCarrier {
-    /// Runs until the controller is gone. Each word goes by itself: a home that is gone holds no other one up.
-    pub async fn run(self, mut words: mpsc::UnboundedReceiver<QuotaMessage>) {
-        let mut looks = interval(SILENCE_LOOKS);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+impl QuotaSender {
+    /// Runs until the controller is gone. Each message is sent by a task of its own, so that an unreachable home does
+    /// not delay the others.
+    pub async fn run(self, mut messages: mpsc::UnboundedReceiver<QuotaMessage>) {
+        let mut checks = interval(SILENCE_CHECK_INTERVAL);
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let word = tokio::select! {
-                word = words.recv() => word,
-                _ = looks.tick() => {
+            let message = tokio::select! {
+                message = messages.recv() => message,
+                _ = checks.tick() => {
                     let silent = ControllerEvent::PeersSilent(self.links.silent_share());
                     self.controller.tell(silent);
                     continue;
                 }
             };
-            let Some(word) = word else {
+            let Some(message) = message else {
                 return;
             };
-            match word {
+            match message {
                 QuotaMessage::Claims(home, claims) => {
                     tokio::spawn(self.clone().claim(home, claims));
                 }
@@ -72,7 +73,7 @@
                 ControllerEvent::QuotaConfirmed(confirmed.collect())
             }
             Err(e) => {
-                debug!(self.log, "home of quotas does not answer"; "home" => %home, "reason" => %e);
+                debug!(self.log, "quota home does not answer"; "home" => %home, "reason" => %e);
                 ControllerEvent::QuotaUntold(claims)
             }
         };
@@ -82,9 +83,9 @@
     async fn notify(self, entries: Vec<IpAddr>, notices: Vec<QuotaNotice>) {
         for entry in entries {
             let address = SocketAddr::new(entry, self.peers_port);
-            // An entry that can't be reached now is told with its next claim, or again in a moment.
+            // An entry that is unreachable now gets the verdicts with its next claim or with a later notice.
             if let Err(e) = link::notify(&self.links, address, &notices).await {
-                debug!(self.log, "entry not told of a quota"; "entry" => %entry, "reason" => %e);
+                debug!(self.log, "cannot notify entry of quota verdicts"; "entry" => %entry, "reason" => %e);
             }
         }
     }
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -22,14 +22,14 @@
     run_controller,
 };
 use super::entry::Entry;
-use super::findings::FindingsSpreader;
+use super::findings::FindingsExchange;
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
 use super::link::{self, LinkHub, Serving, watch_peers};
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
-use super::quotas::QuotaCarrier;
+use super::quotas::QuotaSender;
 use super::ready::{self, Ready};
 use super::settings::{MeshSettings, PublisherKind};
 use super::settings_file::SettingsFile;
@@ -143,13 +143,13 @@
         clock: Arc::clone(&clock),
         log: log.clone(),
     };
-    let quotas = QuotaCarrier {
+    let quotas = QuotaSender {
         controller: controller.clone(),
         links: links.clone(),
         peers_port: settings.node.peers.port(),
         log: log.clone(),
     };
-    let spreader = FindingsSpreader {
+    let spreader = FindingsExchange {
         controller: controller.clone(),
         links: links.clone(),
         peers_port: settings.node.peers.port(),
