--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -209,7 +209,7 @@
         let stats = entry(&mut self.stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
-                relative: stats.answered(ended.took),
+                relative: stats.record_response(ended.took),
             },
             other => other,
         };
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -18,7 +18,7 @@
             return true;
         };
         let stats = self.stats.get(&route.name);
-        let expected = stats.map_or(Duration::ZERO, |stats| stats.usual());
+        let expected = stats.map_or(Duration::ZERO, |stats| stats.mean_response_time());
         let left = ask
             .time_left
             .map_or(route.timeout, |left| left.min(route.timeout));
--- a/crates/node/src/mesh/controller/route_stats.rs
+++ b/crates/node/src/mesh/controller/route_stats.rs
@@ -1,43 +1,43 @@
-//! What this entry has learnt about a route.
+//! Statistics that an entry keeps about a route.
 
 use std::time::Duration;
 
 use coltsfootport_core::mesh::Downstream;
 
-/// Running means about one route.
+/// Moving averages for one route.
 #[derive(Clone, Debug)]
 pub struct RouteStats {
-    /// Usual time of an answer, in seconds; 0 before the first one.
-    usual: f64,
-    /// Arrivals below that a run causes.
+    /// Moving average of the response time in seconds; 0 before the first response.
+    mean_response_s: f64,
+    /// Requests that a run causes at downstream services.
     pub downstream: Downstream,
 }
 
-/// Weight of the newest answer.
-const NEWEST: f64 = 0.05;
+/// Weight of the latest response time in the moving average.
+const EWMA_WEIGHT: f64 = 0.05;
 
 impl RouteStats {
-    /// Nothing learnt yet.
+    /// Creates empty statistics.
     pub fn new() -> Self {
         Self {
-            usual: 0.0,
+            mean_response_s: 0.0,
             downstream: Downstream::default(),
         }
     }
 
-    /// Usual time of an answer; zero before the first one.
-    pub fn usual(&self) -> Duration {
-        Duration::from_secs_f64(self.usual)
+    /// Returns the moving average of the response time; zero before the first response.
+    pub fn mean_response_time(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_response_s)
     }
 
-    /// Takes in the time of an answer; returns it as a multiple of the usual time.
-    pub fn answered(&mut self, took: Duration) -> f64 {
+    /// Records a response time and returns it as a multiple of the average so far, or 1 for the first response.
+    pub fn record_response(&mut self, took: Duration) -> f64 {
         let took = took.as_secs_f64();
-        if self.usual == 0.0 {
-            self.usual = took;
+        if self.mean_response_s == 0.0 {
+            self.mean_response_s = took;
         }
-        let relative = took / self.usual.max(f64::MIN_POSITIVE);
-        self.usual += NEWEST * (took - self.usual);
+        let relative = took / self.mean_response_s.max(f64::MIN_POSITIVE);
+        self.mean_response_s += EWMA_WEIGHT * (took - self.mean_response_s);
         relative
     }
 }
