--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -39,7 +39,7 @@
         let now = self.clock.now();
         // Targets have no keys: a request with one is a caller's, whatever its id.
         let keyless = matches!(ask.credential, Credential::Missing);
-        let outer = self.runs.outer_of(&ask.id).filter(|_| keyless);
+        let outer = self.runs.find_outer(&ask.id).filter(|_| keyless);
         let Some(config) = self.config.clone() else {
             return Err(denied(Refusal::NoConfig, Some(BACK_NOT_READY)));
         };
@@ -235,7 +235,7 @@
         self.fleet.ended(key, outcome, busy, now);
         if let Some(outer) = &ended.outer {
             self.runs
-                .caused(outer, &ended.service, ended.report.as_ref());
+                .record_call(outer, &ended.service, ended.report.as_ref());
         }
     }
 
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -27,7 +27,7 @@
         let claim = Claim {
             presented,
             public: route.public,
-            of_unknown_run: Runs::is_id_of_call(&ask.id),
+            of_unknown_run: Runs::is_call_id(&ask.id),
             fresh: self.is_fresh(now),
         };
         mesh::authenticate(config.directory(), &claim).map_err(|refusal| {
--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -132,7 +132,7 @@
         let waiting = &mut self.quarantine.waiting;
         waiting.retain(|waiter| !waiter.reply.is_closed());
         let gone =
-            |ticket: &Ticket| !self.runs.holds(*ticket) && !self.waiting.contains_key(ticket);
+            |ticket: &Ticket| !self.runs.contains(*ticket) && !self.waiting.contains_key(ticket);
         if self.quarantine.isolated.as_ref().is_some_and(gone) {
             self.quarantine.isolated = None;
             self.recheck_isolated(self.clock.now());
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -1,4 +1,4 @@
-//! Requests that run at the own target, and what they cause.
+//! Requests running at this node's target, and the downstream requests that they cause.
 
 use std::time::Instant;
 
@@ -11,30 +11,30 @@
 use super::OuterRun;
 use crate::mesh::call::{Caused, Report};
 
-/// A request at the own target.
+/// A request running at this node's target.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its id.
+    /// Request id.
     pub id: SmolStr,
-    /// What stays the same when it is sent again.
+    /// Fingerprint, which stays the same when the request is retried.
     pub fingerprint: Fingerprint,
-    /// The instance that runs it.
+    /// Id of the instance that runs the request.
     pub instance: SmolStr,
-    /// Urgency of the request from outside that it serves.
+    /// Priority rank of the external request that this one serves.
     pub rank: u8,
-    /// Workspace of that request.
+    /// Workspace of the external request.
     pub workspace: Option<SmolStr>,
-    /// Share of the requests like that one which its entry admitted.
+    /// Share of the requests like the external one that its entry admitted.
     pub admitted: f64,
-    /// When that request entered the mesh.
+    /// When the external request entered the mesh.
     pub began: Instant,
-    /// When its time is over.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// What it has caused, by service.
+    /// Downstream requests that it has caused, by service.
     pub downstream: Vec<Caused>,
 }
 
-/// All of them, by ticket and by id.
+/// The running requests of a node, indexed by ticket and by id.
 #[derive(Clone, Debug, Default)]
 pub struct Runs {
     by_ticket: Map<Ticket, Run>,
@@ -42,7 +42,7 @@
 }
 
 impl Runs {
-    /// A request has entered.
+    /// Adds a request that starts running.
     pub fn insert(&mut self, ticket: Ticket, run: Run) {
         if !run.id.is_empty() {
             self.by_id.insert(run.id.clone(), ticket);
@@ -50,7 +50,7 @@
         self.by_ticket.insert(ticket, run);
     }
 
-    /// A request has left.
+    /// Removes a request that has stopped running.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Run> {
         let run = self.by_ticket.remove(&ticket)?;
         if self.by_id.get(&run.id) == Some(&ticket) {
@@ -59,16 +59,17 @@
         Some(run)
     }
 
-    /// Whether an id is one of a call that a run makes.
-    pub fn is_id_of_call(id: &str) -> bool {
+    /// Returns whether a request id has the form used for calls made by a running request.
+    pub fn is_call_id(id: &str) -> bool {
         id.contains('.')
     }
 
-    /// The run that a request of the own target serves.
+    /// Finds the running request on whose behalf the target makes the call with the given id.
     ///
-    /// A target's own calls have ids that begin with the id of the request which it runs, and a dot. Where they don't,
-    /// the request counts as one from outside: it can be shed although work was done for it, and nothing else changes.
-    pub fn outer_of(&self, id: &str) -> Option<OuterRun> {
+    /// The id of such a call is the id of the running request followed by a dot and a suffix. A call with any other id
+    /// is treated as an external request. The only effect is that it can be shed although work has already been done
+    /// for it.
+    pub fn find_outer(&self, id: &str) -> Option<OuterRun> {
         let mut rest = id;
         while let Some((outer, _)) = rest.rsplit_once('.') {
             if let Some(ticket) = self.by_id.get(outer) {
@@ -87,8 +88,8 @@
         None
     }
 
-    /// A call of a run has ended: it was one arrival at `service`, and caused those of its report.
-    pub fn caused(&mut self, outer: &str, service: &ServiceName, report: Option<&Report>) {
+    /// Records a finished call of a running request: one request at `service`, plus those listed in its report.
+    pub fn record_call(&mut self, outer: &str, service: &ServiceName, report: Option<&Report>) {
         let Some(ticket) = self.by_id.get(outer) else {
             return;
         };
@@ -96,9 +97,9 @@
             return;
         };
         let level = report.map_or(0.0, |report| report.level);
-        add(&mut run.downstream, service, 1, level);
+        add_downstream(&mut run.downstream, service, 1, level);
         for below in report.into_iter().flat_map(|report| &report.downstream) {
-            add(
+            add_downstream(
                 &mut run.downstream,
                 &below.service,
                 below.count,
@@ -107,31 +108,34 @@
         }
     }
 
-    /// The request that has this ticket.
+    /// Returns the request with this ticket.
     pub fn get(&self, ticket: Ticket) -> Option<&Run> {
         self.by_ticket.get(&ticket)
     }
 
-    /// Whether a request has this ticket.
-    pub fn holds(&self, ticket: Ticket) -> bool {
+    /// Returns whether a request with this ticket is running.
+    pub fn contains(&self, ticket: Ticket) -> bool {
         self.by_ticket.contains_key(&ticket)
     }
 
-    /// All requests.
+    /// Iterates over all requests in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Run> {
         self.by_ticket.values()
     }
 
-    /// Number of requests.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.by_ticket.len()
     }
 }
 
-fn add(caused: &mut Vec<Caused>, service: &ServiceName, count: u32, level: f64) {
-    match caused.iter_mut().find(|other| other.service == *service) {
+fn add_downstream(downstream: &mut Vec<Caused>, service: &ServiceName, count: u32, level: f64) {
+    match downstream
+        .iter_mut()
+        .find(|other| other.service == *service)
+    {
         Some(known) => known.add(count, level),
-        None => caused.push(Caused {
+        None => downstream.push(Caused {
             service: service.clone(),
             count,
             level,
