--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Logs the workspaces with the highest demand among those for which this node, as a home, lets entries admit only a
-    /// share of the requests.
+    /// Logs the workspaces with the highest demand among those for which this node, as a home, lets entries admit only
+    /// a share of the requests.
     fn report_home_quotas(&mut self) {
         let mut limited: Vec<HomeTally> = self
             .home_quotas
