--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -178,7 +178,7 @@
         };
         Ok(SendTo {
             own: chosen.address == self.cfg.target,
-            cut_off: self.own_cut_off(),
+            cut_off: self.cut_off_instance(),
             chosen,
             guard,
         })
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -24,7 +24,7 @@
     ) {
         let now = self.clock.now();
         if let Some(id) = &ask.cut_off {
-            self.hear_cut_off(id, now);
+            self.note_cut_off(id, now);
         }
         if self.has_left(&ask.instance) {
             drop(reply.send(Err(self.not_granted(Refusal::Stopping, None))));
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -1,4 +1,4 @@
-//! News of the publisher, and what the node shows of its beliefs.
+//! Applies updates from the publisher, tracks whether it is reachable, and exposes the controller's state as metrics.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,47 +14,48 @@
 
 use super::Controller;
 
-/// Smallest move of the own level that is logged.
+/// Smallest change of the node's own admission level that is logged.
 const LOGGED_LEVEL_STEP: f64 = 0.5;
 
 impl Controller {
-    /// Takes in changes in their order.
-    pub(super) fn news(&mut self, batch: UpdateBatch) {
-        self.publisher_answered();
-        self.log_faults(&batch);
+    /// Applies a batch of changes in order.
+    pub(super) fn apply_changes(&mut self, batch: UpdateBatch) {
+        self.note_publisher_answer();
+        self.log_config_faults(&batch);
         for update in batch.updates {
-            self.apply(update);
+            self.apply_update(update);
         }
-        self.after_news();
+        self.after_updates();
     }
 
-    /// Takes in everything published: instances that it lacks have been removed meanwhile, unless it is an older copy.
-    pub(super) fn listed(&mut self, batch: UpdateBatch) {
+    /// Applies a full listing. Instances missing from it have been removed in the meantime, unless the publisher has
+    /// come back from an older copy of its data.
+    pub(super) fn apply_listing(&mut self, batch: UpdateBatch) {
         let era = batch.position.era;
-        self.publisher_answered();
-        self.log_faults(&batch);
+        self.note_publisher_answer();
+        self.log_config_faults(&batch);
         let mut instances = Vec::new();
         for update in batch.updates {
             match update {
-                Update::Instance(instance) => instances.extend(self.named(instance)),
-                other => self.apply(other),
+                Update::Instance(instance) => instances.extend(self.check_service(instance)),
+                other => self.apply_update(other),
             }
         }
         let now = self.clock.now();
-        let came_back = self.era.is_some_and(|known| known < era);
+        let is_older_copy = self.era.is_some_and(|known| known < era);
         self.era = Some(era);
-        let ended = match came_back {
+        let ended = match is_older_copy {
             true => self.fleet.restore(instances, now),
             false => self.fleet.replace_all(instances, now),
         };
         for id in ended {
-            self.ended(id, "not listed");
+            self.note_instance_ended(id, "not listed");
         }
-        self.after_news();
+        self.after_updates();
     }
 
-    /// The publisher answers.
-    pub(super) fn publisher_answered(&mut self) {
+    /// Records that the publisher answered.
+    pub(super) fn note_publisher_answer(&mut self) {
         let now = self.clock.now();
         if !self.publisher_sound {
             info!(self.journal.log(), "publisher answers"; "away_ms" => self.publisher_age_ms(now));
@@ -64,8 +65,8 @@
         self.fleet.publisher_back(now);
     }
 
-    /// The publisher does not answer as it should.
-    pub(super) fn publisher_failed(&mut self) {
+    /// Records that the publisher did not answer, or answered incorrectly.
+    pub(super) fn note_publisher_failure(&mut self) {
         if self.publisher_sound {
             warn!(self.journal.log(), "publisher lost"; "age_ms" => self.publisher_age_ms(self.clock.now()));
         }
@@ -73,13 +74,13 @@
         self.fleet.publisher_lost();
     }
 
-    /// The fleet as far as the reading of the publisher is concerned.
+    /// Returns the part of the fleet's state that decides which nodes read from the publisher.
     pub(super) fn readers_view(&self, cfg: &ReadersConfig) -> ReadersView {
         self.fleet.readers_view(self.cfg.target.ip(), cfg)
     }
 
-    /// Shows beliefs as metrics, and moves of the own level in the log.
-    pub(super) fn show(&mut self, now: Instant) {
+    /// Updates the metrics and logs changes of the node's own admission level.
+    pub(super) fn update_metrics(&mut self, now: Instant) {
         let level = self.gate.level();
         if (level - self.logged_level).abs() >= LOGGED_LEVEL_STEP {
             info!(self.journal.log(), "level moved"; "level" => level, "was" => self.logged_level, "load" => self.gate.load(),
@@ -95,43 +96,44 @@
             .set(self.publisher_age_ms(now) as i64);
     }
 
-    /// The own instance, where this node does not hear the publisher. Its entry may lapse although it works, and the nodes
-    /// that hear the publisher must know.
-    pub(super) fn own_cut_off(&self) -> Option<SmolStr> {
+    /// Returns the id of this node's instance if the node is cut off from the publisher. The published entry may then
+    /// lapse although the instance works, so nodes that still reach the publisher have to be told.
+    pub(super) fn cut_off_instance(&self) -> Option<SmolStr> {
         match self.publisher_sound {
             true => None,
             false => Some(self.fleet.at_address(self.cfg.target)?.id.clone()),
         }
     }
 
-    /// Another node has said that it is cut off from the publisher; `id` is the instance beside it.
-    pub(super) fn hear_cut_off(&mut self, id: &SmolStr, now: Instant) {
+    /// Records that another node reported itself cut off from the publisher; `id` is the instance next to that node.
+    pub(super) fn note_cut_off(&mut self, id: &SmolStr, now: Instant) {
         if self.fleet.host_cut_off(id, now) {
-            info!(self.journal.log(), "instance used again"; "instance" => id.as_str(),
+            info!(self.journal.log(), "instance back in use"; "instance" => id.as_str(),
                 "reason" => "its node is cut off from the publisher");
         }
     }
 
-    fn apply(&mut self, update: Update) {
+    fn apply_update(&mut self, update: Update) {
         match update {
             Update::Config(config) => self.apply_config(config),
             Update::Instance(instance) => {
-                if let Some(instance) = self.named(instance) {
+                if let Some(instance) = self.check_service(instance) {
                     self.apply_instance(instance);
                 }
             }
             Update::InstanceGone(id) => {
                 self.entries.forget(&id);
-                self.apply_gone(id);
+                self.apply_instance_gone(id);
             }
-            Update::BadEntry { id, fault, detail } => self.bad_entry(&id, fault, &detail),
+            Update::BadEntry { id, fault, detail } => self.reject_entry(&id, fault, &detail),
         }
     }
 
-    /// The instance of an entry, unless its service is none that the configuration in force names: then the entry is of
-    /// another writer, and kept only until a configuration names the service. Let in, it could take the address of a working
-    /// instance from it.
-    fn named(&mut self, instance: Instance) -> Option<Instance> {
+    /// Returns the instance of a published entry if the configuration in force names its service.
+    ///
+    /// Otherwise the entry comes from another writer and is set aside until a configuration names the service. Added to
+    /// the fleet, it could take over the address of a working instance.
+    fn check_service(&mut self, instance: Instance) -> Option<Instance> {
         let config = self.config.as_ref();
         if config.is_none_or(|config| config.names(&instance.service)) {
             self.entries.forget(&instance.id);
@@ -140,12 +142,12 @@
         let id = instance.id.clone();
         let detail = format!("the service is `{}`", instance.service);
         self.entries.keep(instance);
-        self.bad_entry(&id, EntryFault::Service, &detail);
+        self.reject_entry(&id, EntryFault::Service, &detail);
         None
     }
 
-    /// An entry names no instance: nobody is used by its id until it is written well again.
-    fn bad_entry(&mut self, id: &SmolStr, fault: EntryFault, detail: &str) {
+    /// Handles an entry that names no instance: no instance with its id is used until a valid entry is published.
+    fn reject_entry(&mut self, id: &SmolStr, fault: EntryFault, detail: &str) {
         if !self.entries.turned_bad(id, fault) {
             return;
         }
@@ -155,8 +157,8 @@
             "reason" => fault.as_str(), "detail" => detail, "was_used" => was_used);
     }
 
-    /// Takes a configuration into force unless it is older than the one in force: the publisher's answers can be stale,
-    /// and a request handled by a route that was removed would be seen as a step back.
+    /// Applies a configuration unless the one in force is as new. The publisher's answers can be stale, and handling a
+    /// request by a removed route would be a visible step back.
     fn apply_config(&mut self, config: Arc<MeshConfig>) {
         let in_force = self.config.as_ref().map(|config| config.version());
         if in_force >= Some(config.version()) {
@@ -169,7 +171,7 @@
         self.metrics
             .config_version
             .set(i64::try_from(config.version().0).unwrap_or(i64::MAX));
-        self.forget_old_routes(&config);
+        self.prune_routes(&config);
         self.limits.send_replace(config.limits());
         self.gate.set_ranks(config.last_shed_order() + 1);
         let kept = self.entries.take_named(&config);
@@ -180,18 +182,18 @@
         }
     }
 
-    /// Shares of a split begin anew where its weights have changed, and nothing is kept of routes that are gone.
-    fn forget_old_routes(&mut self, new: &MeshConfig) {
+    /// Resets traffic splits whose weights have changed, and drops the state of removed routes.
+    fn prune_routes(&mut self, new: &MeshConfig) {
         let names: Set<&SmolStr> = new.routes().iter().map(|route| &route.name).collect();
         let old = self.config.clone();
-        let same_parts = |name: &SmolStr| {
+        let has_same_parts = |name: &SmolStr| {
             let find = |config: &MeshConfig| {
                 let route = config.routes().iter().find(|route| route.name == *name)?;
                 Some(route.parts.clone())
             };
             old.as_deref().and_then(find) == find(new)
         };
-        self.splits.retain(|name, _| same_parts(name));
+        self.splits.retain(|name, _| has_same_parts(name));
         self.stats.retain(|name, _| names.contains(name));
         self.shedder.retain(|name| names.contains(name));
     }
@@ -208,28 +210,29 @@
         info!(self.journal.log(), "instance seen"; "instance" => id.as_str(),
             "of_service" => service.as_str(), "leaving" => leaving, "restarted" => effect == PutEffect::Restarted);
         if let PutEffect::Superseded(older) = effect {
-            self.ended(older, "superseded");
+            self.note_instance_ended(older, "superseded");
         }
     }
 
-    fn apply_gone(&mut self, id: SmolStr) {
+    fn apply_instance_gone(&mut self, id: SmolStr) {
         match self.fleet.gone(&id, self.clock.now()) {
-            GoneEffect::Gone => self.ended(id, "removed"),
+            GoneEffect::Gone => self.note_instance_ended(id, "removed"),
             GoneEffect::Held => {
                 info!(self.journal.log(), "instance lapsed"; "instance" => id.as_str());
             }
-            // Its end is known already: its successor has its address.
+            // Its end was recorded when its successor appeared at its address.
             GoneEffect::Unknown => {}
         }
     }
 
-    /// Takes in that an instance has ended, and why it is believed.
-    pub(super) fn ended(&mut self, id: SmolStr, reason: &str) {
+    /// Records that an instance has ended; `reason` is the evidence for it.
+    pub(super) fn note_instance_ended(&mut self, id: SmolStr, reason: &str) {
         info!(self.journal.log(), "instance gone"; "instance" => id.as_str(), "reason" => reason);
         self.note_gone(id);
     }
 
-    fn after_news(&mut self) {
+    /// Propagates fleet and configuration changes to everything that depends on them.
+    fn after_updates(&mut self) {
         self.budget.set_nodes(self.fleet.len());
         self.update_quota_homes();
         if let Some(own) = self.fleet.at_address(self.cfg.target) {
@@ -240,13 +243,14 @@
         self.pump(now);
     }
 
-    fn log_faults(&self, batch: &UpdateBatch) {
+    fn log_config_faults(&self, batch: &UpdateBatch) {
         for fault in &batch.faults {
             self.metrics.config_faults.inc();
-            warn!(self.journal.log(), "configuration refused, the last good one stays"; "fault" => fault);
+            warn!(self.journal.log(), "configuration rejected, keeping the last valid one"; "fault" => fault);
         }
     }
 
+    /// Returns the time since the publisher's last answer in milliseconds, or 0 if it has not answered yet.
     pub(super) fn publisher_age_ms(&self, now: Instant) -> u64 {
         let age = self
             .publisher_answered
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -40,10 +40,10 @@
             ControllerEvent::Retry(ask, tx) => drop(tx.send(self.retry(&ask))),
             ControllerEvent::Enter(ask, tx) => self.enter(ask, tx),
             ControllerEvent::Left(ticket, left, tx) => self.leave(ticket, left, tx),
-            ControllerEvent::News(batch) => self.news(batch),
-            ControllerEvent::Listed(batch) => self.listed(batch),
-            ControllerEvent::PublisherAnswered => self.publisher_answered(),
-            ControllerEvent::PublisherFailed => self.publisher_failed(),
+            ControllerEvent::News(batch) => self.apply_changes(batch),
+            ControllerEvent::Listed(batch) => self.apply_listing(batch),
+            ControllerEvent::PublisherAnswered => self.note_publisher_answer(),
+            ControllerEvent::PublisherFailed => self.note_publisher_failure(),
             ControllerEvent::Stop => self.stop(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
             ControllerEvent::Configured(cfg) => self.configure(*cfg),
@@ -68,7 +68,7 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         for id in self.fleet.tick(now) {
-            self.ended(id, "lapsed");
+            self.note_instance_ended(id, "lapsed");
         }
         self.forget_waiters();
         self.tick_quarantine(now);
@@ -76,6 +76,6 @@
         self.report_quotas(now);
         self.gate.update_level(now);
         self.pump(now);
-        self.show(now);
+        self.update_metrics(now);
     }
 }
