--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -157,8 +157,8 @@
             "reason" => fault.as_str(), "detail" => detail, "was_used" => was_used);
     }
 
-    /// Applies a configuration unless the one in force is as new. The publisher's answers can be stale, and handling a
-    /// request by a removed route would be a visible step back.
+    /// Applies a configuration unless the one in force is at least as new. The publisher's answers can be stale, and
+    /// handling a request by a removed route would be a visible step back.
     fn apply_config(&mut self, config: Arc<MeshConfig>) {
         let in_force = self.config.as_ref().map(|config| config.version());
         if in_force >= Some(config.version()) {
