--- a/crates/node/src/mesh/controller.rs
+++ b/crates/node/src/mesh/controller.rs
@@ -8,7 +8,7 @@
 mod event;
 mod guards;
 mod handle;
-mod news;
+mod publisher_updates;
 mod quarantine;
 mod quota_report;
 mod quotas;
