--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// As a home, accepts claims of another node and returns a verdict for each. The result is empty if this node does not
-    /// know one of the workspaces yet, so that the entry tries another home.
+    /// As a home, accepts claims of another node and returns a verdict for each. The result is empty if this node does
+    /// not know one of the workspaces yet, so that the entry tries another home.
     pub(super) fn accept_claims(&mut self, claims: &[QuotaUsage]) -> Vec<Verdict> {
         let now = self.clock.now();
         let verdicts = claims.iter().map(|claim| self.accept_claim(claim, now));
