--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -6,7 +6,7 @@
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, Split};
-use coltsfootport_core::quarantine::Standing;
+use coltsfootport_core::quarantine::SuspicionLevel;
 use rand::Rng;
 use smol_str::SmolStr;
 
@@ -41,7 +41,7 @@
         let now = self.clock.now();
         // Targets have no keys: a request with a key comes from an external caller, whatever its id.
         let keyless = matches!(req.credential, Credential::Missing);
-        let parent = self.runs.outer_of(&req.id).filter(|_| keyless);
+        let parent = self.runs.find_outer(&req.id).filter(|_| keyless);
         let Some(config) = self.config.clone() else {
             return Err(denial(Refusal::NoConfig, Some(RETRY_AFTER_NOT_READY)));
         };
@@ -62,11 +62,11 @@
                 let workspace = self.authenticate(&config, route, req, now)?;
                 let rank = config.rank(route, workspace);
                 if let Some(workspace) = workspace {
-                    self.within_quota(workspace, req, now)?;
+                    self.check_quota(workspace, req, now)?;
                 }
                 let share = self.check_shedding(&config, key, rank, req, now);
                 if let (Err(_), Some(workspace)) = (&share, workspace) {
-                    self.quota_unused(&workspace.name);
+                    self.release_quota(&workspace.name);
                 }
                 let share = share?;
                 (rank, workspace.map(|known| known.name.clone()), share)
@@ -148,16 +148,20 @@
         if !req.tried.is_empty() && !self.is_key_valid(req.key.as_ref()) {
             return Err(Refusal::NoInstance);
         }
-        let chosen = match self.quarantine.register.standing(req.fingerprint, now) {
-            Standing::Refused => {
+        let chosen = match self
+            .quarantine
+            .registry
+            .suspicion_level(req.fingerprint, now)
+        {
+            SuspicionLevel::Refused => {
                 self.log_refused(req.fingerprint, now);
                 return Err(Refusal::CrashesTargets);
             }
-            Standing::Isolated => {
+            SuspicionLevel::Isolated => {
                 self.fleet
                     .choose_same(&req.service, req.fingerprint, &req.tried, now)
             }
-            Standing::Suspected | Standing::Unsuspected => {
+            SuspicionLevel::Suspected | SuspicionLevel::Unsuspected => {
                 self.fleet
                     .choose(&req.service, &req.tried, now, &mut self.rng)
             }
@@ -181,7 +185,7 @@
         };
         Ok(SelectedInstance {
             is_local: chosen.address == self.cfg.target,
-            cut_off: self.own_cut_off(),
+            cut_off: self.cut_off_instance(),
             chosen,
             guard,
         })
@@ -208,18 +212,18 @@
     pub(super) fn complete_send(&mut self, key: InstanceKey, ended: CompletedSend) {
         let now = self.clock.now();
         if ended.answer_complete {
-            self.answered(ended.fingerprint, now);
+            self.record_answer(ended.fingerprint, now);
         }
         let stats = get_or_insert(&mut self.route_stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
-                relative: stats.answered(ended.took),
+                relative: stats.record_response(ended.took),
             },
             other => other,
         };
         if let Some(report) = &ended.report {
             if let Some(finding) = &report.finding {
-                self.quarantine.register.hear(finding, now);
+                self.quarantine.registry.merge(finding, now);
             }
             if matches!(outcome, SendOutcome::Answered { .. }) {
                 let below = report.downstream.iter();
@@ -239,7 +243,7 @@
         self.fleet.ended(key, outcome, busy, now);
         if let Some(parent) = &ended.parent {
             self.runs
-                .caused(parent, &ended.service, ended.report.as_ref());
+                .record_call(parent, &ended.service, ended.report.as_ref());
         }
     }
 
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -25,7 +25,7 @@
     ) {
         let now = self.clock.now();
         if let Some(id) = &req.cut_off {
-            self.hear_cut_off(id, now);
+            self.note_cut_off(id, now);
         }
         if self.is_draining_or_removed(&req.instance) {
             drop(reply.send(Err(self.slot_refusal(Refusal::Stopping, None))));
@@ -35,7 +35,7 @@
             drop(reply.send(Err(self.slot_refusal(Refusal::ExpiredUnsent, None))));
             return;
         }
-        self.enter_by_standing(Waiter { req, reply }, now);
+        self.enter_by_suspicion(Waiter { req, reply }, now);
     }
 
     /// Grants a request a slot, queues it or refuses it, without regard to its quarantine standing. Returns its ticket
@@ -87,16 +87,16 @@
     ) {
         let now = self.clock.now();
         self.gate.leave(ticket, release.held, now);
-        let standing = self.run_ended(ticket, release.end, now);
+        let standing = self.record_run_end(ticket, release.end, now);
         let run = self.runs.remove(ticket);
-        self.leave_isolation(ticket, now);
+        self.end_isolation(ticket, now);
         self.start_queued(now);
         let Some(reply) = reply else {
             return;
         };
         let mut report = self.report();
         if let Some(run) = run {
-            report.finding = self.finding_after(release.end, run.fingerprint, now);
+            report.finding = self.finding_after_run(release.end, run.fingerprint, now);
             report.downstream = run.downstream;
         }
         drop(reply.send(RunOutcome { report, standing }));
@@ -125,7 +125,7 @@
             }
             !abandoned
         });
-        self.forget_isolated();
+        self.prune_isolated();
     }
 
     /// Refuses queued requests for instances that are draining or removed. Their entry nodes select another instance.
@@ -140,7 +140,7 @@
             self.gate.cancel(ticket);
             self.refuse_waiter(ticket, Refusal::Stopping);
         }
-        self.review_isolated(self.clock.now());
+        self.recheck_isolated(self.clock.now());
     }
 
     /// Remembers the id of a removed instance.
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -8,7 +8,7 @@
     Chosen, InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
     SendOutcome, Ticket, UpdateBatch,
 };
-use coltsfootport_core::quarantine::{Finding, Fingerprint, Standing};
+use coltsfootport_core::quarantine::{Finding, Fingerprint, SuspicionLevel};
 use coltsfootport_core::workspace::{QuotaNotice, QuotaUsage, RoutedClaim, Verdict};
 use http::HeaderValue;
 use smol_str::SmolStr;
@@ -91,7 +91,7 @@
     /// Report that the host sends to the entry node.
     pub report: Report,
     /// Quarantine standing of the request after this run.
-    pub standing: Standing,
+    pub standing: SuspicionLevel,
 }
 
 /// The properties of a request that its admission depends on.
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -27,7 +27,7 @@
 use crate::mesh::findings::FindingsMessage;
 use crate::mesh::journal::Journal;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::quotas::QuotaWord;
+use crate::mesh::quotas::QuotaMessage;
 
 /// Settings of a controller.
 #[derive(Clone, Debug, PartialEq)]
@@ -89,7 +89,7 @@
     /// Limits on what callers may send.
     pub limits: watch::Sender<CallerLimits>,
     /// Messages about workspace quotas for other nodes.
-    pub quota_messages: mpsc::UnboundedSender<QuotaWord>,
+    pub quota_messages: mpsc::UnboundedSender<QuotaMessage>,
     /// Findings about requests that crash targets, for other nodes.
     pub findings: mpsc::UnboundedSender<FindingsMessage>,
 }
@@ -115,7 +115,7 @@
     pub(super) quota_router: QuotaRouter,
     /// When quota decisions were last reported.
     pub(super) last_quota_report: Instant,
-    pub(super) quota_messages: mpsc::UnboundedSender<QuotaWord>,
+    pub(super) quota_messages: mpsc::UnboundedSender<QuotaMessage>,
     pub(super) waiting: Map<Ticket, Waiter>,
     pub(super) quarantine: Quarantine,
     pub(super) findings: mpsc::UnboundedSender<FindingsMessage>,
--- a/crates/node/src/mesh/controller/task.rs
+++ b/crates/node/src/mesh/controller/task.rs
@@ -43,42 +43,42 @@
             ControllerEvent::SlotReleased(ticket, release, tx) => {
                 self.release_slot(ticket, release, tx)
             }
-            ControllerEvent::PublisherUpdates(batch) => self.news(batch),
-            ControllerEvent::PublisherSnapshot(batch) => self.listed(batch),
-            ControllerEvent::PublisherAnswered => self.publisher_answered(),
-            ControllerEvent::PublisherFailed => self.publisher_failed(),
+            ControllerEvent::PublisherUpdates(batch) => self.apply_changes(batch),
+            ControllerEvent::PublisherSnapshot(batch) => self.apply_listing(batch),
+            ControllerEvent::PublisherAnswered => self.note_publisher_answer(),
+            ControllerEvent::PublisherFailed => self.note_publisher_failure(),
             ControllerEvent::Stop => self.start_drain(),
             ControllerEvent::LogUnfinished => self.log_unfinished(),
             ControllerEvent::SettingsChanged(cfg) => self.apply_settings(*cfg),
             ControllerEvent::Readiness(tx) => drop(tx.send(self.is_ready())),
             ControllerEvent::ReadersView(cfg, tx) => drop(tx.send(self.readers_view(&cfg))),
-            ControllerEvent::QuotaUnused(workspace) => self.quota_unused(&workspace),
-            ControllerEvent::QuotaNoticesReceived(notices) => self.quota_heard(notices),
-            ControllerEvent::QuotaClaimsConfirmed(confirmed) => self.quota_confirmed(&confirmed),
+            ControllerEvent::QuotaUnused(workspace) => self.release_quota(&workspace),
+            ControllerEvent::QuotaNoticesReceived(notices) => self.apply_quota_notices(notices),
+            ControllerEvent::QuotaClaimsConfirmed(confirmed) => self.confirm_claims(&confirmed),
             ControllerEvent::SilentPeerShare(share) => self.check_replaced(share),
-            ControllerEvent::QuotaClaimsUndelivered(claims) => self.quota_untold(claims),
+            ControllerEvent::QuotaClaimsUndelivered(claims) => self.reroute_claims(claims),
             ControllerEvent::QuotaClaimsReceived(claims, tx) => {
-                drop(tx.send(self.quota_claimed(&claims)));
+                drop(tx.send(self.accept_claims(&claims)));
             }
-            ControllerEvent::FindingsReceived(findings) => self.findings_heard(&findings),
+            ControllerEvent::FindingsReceived(findings) => self.merge_findings(&findings),
             ControllerEvent::FindingsRequested(digest, tx) => {
-                drop(tx.send(self.findings_unlike(digest)));
+                drop(tx.send(self.findings_for_peer(digest)));
             }
-            ControllerEvent::HostedRequests(tx) => drop(tx.send(self.hosted())),
+            ControllerEvent::HostedRequests(tx) => drop(tx.send(self.hosted_count())),
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
         for id in self.fleet.tick(now) {
-            self.ended(id, "lapsed");
+            self.note_instance_ended(id, "lapsed");
         }
         self.remove_abandoned_waiters();
-        self.tend_quarantine(now);
-        self.tell_homes(now);
+        self.tick_quarantine(now);
+        self.send_quota_claims(now);
         self.report_quotas(now);
         self.gate.update_level(now);
         self.start_queued(now);
-        self.show(now);
+        self.update_metrics(now);
     }
 }
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{Dialect, Refusal, Repeat};
-use coltsfootport_core::quarantine::{CrashId, Standing};
+use coltsfootport_core::quarantine::{CrashId, SuspicionLevel};
 use http::StatusCode;
 use tokio::time::timeout;
 
@@ -97,7 +97,7 @@
         let RunResult { mut result, end } = self.run_at_target(req, grace).await;
         let outcome = slot.release(end).await;
         // The refusal tells the caller not to retry: a retry would crash the next target.
-        if outcome.standing == Standing::Refused && matches!(end, RunEnd::Crashed(_)) {
+        if outcome.standing == SuspicionLevel::Refused && matches!(end, RunEnd::Crashed(_)) {
             result = Err(Refused::from(Refusal::CrashesTargets));
         }
         HostReply {
