--- a/crates/node/src/mesh/controller/publisher_updates.rs
+++ b/crates/node/src/mesh/controller/publisher_updates.rs
@@ -246,7 +246,7 @@
     fn log_config_faults(&self, batch: &UpdateBatch) {
         for fault in &batch.faults {
             self.metrics.config_faults.inc();
-            warn!(self.journal.log(), "configuration rejected, keeping the last valid one"; "fault" => fault);
+            warn!(self.journal.log(), "configuration refused, the last good one stays"; "fault" => fault);
         }
     }
 
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -129,7 +129,12 @@
     }
 }
 
-fn add_downstream(downstream: &mut Vec<DownstreamCalls>, service: &ServiceName, count: u32, level: f64) {
+fn add_downstream(
+    downstream: &mut Vec<DownstreamCalls>,
+    service: &ServiceName,
+    count: u32,
+    level: f64,
+) {
     match downstream
         .iter_mut()
         .find(|other| other.service == *service)
