--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -171,7 +171,8 @@
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let work = self.work.expected(request.kind);
-        self.level.arrived(request.order, work, request.admitted);
+        self.level
+            .record_arrival(request.order, work, request.admitted);
         if self.latest_start(&request) <= now {
             return Admission::DeadlineUnreachable;
         }
--- a/crates/core/tests/mesh_gate.rs
+++ b/crates/core/tests/mesh_gate.rs
@@ -147,7 +147,7 @@
     let step = ms(50);
     for _ in 0..driven.time.as_millis() / step.as_millis() {
         for (order, load) in driven.loads.iter().enumerate() {
-            level.arrived(order, load * slots * step.as_secs_f64(), driven.admitted);
+            level.record_arrival(order, load * slots * step.as_secs_f64(), driven.admitted);
         }
         *now += step;
         let mut backlog = Backlog::default();
@@ -228,15 +228,15 @@
 fn a_queue_of_a_rank_sheds_no_more_urgent_one() {
     let now = Instant::now();
     let mut level = LevelControl::new(LevelConfig::default(), now);
-    level.arrived(0, 10.0, 1.0);
-    level.arrived(1, 3.0, 1.0);
+    level.record_arrival(0, 10.0, 1.0);
+    level.record_arrival(1, 3.0, 1.0);
     let mut backlog = Backlog::default();
     backlog.add(0, 5.0);
     level.update(10.0, &backlog, now + ms(1000));
     assert_eq!(level.level(), 1.0, "the rank that waits, and no other");
     backlog.add(1, 0.9);
-    level.arrived(0, 10.0, 1.0);
-    level.arrived(1, 3.0, 1.0);
+    level.record_arrival(0, 10.0, 1.0);
+    level.record_arrival(1, 3.0, 1.0);
     level.update(10.0, &backlog, now + ms(2000));
     let level = level.level();
     assert!(
@@ -261,7 +261,7 @@
         let admitted = 1.0 - share;
         now += ms(50);
         for (level, offered) in &mut hosts {
-            level.arrived(0, *offered * admitted * 0.5, admitted);
+            level.record_arrival(0, *offered * admitted * 0.5, admitted);
             level.update(10.0, &Backlog::default(), now);
         }
         let mean = (hosts[0].0.level() + hosts[1].0.level()) / 2.0;
