--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -62,7 +62,7 @@
 pub use send_outcome::SendOutcome;
 pub use shedder::{Shed, Shedder, ShedderConfig};
 pub use split::Split;
-pub use target_gate::{Admission, GateConfig, TargetGate, Ticket, Waiting};
+pub use target_gate::{Admission, GateConfig, SlotRequest, TargetGate, Ticket};
 pub use time_limits::{Limited, Margin, TimeLimits};
 pub use update::{Update, UpdateBatch};
 pub use work::{RequestKind, Work};
--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -1,4 +1,4 @@
-//! Admission to a target's slots, and the queue before them.
+//! Admission to the slots of a target, and the queue in front of them.
 
 use std::time::{Duration, Instant};
 
@@ -6,21 +6,21 @@
 use crate::collections::Map;
 use crate::mesh::{Backlog, LevelConfig, LevelControl, RequestKind, TimeLimits, Work};
 
-/// How requests wait for a target.
+/// Settings of the queue in front of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateConfig {
-    /// Requests that run at a time until the published list tells the target's own number.
+    /// Concurrency limit until the published list of instances gives the target's own.
     pub slots: u32,
-    /// Requests that wait at most; bounds memory.
-    pub queue: usize,
-    /// Share of the usual time of its kind that a request must have left to be started, 0 to start whatever has any. A run
-    /// that ends at its deadline has held its slot, and those of its calls, for nothing.
+    /// Maximum number of queued requests; bounds memory.
+    pub max_queued: usize,
+    /// Share of the mean service time of its kind that a request must have left to be dispatched; 0 dispatches any request
+    /// before its deadline. A run that is cut off at its deadline has wasted its slot and those of its calls.
     pub start_share: f64,
-    /// Whether slots are left free where the target slows down with all of them.
+    /// Whether to leave slots free when the target slows down near full concurrency.
     pub headroom: bool,
-    /// Until when requests may wait.
+    /// Margins that bound how long requests may wait.
     pub limits: TimeLimits,
-    /// The level that follows from the load.
+    /// How the overload level follows the load.
     pub level: LevelConfig,
 }
 
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             slots: 16,
-            queue: 2000,
+            max_queued: 2000,
             start_share: 0.5,
             headroom: true,
             limits: TimeLimits::default(),
@@ -37,59 +37,59 @@
     }
 }
 
-/// Names one request within a gate.
+/// Identifies a request within a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// A request that wants to run.
+/// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting {
-    /// Urgency of the request from outside that it serves; 0 goes first.
+pub struct SlotRequest {
+    /// Urgency of the external request that it belongs to; 0 is served first.
     pub rank: u8,
-    /// Ranks that are shed before that one.
-    pub order: usize,
-    /// Share of the requests from outside like that one which its entry admitted at that time.
+    /// Number of ranks that are shed before its own.
+    pub shed_order: usize,
+    /// Share of similar external requests that the entry was admitting when it admitted this one.
     pub admitted: f64,
-    /// Its route.
+    /// Route of the request.
     pub kind: RequestKind,
-    /// Whether another run waits for it. Work has been done above it already, so it goes before others of its rank and is
-    /// refused only where it can't be in time.
+    /// Whether it is a call of another run. Work upstream has already been done, so it is served before others of its rank
+    /// and refused only if it can't finish in time.
     pub inner: bool,
-    /// When the request from outside that it serves entered the mesh.
+    /// When the external request that it belongs to entered the mesh.
     pub began: Instant,
-    /// When its time is over.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// Longest wait to be expected at which it still enters.
+    /// Longest expected wait at which it is still queued.
     pub queue_timeout: Duration,
 }
 
 /// Result of enqueueing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Dispatched at once.
-    Run(Ticket),
-    /// Queued; [`TargetGate::next_start`] returns its ticket when a slot is free.
-    Wait(Ticket),
-    /// Its expected wait is longer than its queue timeout.
+    /// Dispatched immediately.
+    Dispatched(Ticket),
+    /// Queued; [`TargetGate::dispatch_next`] returns its ticket when a slot is free.
+    Queued(Ticket),
+    /// Its expected wait is longer than its queue timeout or its remaining time, or the queue is full.
     Refused {
-        /// Time after which the queue has drained.
+        /// Expected wait for a slot.
         retry_after: Duration,
     },
-    /// It can't meet its deadline any more, by the usual service time of its kind.
+    /// It can no longer meet its deadline, judging by the mean service time of its kind.
     DeadlineUnreachable,
 }
 
-/// Slots and queue of one target.
+/// Concurrency slots and queue of one target.
 #[derive(Clone, Debug)]
 pub struct TargetGate {
     cfg: GateConfig,
     slots: u32,
-    /// Slots that are used, fewer where the target slows down with all of them.
+    /// Slots in use at most; fewer than `slots` if the target slows down near full concurrency.
     usable: u32,
     running: Map<Ticket, Running>,
     queue: Vec<Queued>,
     next_ticket: u64,
-    work: Work,
+    service_times: Work,
     headroom: Headroom,
     level: LevelControl,
 }
@@ -97,41 +97,42 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     kind: RequestKind,
-    /// Whether it began with nearly all slots in use.
-    full: bool,
+    /// Whether it was dispatched with nearly all slots in use.
+    nearly_full: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Queued {
     ticket: Ticket,
-    request: Waiting,
+    request: SlotRequest,
     since: Instant,
-    /// When it is refused if it still waits.
-    until: Instant,
-    /// Seconds for which it is expected to hold a slot.
+    /// When it expires if it is still queued.
+    expires: Instant,
+    /// Expected service time, in seconds.
     work: f64,
 }
 
 impl Queued {
-    /// Rank first, then runs in progress, then the oldest request from outside.
+    /// Sort key: rank, then calls of runs in progress, then the age of the external request.
     ///
-    /// A request that makes many calls in a row waits here for each of them. By the arrival of each call, all requests in
-    /// progress would take turns and all be late at the end; by age, those that have got furthest are finished first.
-    fn order(&self) -> (u8, bool, Instant, Ticket) {
+    /// A request that makes several calls in sequence queues here for each of them. Ordered by the arrival of each call, all
+    /// requests in progress would take turns and all finish late; ordered by age, the most advanced ones finish first.
+    fn dispatch_order(&self) -> (u8, bool, Instant, Ticket) {
         let req = &self.request;
         (req.rank, !req.inner, req.began, self.ticket)
     }
 }
 
-/// Share of its time in which the queue before a request should drain: it may pass several targets on its way, and its
-/// own run needs the most of it.
+/// Share of a request's remaining time within which the queue should drain. Most of that time is needed for its own run,
+/// and it may queue at several targets on its way.
 const DRAIN_SHARE: f64 = 0.25;
 
-/// Bounds of that time: a shorter one would answer every fluctuation, a longer one would let queues stand.
+/// Bounds of the drain time in seconds: a shorter one would react to every fluctuation, a longer one would let queues
+/// persist.
 const DRAIN_RANGE: (f64, f64) = (0.2, 2.0);
 
 impl TargetGate {
-    /// A gate with an empty queue and all slots free.
+    /// Creates a gate with an empty queue and all slots free.
     pub fn new(cfg: GateConfig, now: Instant) -> Self {
         Self {
             slots: cfg.slots,
@@ -139,14 +140,14 @@
             running: Map::default(),
             queue: Vec::new(),
             next_ticket: 0,
-            work: Work::default(),
+            service_times: Work::default(),
             headroom: Headroom::default(),
             level: LevelControl::new(cfg.level, now),
             cfg,
         }
     }
 
-    /// Takes in how requests wait from now on. The published number of slots goes before the configured one.
+    /// Replaces the configuration. A published number of slots takes precedence over the configured one.
     pub fn set_config(&mut self, cfg: GateConfig) {
         if self.slots == self.cfg.slots {
             self.slots = cfg.slots;
@@ -155,77 +156,77 @@
         self.cfg = cfg;
     }
 
-    /// Takes in how many ranks requests can have.
+    /// Sets the number of ranks that requests can have.
     pub fn set_ranks(&mut self, ranks: usize) {
         self.level.set_ranks(ranks);
     }
 
-    /// Takes in the target's own number of slots.
+    /// Sets the published number of slots of the target.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
         self.usable = self.slots;
     }
 
-    /// A request asks for a slot.
-    pub fn enter(&mut self, request: Waiting, now: Instant) -> Admission {
+    /// Dispatches, queues or refuses a request.
+    pub fn admit(&mut self, request: SlotRequest, now: Instant) -> Admission {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let work = self.work.expected(request.kind);
+        let work = self.service_times.expected(request.kind);
         self.level
-            .record_arrival(request.order, work, request.admitted);
+            .record_arrival(request.shed_order, work, request.admitted);
         if self.latest_start(&request) <= now {
             return Admission::DeadlineUnreachable;
         }
         if self.running() < self.usable && self.queue.is_empty() {
             self.start(ticket, request.kind);
-            return Admission::Run(ticket);
+            return Admission::Dispatched(ticket);
         }
         let wait = self.expected_wait(&request);
-        let until = self
+        let expires = self
             .cfg
             .limits
             .wait_until(request.deadline, request.inner, now);
-        let left = until.saturating_duration_since(now);
-        if wait >= request.queue_timeout.min(left) || self.queue.len() >= self.cfg.queue {
+        let left = expires.saturating_duration_since(now);
+        if wait >= request.queue_timeout.min(left) || self.queue.len() >= self.cfg.max_queued {
             return Admission::Refused { retry_after: wait };
         }
         let queued = Queued {
             ticket,
             request,
             since: now,
-            until,
+            expires,
             work,
         };
-        let at = self
+        let index = self
             .queue
-            .partition_point(|other| other.order() < queued.order());
-        self.queue.insert(at, queued);
-        Admission::Wait(ticket)
+            .partition_point(|other| other.dispatch_order() < queued.dispatch_order());
+        self.queue.insert(index, queued);
+        Admission::Queued(ticket)
     }
 
-    /// A request that had a slot has ended after `held`.
-    pub fn leave(&mut self, ticket: Ticket, held: Duration, now: Instant) {
-        if let Some(Running { kind, full }) = self.running.remove(&ticket) {
+    /// Releases the slot of a request that ended after holding it for `held`, and records its service time.
+    pub fn release(&mut self, ticket: Ticket, held: Duration, now: Instant) {
+        if let Some(Running { kind, nearly_full }) = self.running.remove(&ticket) {
             let held = held.as_secs_f64();
-            self.work.learn(kind, held);
-            self.headroom.learn(kind, held, full, now);
+            self.service_times.learn(kind, held);
+            self.headroom.learn(kind, held, nearly_full, now);
         }
     }
 
-    /// A request that was given a slot did not take it.
-    pub fn give_back(&mut self, ticket: Ticket) {
+    /// Releases the slot of a dispatched request that did not run, without recording a service time.
+    pub fn release_unused(&mut self, ticket: Ticket) {
         self.running.remove(&ticket);
     }
 
-    /// A request stops waiting; `false` where it does not wait any more.
+    /// Removes a request from the queue. Returns `false` if it was not queued.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.queue.len();
         self.queue.retain(|queued| queued.ticket != ticket);
         self.queue.len() < before
     }
 
-    /// The next request that gets a slot; to be asked until there is none.
-    pub fn next_start(&mut self) -> Option<Ticket> {
+    /// Dispatches the first queued request if a slot is free. To be called until it returns `None`.
+    pub fn dispatch_next(&mut self) -> Option<Ticket> {
         if self.running() >= self.usable || self.queue.is_empty() {
             return None;
         }
@@ -234,22 +235,22 @@
         Some(queued.ticket)
     }
 
-    /// Requests whose time is over, or does not hold what their kind needs any more; they don't wait any more.
+    /// Removes and returns the queued requests that have expired or can no longer finish before their deadline.
     pub fn expire(&mut self, now: Instant) -> Vec<Ticket> {
         let mut expired = Vec::new();
         let mut queue = std::mem::take(&mut self.queue);
         queue.retain(|queued| {
-            let over = self.latest_start(&queued.request).min(queued.until) <= now;
-            if over {
+            let is_expired = self.latest_start(&queued.request).min(queued.expires) <= now;
+            if is_expired {
                 expired.push(queued.ticket);
             }
-            !over
+            !is_expired
         });
         self.queue = queue;
         expired
     }
 
-    /// Moves the level by what has come since the last time.
+    /// Recomputes the slot limit and the overload level; called periodically.
     pub fn update_level(&mut self, now: Instant) {
         self.usable = match self.cfg.headroom {
             true => self.headroom.limit(self.slots, now),
@@ -259,7 +260,7 @@
         self.level.update(slots, &self.backlog(slots), now);
     }
 
-    /// The level, from 0 for no overload.
+    /// The overload level; 0 means no overload.
     pub fn level(&self) -> f64 {
         self.level.level()
     }
@@ -269,70 +270,75 @@
         self.level.load()
     }
 
-    /// Requests running and waiting.
-    pub fn busy(&self) -> u32 {
+    /// Number of requests running or queued.
+    pub fn in_flight(&self) -> u32 {
         self.running() + u32::try_from(self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests running.
+    /// Number of requests running.
     pub fn running(&self) -> u32 {
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests waiting.
-    pub fn waiting(&self) -> usize {
+    /// Number of queued requests.
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Time until a request that enters now has ended, by what goes before it and what its kind usually needs.
-    pub fn expected_time(&self, request: &Waiting) -> Duration {
+    /// Expected time until a request that is admitted now has ended: its wait for a slot plus the mean service time of its
+    /// kind.
+    pub fn expected_completion(&self, request: &SlotRequest) -> Duration {
         let is_free = self.running() < self.usable && self.queue.is_empty();
         let wait = match is_free {
             true => Duration::ZERO,
             false => self.expected_wait(request),
         };
-        let usual = self.work.known(request.kind).unwrap_or_default();
-        wait + Duration::from_secs_f64(usual)
+        let mean = self.service_times.known(request.kind).unwrap_or_default();
+        wait + Duration::from_secs_f64(mean)
     }
 
     fn start(&mut self, ticket: Ticket, kind: RequestKind) {
-        let full = Headroom::is_nearly_full(self.running() + 1, self.slots);
-        self.running.insert(ticket, Running { kind, full });
+        let nearly_full = Headroom::is_nearly_full(self.running() + 1, self.slots);
+        self.running.insert(ticket, Running { kind, nearly_full });
     }
 
-    /// Until when a request must be started to end in time, by what its kind usually needs.
-    fn latest_start(&self, request: &Waiting) -> Instant {
-        let usual = self.work.known(request.kind).unwrap_or_default();
-        let needed = Duration::from_secs_f64(usual * self.cfg.start_share);
+    /// Latest time at which a request may be dispatched, from the mean service time of its kind.
+    fn latest_start(&self, request: &SlotRequest) -> Instant {
+        let mean = self.service_times.known(request.kind).unwrap_or_default();
+        let needed = Duration::from_secs_f64(mean * self.cfg.start_share);
         let latest = request.deadline.checked_sub(needed);
         latest.unwrap_or(request.deadline)
     }
 
-    /// Load that the queue adds to what arrives, if each request in it is to be started while that is worth it.
+    /// Load that the queue adds to the arrivals if each queued request is to be dispatched within its drain time.
     fn backlog(&self, slots: f64) -> Backlog {
         let mut backlog = Backlog::default();
         for queued in &self.queue {
             let time = queued.request.deadline - queued.since;
-            let drain = time.as_secs_f64() * DRAIN_SHARE;
-            let load = queued.work / drain.clamp(DRAIN_RANGE.0, DRAIN_RANGE.1) / slots;
-            backlog.add(queued.request.order, load);
+            let drain_time = time.as_secs_f64() * DRAIN_SHARE;
+            let load = queued.work / drain_time.clamp(DRAIN_RANGE.0, DRAIN_RANGE.1) / slots;
+            backlog.add(queued.request.shed_order, load);
         }
         backlog
     }
 
-    /// Time until a request that enters now gets its slot, by what goes before it.
-    fn expected_wait(&self, request: &Waiting) -> Duration {
+    /// Expected time until a request that is admitted now gets a slot, from the requests running and queued ahead of it.
+    fn expected_wait(&self, request: &SlotRequest) -> Duration {
         let order = (
             request.rank,
             !request.inner,
             request.began,
             Ticket(u64::MAX),
         );
-        let ahead = self.queue.partition_point(|other| other.order() < order);
+        let ahead = self
+            .queue
+            .partition_point(|other| other.dispatch_order() < order);
         let running = self.running.values();
-        let turn =
-            running.map(|run| self.work.expected(run.kind)).sum::<f64>() / f64::from(self.usable);
-        let before: f64 = self.queue[..ahead].iter().map(|queued| queued.work).sum();
-        Duration::from_secs_f64((before + turn) / f64::from(self.usable))
+        let turnover = running
+            .map(|run| self.service_times.expected(run.kind))
+            .sum::<f64>()
+            / f64::from(self.usable);
+        let queued_work: f64 = self.queue[..ahead].iter().map(|queued| queued.work).sum();
+        Duration::from_secs_f64((queued_work + turnover) / f64::from(self.usable))
     }
 }
--- a/crates/core/tests/mesh_gate.rs
+++ b/crates/core/tests/mesh_gate.rs
@@ -4,17 +4,17 @@
 
 use coltsfootport_core::mesh::{
     Admission, Backlog, GateConfig, LevelConfig, LevelControl, RequestKind, Shedder, ShedderConfig,
-    TargetGate, Ticket, Waiting,
+    SlotRequest, TargetGate, Ticket,
 };
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn waiting(rank: u8, inner: bool, now: Instant) -> Waiting {
-    Waiting {
+fn waiting(rank: u8, inner: bool, now: Instant) -> SlotRequest {
+    SlotRequest {
         rank,
-        order: usize::from(2 - rank.min(2)),
+        shed_order: usize::from(2 - rank.min(2)),
         admitted: 1.0,
         kind: RequestKind(1),
         inner,
@@ -34,7 +34,7 @@
 
 fn ticket(entered: Admission) -> Ticket {
     match entered {
-        Admission::Run(ticket) | Admission::Wait(ticket) => ticket,
+        Admission::Dispatched(ticket) | Admission::Queued(ticket) => ticket,
         Admission::Refused { .. } | Admission::DeadlineUnreachable => panic!("refused"),
     }
 }
@@ -43,18 +43,18 @@
 fn urgent_ranks_go_first_and_runs_in_progress_before_new_ones() {
     let now = Instant::now();
     let mut gate = gate(1, now);
-    let Admission::Run(mut runs) = gate.enter(waiting(2, false, now), now) else {
+    let Admission::Dispatched(mut runs) = gate.admit(waiting(2, false, now), now) else {
         panic!("the slot is free");
     };
-    let outer_low = ticket(gate.enter(waiting(2, false, now), now));
-    let inner_low = ticket(gate.enter(waiting(2, true, now), now));
-    let high = ticket(gate.enter(waiting(0, false, now), now));
+    let outer_low = ticket(gate.admit(waiting(2, false, now), now));
+    let inner_low = ticket(gate.admit(waiting(2, true, now), now));
+    let high = ticket(gate.admit(waiting(0, false, now), now));
     let mut order = Vec::new();
     for _ in 0..3 {
-        gate.leave(runs, ms(10), now);
-        runs = gate.next_start().expect("one more waits");
+        gate.release(runs, ms(10), now);
+        runs = gate.dispatch_next().expect("one more waits");
         order.push(runs);
-        assert_eq!(gate.next_start(), None, "one slot only");
+        assert_eq!(gate.dispatch_next(), None, "one slot only");
     }
     assert_eq!(order, [high, inner_low, outer_low]);
 }
@@ -68,19 +68,19 @@
 fn calls_of_the_oldest_request_go_first() {
     let now = Instant::now();
     let mut gate = gate(1, now);
-    let mut runs = ticket(gate.enter(waiting(2, true, now), now));
-    let of_newer = ticket(gate.enter(waiting(2, true, now), now));
-    let older = Waiting {
+    let mut runs = ticket(gate.admit(waiting(2, true, now), now));
+    let of_newer = ticket(gate.admit(waiting(2, true, now), now));
+    let older = SlotRequest {
         began: now
             .checked_sub(ms(700))
             .expect("the clock has run for long"),
         ..waiting(2, true, now)
     };
-    let of_older = ticket(gate.enter(older, now));
+    let of_older = ticket(gate.admit(older, now));
     let mut order = Vec::new();
     for _ in 0..2 {
-        gate.leave(runs, ms(10), now);
-        runs = gate.next_start().expect("one more waits");
+        gate.release(runs, ms(10), now);
+        runs = gate.dispatch_next().expect("one more waits");
         order.push(runs);
     }
     assert_eq!(order, [of_older, of_newer]);
@@ -90,24 +90,24 @@
 fn who_would_wait_too_long_is_refused_at_once() {
     let now = Instant::now();
     let mut gate = gate(1, now);
-    let _ = ticket(gate.enter(waiting(1, false, now), now));
+    let _ = ticket(gate.admit(waiting(1, false, now), now));
     for _ in 0..10 {
-        let _ = ticket(gate.enter(waiting(1, false, now), now));
+        let _ = ticket(gate.admit(waiting(1, false, now), now));
     }
-    let short_wait = Waiting {
+    let short_wait = SlotRequest {
         queue_timeout: ms(200),
         ..waiting(1, false, now)
     };
     assert!(matches!(
-        gate.enter(short_wait, now),
+        gate.admit(short_wait, now),
         Admission::Refused { .. }
     ));
-    let urgent = Waiting {
+    let urgent = SlotRequest {
         queue_timeout: ms(200),
         ..waiting(0, false, now)
     };
     assert!(
-        matches!(gate.enter(urgent, now), Admission::Wait(_)),
+        matches!(gate.admit(urgent, now), Admission::Queued(_)),
         "nobody is ahead of it"
     );
 }
@@ -116,19 +116,19 @@
 fn expired_and_cancelled_requests_take_no_slot() {
     let now = Instant::now();
     let mut gate = gate(1, now);
-    let runs = ticket(gate.enter(waiting(1, false, now), now));
-    let short = Waiting {
+    let runs = ticket(gate.admit(waiting(1, false, now), now));
+    let short = SlotRequest {
         deadline: now + ms(500),
         ..waiting(1, false, now)
     };
-    let expiring = ticket(gate.enter(short, now));
-    let cancelled = ticket(gate.enter(waiting(1, false, now), now));
-    let last = ticket(gate.enter(waiting(1, false, now), now));
+    let expiring = ticket(gate.admit(short, now));
+    let cancelled = ticket(gate.admit(waiting(1, false, now), now));
+    let last = ticket(gate.admit(waiting(1, false, now), now));
     assert_eq!(gate.expire(now + ms(600)), [expiring]);
     assert!(gate.cancel(cancelled));
     assert!(!gate.cancel(cancelled));
-    gate.leave(runs, ms(10), now);
-    assert_eq!(gate.next_start(), Some(last));
+    gate.release(runs, ms(10), now);
+    assert_eq!(gate.dispatch_next(), Some(last));
 }
 
 /// What a level is driven with.
@@ -282,20 +282,20 @@
     let now = Instant::now();
     let mut gate = gate(1, now);
     for _ in 0..100 {
-        let runs = ticket(gate.enter(waiting(1, false, now), now));
-        gate.leave(runs, ms(400), now);
+        let runs = ticket(gate.admit(waiting(1, false, now), now));
+        gate.release(runs, ms(400), now);
     }
-    let short = Waiting {
+    let short = SlotRequest {
         deadline: now + ms(150),
         ..waiting(1, false, now)
     };
-    assert_eq!(gate.enter(short, now), Admission::DeadlineUnreachable);
-    let _ = ticket(gate.enter(waiting(1, false, now), now));
-    let enough = Waiting {
+    assert_eq!(gate.admit(short, now), Admission::DeadlineUnreachable);
+    let _ = ticket(gate.admit(waiting(1, false, now), now));
+    let enough = SlotRequest {
         deadline: now + ms(900),
         ..waiting(1, false, now)
     };
-    let waits = ticket(gate.enter(enough, now));
+    let waits = ticket(gate.admit(enough, now));
     assert_eq!(gate.expire(now + ms(600)), [], "300 ms are left of 400");
     assert_eq!(gate.expire(now + ms(750)), [waits], "150 ms are left");
 }
--- a/crates/core/tests/mesh_time_limits.rs
+++ b/crates/core/tests/mesh_time_limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    Admission, GateConfig, Limited, RequestKind, TargetGate, TimeLimits, Waiting,
+    Admission, GateConfig, Limited, RequestKind, SlotRequest, TargetGate, TimeLimits,
 };
 use proptest::prelude::*;
 
@@ -65,10 +65,10 @@
     }
 }
 
-fn waiting(inner: bool, now: Instant, left: Duration) -> Waiting {
-    Waiting {
+fn waiting(inner: bool, now: Instant, left: Duration) -> SlotRequest {
+    SlotRequest {
         rank: 1,
-        order: 0,
+        shed_order: 0,
         admitted: 1.0,
         kind: RequestKind(1),
         inner,
@@ -84,8 +84,8 @@
         ..Default::default()
     };
     let mut gate = TargetGate::new(cfg, now);
-    let first = gate.enter(waiting(false, now, ms(10_000)), now);
-    assert!(matches!(first, Admission::Run(_)));
+    let first = gate.admit(waiting(false, now, ms(10_000)), now);
+    assert!(matches!(first, Admission::Dispatched(_)));
     gate
 }
 
@@ -124,7 +124,7 @@
     for case in cases {
         let now = Instant::now();
         let mut gate = busy_gate(now);
-        let Admission::Wait(ticket) = gate.enter(waiting(case.inner, now, case.left), now) else {
+        let Admission::Queued(ticket) = gate.admit(waiting(case.inner, now, case.left), now) else {
             panic!("{}: it can wait", case.name);
         };
         let before = now + case.refused_at - ms(1);
@@ -142,7 +142,10 @@
     let now = Instant::now();
     let mut gate = TargetGate::new(GateConfig::default(), now);
     for inner in [false, true] {
-        let entered = gate.enter(waiting(inner, now, ms(60)), now);
-        assert!(matches!(entered, Admission::Run(_)), "inner: {inner}");
+        let entered = gate.admit(waiting(inner, now, ms(60)), now);
+        assert!(
+            matches!(entered, Admission::Dispatched(_)),
+            "inner: {inner}"
+        );
     }
 }
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -11,8 +11,8 @@
 
 use coltsfootport_core::mesh::{
     Admission, Fleet, FleetConfig, GateConfig, Instance, InstanceKey, QueueTimeoutConfig,
-    QueueTimeoutRequest, RequestKind, SendOutcome, Shedder, ShedderConfig, TargetGate, Ticket,
-    Waiting,
+    QueueTimeoutRequest, RequestKind, SendOutcome, Shedder, ShedderConfig, SlotRequest, TargetGate,
+    Ticket,
 };
 
 use super::deployment::{Deployment, Pattern};
@@ -344,9 +344,9 @@
             latency_target: Duration::from_millis(spec.aim_ms),
             deadline: self.instant(deadline),
         };
-        let waiting = Waiting {
+        let waiting = SlotRequest {
             rank: root.rank,
-            order: root.order,
+            shed_order: root.order,
             admitted,
             kind: RequestKind(kind as u32),
             inner,
@@ -354,9 +354,9 @@
             deadline: self.instant(deadline),
             queue_timeout: QueueTimeoutConfig::default().of(&queue_req, now),
         };
-        match self.nodes[host].gate.enter(waiting, now) {
-            Admission::Run(ticket) => self.start(run, ticket),
-            Admission::Wait(ticket) => {
+        match self.nodes[host].gate.admit(waiting, now) {
+            Admission::Dispatched(ticket) => self.start(run, ticket),
+            Admission::Queued(ticket) => {
                 self.runs[run].state = State::Waits;
                 self.runs[run].ticket = Some(ticket);
                 self.nodes[host].waiting.insert(ticket, run);
@@ -476,7 +476,8 @@
             State::Runs => {
                 let held = self.now - began;
                 node.running -= 1;
-                node.gate.leave(ticket, Duration::from_secs_f64(held), now);
+                node.gate
+                    .release(ticket, Duration::from_secs_f64(held), now);
                 self.requests[request].held += held;
                 self.outcome.used += held;
                 self.pump(host);
@@ -497,10 +498,10 @@
                 self.end(run, false);
             }
         }
-        while let Some(ticket) = self.nodes[host].gate.next_start() {
+        while let Some(ticket) = self.nodes[host].gate.dispatch_next() {
             match self.nodes[host].waiting.remove(&ticket) {
                 Some(run) => self.start(run, ticket),
-                None => self.nodes[host].gate.give_back(ticket),
+                None => self.nodes[host].gate.release_unused(ticket),
             }
         }
     }
@@ -528,7 +529,7 @@
             },
             false => SendOutcome::Abandoned,
         };
-        let busy = self.nodes[host].gate.busy();
+        let busy = self.nodes[host].gate.in_flight();
         let level = self.nodes[host].gate.level();
         let service = self.nodes[host].service;
         self.nodes[entry].fleet.ended(key, outcome, Some(busy), now);
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -40,9 +40,9 @@
     /// Gives a request that need not be isolated a slot, lets it wait, or refuses it; the ticket where it is not refused.
     pub(super) fn enter_gate(&mut self, waiter: Waiter, now: Instant) -> Option<Ticket> {
         let Waiter { ask, reply } = waiter;
-        let waiting = coltsfootport_core::mesh::Waiting {
+        let waiting = coltsfootport_core::mesh::SlotRequest {
             rank: ask.rank,
-            order: self.shed_order(ask.rank),
+            shed_order: self.shed_order(ask.rank),
             admitted: ask.admitted,
             kind: ask.kind,
             inner: ask.inner,
@@ -54,12 +54,12 @@
             drop(reply.send(Err(self.not_granted(Refusal::Stopping, None))));
             return None;
         }
-        match self.gate.enter(waiting, now) {
-            Admission::Run(ticket) => {
+        match self.gate.admit(waiting, now) {
+            Admission::Dispatched(ticket) => {
                 self.grant(ticket, Waiter { ask, reply }, now);
                 Some(ticket)
             }
-            Admission::Wait(ticket) => {
+            Admission::Queued(ticket) => {
                 self.waiting.insert(ticket, Waiter { ask, reply });
                 Some(ticket)
             }
@@ -84,7 +84,7 @@
         reply: Option<oneshot::Sender<AfterRun>>,
     ) {
         let now = self.clock.now();
-        self.gate.leave(ticket, left.held, now);
+        self.gate.release(ticket, left.held, now);
         let standing = self.run_ended(ticket, left.end, now);
         let run = self.runs.remove(ticket);
         self.leave_isolation(ticket, now);
@@ -105,10 +105,10 @@
         for ticket in self.gate.expire(now) {
             self.refuse_waiter(ticket, Refusal::ExpiredUnsent);
         }
-        while let Some(ticket) = self.gate.next_start() {
+        while let Some(ticket) = self.gate.dispatch_next() {
             match self.waiting.remove(&ticket) {
                 Some(waiter) if !waiter.reply.is_closed() => self.grant(ticket, waiter, now),
-                _ => self.gate.give_back(ticket),
+                _ => self.gate.release_unused(ticket),
             }
         }
     }
@@ -207,7 +207,7 @@
 
     fn report(&self) -> Report {
         Report {
-            busy: self.gate.busy(),
+            busy: self.gate.in_flight(),
             level: self.gate.level(),
             stopping: self.drain.is_some(),
             cut_off: !self.publisher_sound,
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use coltsfootport_core::mesh::{Drain, Route, Waiting};
+use coltsfootport_core::mesh::{Drain, Route, SlotRequest};
 
 use super::{AdmitAsk, Controller};
 
@@ -26,12 +26,12 @@
     }
 
     /// Whether a request of another node is admitted although this one may be draining.
-    pub(super) fn drain_admits_peer(&self, req: &Waiting, now: Instant) -> bool {
+    pub(super) fn drain_admits_peer(&self, req: &SlotRequest, now: Instant) -> bool {
         let Some(drain) = &self.drain else {
             return true;
         };
         let left = req.deadline.saturating_duration_since(now);
-        drain.admits_peer(self.gate.expected_time(req), left, now)
+        drain.admits_peer(self.gate.expected_completion(req), left, now)
     }
 
     /// Logs what this host still has at the end of the grace period.
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -83,12 +83,12 @@
         let level = self.gate.level();
         if (level - self.logged_level).abs() >= LOGGED_LEVEL_STEP {
             info!(self.journal.log(), "level moved"; "level" => level, "was" => self.logged_level, "load" => self.gate.load(),
-                "running" => self.gate.running(), "waiting" => self.gate.waiting());
+                "running" => self.gate.running(), "waiting" => self.gate.queued());
             self.logged_level = level;
         }
         self.metrics.level.set(level);
         self.metrics.running.set(i64::from(self.gate.running()));
-        self.metrics.waiting.set(self.gate.waiting() as i64);
+        self.metrics.waiting.set(self.gate.queued() as i64);
         self.metrics.instances.set(self.fleet.len() as i64);
         self.metrics
             .publisher_age_ms
