--- a/crates/core/src/mesh/shedder.rs
+++ b/crates/core/src/mesh/shedder.rs
@@ -1,4 +1,4 @@
-//! Which requests an entry sheds since a service on their way is overloaded.
+//! Load shedding at an entry, by the overload levels of the services downstream.
 
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -7,141 +7,142 @@
 
 use crate::collections::Map;
 
-/// How an entry follows the levels that hosts report.
+/// How an entry follows the overload levels that hosts report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShedderConfig {
-    /// Weight of the newest report.
-    pub newest: f64,
-    /// Age from which a level without new reports falls.
-    pub fresh: Duration,
-    /// Fall in a second from then on, so that some requests go through and bring a new report.
-    pub fall: f64,
-    /// Largest share of a rank that is shed; the rest keeps reports coming.
-    pub most: f64,
-    /// Time for which the same requests are the ones that are shed. Longer than a caller waits before it comes back, short
-    /// beside an overload that lasts, so that it does not always hit the same ones.
+    /// Weight of a new report in the moving average.
+    pub report_weight: f64,
+    /// Age of the last report from which the level decays.
+    pub stale_after: Duration,
+    /// Decay of a stale level per second, so that some requests are admitted and return a new report.
+    pub decay_per_second: f64,
+    /// Maximum share of a rank that is shed; the requests still admitted keep returning reports.
+    pub max_share: f64,
+    /// Time for which the choice of requests to shed stays the same. Longer than a caller waits before it retries, but short
+    /// compared with a lasting overload, so that the same callers are not shed throughout.
     pub epoch: Duration,
-    /// Shortest time after which a shed caller is asked to come back: levels move within some tenths of a second.
-    pub back_soonest: Duration,
-    /// Added to it in proportion to the share that is shed.
-    pub back_later: Duration,
+    /// Minimum Retry-After of a shed request: levels change within a few tenths of a second.
+    pub min_retry_after: Duration,
+    /// Added to the Retry-After in proportion to the share that is shed.
+    pub extra_retry_after: Duration,
 }
 
 impl Default for ShedderConfig {
     fn default() -> Self {
         Self {
-            newest: 0.25,
-            fresh: Duration::from_millis(600),
-            fall: 0.5,
-            most: 0.97,
+            report_weight: 0.25,
+            stale_after: Duration::from_millis(600),
+            decay_per_second: 0.5,
+            max_share: 0.97,
             epoch: Duration::from_secs(8),
-            back_soonest: Duration::from_millis(250),
-            back_later: Duration::from_millis(500),
+            min_retry_after: Duration::from_millis(250),
+            extra_retry_after: Duration::from_millis(500),
         }
     }
 }
 
-/// Levels by route, as reported with answers, and who is shed by them.
+/// Overload levels by route, as reported with responses, and the decision which requests to shed.
 ///
-/// A request is shed where it enters, before anything has been done for it. Refused deeper down, the work above it would
-/// be lost, and its callers would repeat all of it.
+/// Requests are shed at the entry, before any work has been done for them. If they were refused further downstream, the
+/// work upstream would be lost, and callers would repeat all of it.
 ///
-/// Who is shed follows from a hash of what is asked for, so a caller that comes back too soon is shed again, and one that
-/// is served is served at once. Drawn anew for each attempt, a share `s` that is shed turns away only `s²` of the requests
-/// for good and delays the others for nothing: the load falls late, and the level overshoots.
+/// The choice is made by a hash of the requested host and path, so a caller that retries too early is shed again, and an
+/// admitted request is admitted at its first attempt. With an independent random choice for each attempt, shedding a share
+/// `s` would reject only `s²` of the requests in the end and delay the others needlessly: the load falls late, and the
+/// level overshoots.
 #[derive(Clone, Debug)]
 pub struct Shedder {
     cfg: ShedderConfig,
-    levels: Map<SmolStr, Reported>,
-    began: Instant,
-    /// Makes nodes differ in whom they shed, and so do the starts of a node.
+    levels: Map<SmolStr, ReportedLevel>,
+    created: Instant,
+    /// Random per start of a node, so that nodes shed different requests.
     seed: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct ReportedLevel {
     level: f64,
     at: Instant,
 }
 
-/// A request that is shed.
+/// The decision to shed a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shed {
-    /// Level of the route.
+    /// Overload level of the route.
     pub level: f64,
-    /// Share of the route's requests that are shed.
+    /// Share of the requests with its route and rank that are shed.
     pub share: f64,
-    /// Retry-After for its caller.
+    /// Retry-After sent to the caller.
     pub retry_after: Duration,
 }
 
 impl Shedder {
-    /// No overload has been reported for any route yet.
+    /// Creates a shedder without reported levels.
     pub fn new(cfg: ShedderConfig, seed: u64, now: Instant) -> Self {
         Self {
             cfg,
             levels: Map::default(),
-            began: now,
+            created: now,
             seed,
         }
     }
 
-    /// Takes in the highest level met by a request of a route.
+    /// Records the highest overload level that a request of a route met.
     pub fn report(&mut self, route: &SmolStr, level: f64, now: Instant) {
-        let old = self.level(route, now);
-        let level = old + self.cfg.newest * (level - old);
+        let previous = self.level(route, now);
+        let level = previous + self.cfg.report_weight * (level - previous);
         self.levels
-            .insert(route.clone(), Reported { level, at: now });
+            .insert(route.clone(), ReportedLevel { level, at: now });
     }
 
-    /// The level that holds for a route now.
+    /// Current overload level of a route.
     pub fn level(&self, route: &SmolStr, now: Instant) -> f64 {
         let Some(reported) = self.levels.get(route) else {
             return 0.0;
         };
         let age = now.saturating_duration_since(reported.at);
-        let stale = age.saturating_sub(self.cfg.fresh).as_secs_f64();
-        (reported.level - self.cfg.fall * stale).max(0.0)
+        let stale_time = age.saturating_sub(self.cfg.stale_after).as_secs_f64();
+        (reported.level - self.cfg.decay_per_second * stale_time).max(0.0)
     }
 
-    /// Share of a route's requests to shed; `order` is 0 for the rank that is shed first.
-    pub fn share(&self, route: &SmolStr, order: usize, now: Instant) -> f64 {
-        (self.level(route, now) - order as f64).clamp(0.0, self.cfg.most)
+    /// Share of a route's requests to shed; `shed_order` is 0 for the rank that is shed first.
+    pub fn share(&self, route: &SmolStr, shed_order: usize, now: Instant) -> f64 {
+        (self.level(route, now) - shed_order as f64).clamp(0.0, self.cfg.max_share)
     }
 
-    /// Decides about a request; `host` and `path` are what it asks for. Returns the share of its like that is admitted with
-    /// it.
+    /// Decides whether to admit a request for `host` and `path`. Returns the admitted share of requests with its route and
+    /// rank.
     ///
     /// # Errors
     ///
-    /// It is shed.
-    pub fn judge(
+    /// Returns [`Shed`] if the request is shed.
+    pub fn admit(
         &self,
         route: &SmolStr,
-        order: usize,
+        shed_order: usize,
         host: &str,
         path: &str,
         now: Instant,
     ) -> Result<f64, Shed> {
-        let share = self.share(route, order, now);
+        let share = self.share(route, shed_order, now);
         if share <= 0.0 {
             return Ok(1.0);
         }
-        let place = self.place(host, path, now);
-        if place >= share {
+        let position = self.shed_position(host, path, now);
+        if position >= share {
             return Ok(1.0 - share);
         }
-        // Callers that were shed together must not come back together.
-        let spread = 0.75 + 0.5 * (place / share);
-        let wait = self.cfg.back_soonest + self.cfg.back_later.mul_f64(share);
+        // Spreads the retries of callers that were shed together over time.
+        let jitter = 0.75 + 0.5 * (position / share);
+        let wait = self.cfg.min_retry_after + self.cfg.extra_retry_after.mul_f64(share);
         Err(Shed {
             level: self.level(route, now),
             share,
-            retry_after: wait.mul_f64(spread),
+            retry_after: wait.mul_f64(jitter),
         })
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Removes the levels of routes that `keep` rejects.
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(&SmolStr) -> bool,
@@ -149,9 +150,9 @@
         self.levels.retain(|route, _| keep(route));
     }
 
-    /// Where a request stands in the order of shedding of this epoch, from 0 to 1.
-    fn place(&self, host: &str, path: &str, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.began).as_secs_f64();
+    /// Position of a request in the shed sequence of the current epoch, from 0 to 1; lower positions are shed first.
+    fn shed_position(&self, host: &str, path: &str, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.created).as_secs_f64();
         let epoch = (age / self.cfg.epoch.as_secs_f64()) as u64;
         let mut hasher = std::hash::DefaultHasher::new();
         (self.seed, epoch, host, path).hash(&mut hasher);
--- a/crates/core/tests/mesh_gate.rs
+++ b/crates/core/tests/mesh_gate.rs
@@ -361,7 +361,7 @@
         };
         set(&mut shedder, 0.4, now);
         let judge = |shedder: &Shedder, path: &str, now: Instant| {
-            shedder.judge(&route, 0, "h", path, now).is_err()
+            shedder.admit(&route, 0, "h", path, now).is_err()
         };
         let mut paths: Vec<String> = (0..2000).map(|n| format!("/p/{n}")).collect();
         paths.retain(|path| judge(&shedder, path, now));
@@ -386,7 +386,7 @@
         }
     }
     let later = now + ms(60_000);
-    let shed = |path: &str, at: Instant| shedder.judge(&route, 0, "h", path, at).err();
+    let shed = |path: &str, at: Instant| shedder.admit(&route, 0, "h", path, at).err();
     let paths: Vec<String> = (0..1000).map(|n| format!("/p/{n}")).collect();
     let first: Vec<&String> = paths
         .iter()
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -247,7 +247,7 @@
         let spec = &self.deployment.kinds[kind];
         let node = &self.nodes[entry];
         let path = &self.requests[request].path;
-        match node.shedder.judge(&route(kind), spec.order, "h", path, now) {
+        match node.shedder.admit(&route(kind), spec.order, "h", path, now) {
             Err(shed) => self.refused(request, shed.retry_after.as_secs_f64()),
             Ok(admitted) => {
                 let deadline = self.now + spec.timeout_ms as f64 / 1000.0;
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -113,7 +113,7 @@
         let order = config.shed_order(rank);
         let judged = self
             .shedder
-            .judge(&route.name, order, &ask.host, &ask.path, now);
+            .admit(&route.name, order, &ask.host, &ask.path, now);
         match judged {
             Ok(admitted) => Ok(admitted),
             Err(shed) => {
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -255,8 +255,8 @@
         },
         shedder: ShedderConfig {
             epoch: policy.shed_epoch,
-            back_soonest: policy.back_soonest,
-            back_later: policy.back_later,
+            min_retry_after: policy.back_soonest,
+            extra_retry_after: policy.back_later,
             ..Default::default()
         },
         gate: GateConfig {
