--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -209,7 +209,7 @@
         if let Some(Running { kind, nearly_full }) = self.running.remove(&ticket) {
             let held = held.as_secs_f64();
             self.service_times.learn(kind, held);
-            self.headroom.learn(kind, held, nearly_full, now);
+            self.headroom.record(kind, held, nearly_full, now);
         }
     }
 
