--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -352,7 +352,7 @@
             inner,
             began: self.instant(self.requests[request].asked),
             deadline: self.instant(deadline),
-            queue_timeout: QueueTimeoutConfig::default().of(&queue_req, now),
+            queue_timeout: QueueTimeoutConfig::default().timeout_for(&queue_req, now),
         };
         match self.nodes[host].gate.admit(waiting, now) {
             Admission::Dispatched(ticket) => self.start(run, ticket),
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -307,7 +307,9 @@
             latency_target: route.latency_target,
             deadline: self.deadline,
         };
-        self.entry.queue_timeout.of(&req, self.entry.clock.now())
+        self.entry
+            .queue_timeout
+            .timeout_for(&req, self.entry.clock.now())
     }
 
     /// What its caller is told when its time is over.
--- a/crates/node/src/mesh/policy.rs
+++ b/crates/node/src/mesh/policy.rs
@@ -62,16 +62,12 @@
     pub fn read(mut section: Section<'_, '_>) -> Self {
         let default = Self::default();
         let queue_timeout = QueueTimeoutConfig {
-            worthwhile_share: section.number(
+            latency_target_share: section.number(
                 "patience_share",
                 0.0..=1.0,
-                default.queue_timeout.worthwhile_share,
-            ),
-            least_share: section.number(
-                "least_patience",
-                0.0..=1.0,
-                default.queue_timeout.least_share,
+                default.queue_timeout.latency_target_share,
             ),
+            min_share: section.number("least_patience", 0.0..=1.0, default.queue_timeout.min_share),
         };
         let limits = TimeLimits {
             answer: Margin {
