--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -4,7 +4,7 @@
 
 use super::headroom::Headroom;
 use crate::collections::Map;
-use crate::mesh::{Backlog, LevelConfig, LevelControl, RequestKind, TimeLimits, Work};
+use crate::mesh::{Backlog, LevelConfig, LevelControl, RequestKind, ServiceTimes, TimeLimits};
 
 /// Settings of the queue in front of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
     pub admitted: f64,
     /// Route of the request.
     pub kind: RequestKind,
-    /// Whether it is a call of another run. Work upstream has already been done, so it is served before others of its rank
+    /// Whether it is a call of another run. ServiceTimes upstream has already been done, so it is served before others of its rank
     /// and refused only if it can't finish in time.
     pub inner: bool,
     /// When the external request that it belongs to entered the mesh.
@@ -89,7 +89,7 @@
     running: Map<Ticket, Running>,
     queue: Vec<Queued>,
     next_ticket: u64,
-    service_times: Work,
+    service_times: ServiceTimes,
     headroom: Headroom,
     level: LevelControl,
 }
@@ -140,7 +140,7 @@
             running: Map::default(),
             queue: Vec::new(),
             next_ticket: 0,
-            service_times: Work::default(),
+            service_times: ServiceTimes::default(),
             headroom: Headroom::default(),
             level: LevelControl::new(cfg.level, now),
             cfg,
@@ -208,7 +208,7 @@
     pub fn release(&mut self, ticket: Ticket, held: Duration, now: Instant) {
         if let Some(Running { kind, nearly_full }) = self.running.remove(&ticket) {
             let held = held.as_secs_f64();
-            self.service_times.learn(kind, held);
+            self.service_times.record(kind, held);
             self.headroom.record(kind, held, nearly_full, now);
         }
     }
@@ -265,7 +265,7 @@
         self.level.level()
     }
 
-    /// Work that arrives over work that the slots can do.
+    /// ServiceTimes that arrives over work that the slots can do.
     pub fn load(&self) -> f64 {
         self.level.load()
     }
@@ -293,7 +293,7 @@
             true => Duration::ZERO,
             false => self.expected_wait(request),
         };
-        let mean = self.service_times.known(request.kind).unwrap_or_default();
+        let mean = self.service_times.mean(request.kind).unwrap_or_default();
         wait + Duration::from_secs_f64(mean)
     }
 
@@ -304,7 +304,7 @@
 
     /// Latest time at which a request may be dispatched, from the mean service time of its kind.
     fn latest_start(&self, request: &SlotRequest) -> Instant {
-        let mean = self.service_times.known(request.kind).unwrap_or_default();
+        let mean = self.service_times.mean(request.kind).unwrap_or_default();
         let needed = Duration::from_secs_f64(mean * self.cfg.start_share);
         let latest = request.deadline.checked_sub(needed);
         latest.unwrap_or(request.deadline)
