--- a/crates/core/tests/mesh_budget.rs
+++ b/crates/core/tests/mesh_budget.rs
@@ -100,7 +100,7 @@
     let mut below = Downstream::default();
     let service = ServiceName::from("bottom");
     for _ in 0..60 {
-        below.learn([(&service, 8)]);
+        below.record([(&service, 8)]);
     }
     let learnt: Vec<f64> = below.iter().map(|(_, mean)| mean).collect();
     assert!((7.5..=8.0).contains(&learnt[0]), "{learnt:?}");
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -217,7 +217,7 @@
                 let below = report.downstream.iter();
                 stats
                     .downstream
-                    .learn(below.map(|below| (&below.service, below.count)));
+                    .record(below.map(|below| (&below.service, below.count)));
             }
             self.shedder.report(&ended.route, report.highest(), now);
             if report.stopping {
