--- a/crates/core/src/mesh/drain.rs
+++ b/crates/core/src/mesh/drain.rs
@@ -1,66 +1,69 @@
-//! What a node admits between the signal to stop and its end.
+//! Admission of requests between the stop signal and the end of a node.
 
 use std::time::{Duration, Instant};
 
-/// How a node drains.
+/// Settings of draining a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainConfig {
-    /// Time from the signal to the forced end.
-    pub grace: Duration,
-    /// Time for which callers come: they are told by the readiness check, asked each second and believed after two misses.
-    pub callers: Duration,
-    /// Time before the forced end by which what is admitted should have ended: its answer has a way to go.
+    /// Grace period from the stop signal to the forced end.
+    pub grace_period: Duration,
+    /// Time after the stop signal for which callers still send requests. They notice by the readiness check, which is polled
+    /// every second and takes two failures.
+    pub caller_window: Duration,
+    /// Time before the forced end by which admitted requests should have finished, since their responses still have to be
+    /// sent.
     pub margin: Duration,
-    /// Times the mean of their kind that nearly all requests take at most.
-    pub spread: f64,
+    /// Multiple of the mean latency of their kind within which nearly all requests finish.
+    pub tail_factor: f64,
 }
 
 impl Default for DrainConfig {
     fn default() -> Self {
         Self {
-            grace: Duration::from_secs(6),
-            callers: Duration::from_millis(2400),
+            grace_period: Duration::from_secs(6),
+            caller_window: Duration::from_millis(2400),
             margin: Duration::from_millis(500),
-            spread: 2.0,
+            tail_factor: 2.0,
         }
     }
 }
 
-/// A node that has been told to stop. Later signals and changed settings don't move its end.
+/// The draining of a node that has received the stop signal. Later signals and changed settings don't move its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Drain {
     cfg: DrainConfig,
-    since: Instant,
+    started: Instant,
 }
 
 impl Drain {
-    /// A drain that begins now.
+    /// Starts draining at `now`.
     pub fn new(cfg: DrainConfig, now: Instant) -> Self {
-        Self { cfg, since: now }
+        Self { cfg, started: now }
     }
 
-    /// Whether a request of a caller is admitted: it is expected to end before the node must. `expected` is the mean time of
-    /// its kind, `left` what is left of its time limit.
+    /// Whether to admit a request of a caller: only if it is expected to finish before the forced end of the node. `expected`
+    /// is the mean latency of its kind, `left` the time until its deadline.
     ///
-    /// One that is refused here has not run and can be sent again; one that is cut off at the end may have.
+    /// A request refused here has not run and can be retried; one that is cut off at the end may have run.
     pub fn admits_caller(&self, expected: Duration, left: Duration, now: Instant) -> bool {
-        let latest = self.cfg.grace.saturating_sub(self.cfg.margin);
-        self.passed(now) < self.cfg.callers && self.end(expected, left, now) <= latest
+        let latest = self.cfg.grace_period.saturating_sub(self.cfg.margin);
+        self.elapsed(now) < self.cfg.caller_window
+            && self.expected_end(expected, left, now) <= latest
     }
 
-    /// Whether a request of another node is admitted: it is expected not to keep this one from ending when its callers have
-    /// left. The other node can choose another host at once.
+    /// Whether to admit a request of another node: only if it is not expected to delay the end of this node beyond the time
+    /// when its own callers have left. The other node can choose another host immediately.
     pub fn admits_peer(&self, expected: Duration, left: Duration, now: Instant) -> bool {
-        let latest = self.cfg.grace.saturating_sub(self.cfg.margin);
-        self.end(expected, left, now) <= latest.min(self.cfg.callers)
+        let latest = self.cfg.grace_period.saturating_sub(self.cfg.margin);
+        self.expected_end(expected, left, now) <= latest.min(self.cfg.caller_window)
     }
 
-    /// Time from the signal to the end of a request that is admitted now.
-    fn end(&self, expected: Duration, left: Duration, now: Instant) -> Duration {
-        self.passed(now) + expected.mul_f64(self.cfg.spread).min(left)
+    /// Time from the stop signal to the expected end of a request that is admitted now.
+    fn expected_end(&self, expected: Duration, left: Duration, now: Instant) -> Duration {
+        self.elapsed(now) + expected.mul_f64(self.cfg.tail_factor).min(left)
     }
 
-    fn passed(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.since)
+    fn elapsed(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.started)
     }
 }
--- a/crates/core/tests/mesh_drain.rs
+++ b/crates/core/tests/mesh_drain.rs
@@ -87,10 +87,10 @@
     ];
     let now = Instant::now();
     let cfg = DrainConfig {
-        grace: ms(6000),
-        callers: ms(2400),
+        grace_period: ms(6000),
+        caller_window: ms(2400),
         margin: ms(500),
-        spread: 2.0,
+        tail_factor: 2.0,
     };
     for case in cases {
         let drain = Drain::new(cfg, now);
@@ -108,7 +108,7 @@
 fn a_short_grace_period_admits_nothing_that_takes_time() {
     let now = Instant::now();
     let cfg = DrainConfig {
-        grace: ms(400),
+        grace_period: ms(400),
         ..Default::default()
     };
     let drain = Drain::new(cfg, now);
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -271,7 +271,7 @@
             ..Default::default()
         },
         drain: DrainConfig {
-            grace: settings.grace,
+            grace_period: settings.grace,
             ..Default::default()
         },
         quotas: QuotaConfig {
