--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -64,5 +64,5 @@
 pub use shedder::{Shed, Shedder, ShedderConfig};
 pub use split::Split;
 pub use target_gate::{Admission, GateConfig, SlotRequest, TargetGate, Ticket};
-pub use time_limits::{Limited, Margin, TimeLimits};
+pub use time_limits::{Margin, RequestLimits, TimeLimits};
 pub use update::{Update, UpdateBatch};
--- a/crates/core/tests/mesh_time_limits.rs
+++ b/crates/core/tests/mesh_time_limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    Admission, GateConfig, Limited, RequestKind, SlotRequest, TargetGate, TimeLimits,
+    Admission, GateConfig, RequestKind, RequestLimits, SlotRequest, TargetGate, TimeLimits,
 };
 use proptest::prelude::*;
 
@@ -23,11 +23,11 @@
         let left = outer.map_or(limit, |outer: Instant| {
             outer.saturating_duration_since(arrived)
         });
-        deadline = limits.deadline(&Limited {
+        deadline = limits.deadline(&RequestLimits {
             arrived,
-            route: ms(60_000),
-            caller: Some(left),
-            outer,
+            route_timeout: ms(60_000),
+            caller_timeout: Some(left),
+            outer_deadline: outer,
         });
         outer = Some(deadline);
     }
@@ -50,7 +50,7 @@
         let limit = ms(limit_ms);
         let start = Instant::now();
         let last = last_deadline(start, limit, Duration::from_micros(hop_us), depth);
-        let margin = limits.answer.of(limit);
+        let margin = limits.answer.for_limit(limit);
         prop_assert!(last + margin >= start + limit);
         // Nor may a call outlive what its caller waits.
         prop_assert!(last <= start + limit);
@@ -61,7 +61,8 @@
     fn margins_leave_most_of_a_limit(limit_ms in 1_u64..60_000) {
         let limits = TimeLimits::default();
         let limit = ms(limit_ms);
-        prop_assert!(limits.answer.of(limit) + limits.refusal.of(limit) <= limit.mul_f64(0.2));
+        let margins = limits.answer.for_limit(limit) + limits.refusal.for_limit(limit);
+        prop_assert!(margins <= limit.mul_f64(0.2));
     }
 }
 
@@ -106,7 +107,7 @@
             name: "a long limit",
             inner: false,
             left: ms(5000),
-            refused_at: ms(5000) - limits.refusal.most,
+            refused_at: ms(5000) - limits.refusal.max,
         },
         Case {
             name: "a short limit",
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    InstanceKey, Limited, QueueTimeoutRequest, Refusal, Repeat, SendOutcome,
+    InstanceKey, QueueTimeoutRequest, Refusal, Repeat, RequestLimits, SendOutcome,
 };
 use coltsfootport_core::quarantine::{Fingerprint, RequestParts};
 use http::header::HOST;
@@ -65,11 +65,11 @@
     ) -> Self {
         let route = admitted.config.route(admitted.route);
         let caller_deadline = time_left.map(|left| req.arrived + left);
-        let deadline = entry.limits.deadline(&Limited {
+        let deadline = entry.limits.deadline(&RequestLimits {
             arrived: req.arrived,
-            route: route.timeout,
-            caller: time_left,
-            outer: admitted.outer.as_ref().map(|outer| outer.deadline),
+            route_timeout: route.timeout,
+            caller_timeout: time_left,
+            outer_deadline: admitted.outer.as_ref().map(|outer| outer.deadline),
         });
         let fingerprint = fingerprint(entry, &req, &admitted);
         let mut head = req.head;
--- a/crates/node/src/mesh/policy.rs
+++ b/crates/node/src/mesh/policy.rs
@@ -71,11 +71,11 @@
         };
         let limits = TimeLimits {
             answer: Margin {
-                most: section.millis("answer_margin_ms", 0..=1000, default.limits.answer.most),
+                max: section.millis("answer_margin_ms", 0..=1000, default.limits.answer.max),
                 ..default.limits.answer
             },
             refusal: Margin {
-                most: section.millis("refusal_margin_ms", 0..=1000, default.limits.refusal.most),
+                max: section.millis("refusal_margin_ms", 0..=1000, default.limits.refusal.max),
                 ..default.limits.refusal
             },
         };
