--- a/crates/core/src/mesh/refusal.rs
+++ b/crates/core/src/mesh/refusal.rs
@@ -1,73 +1,73 @@
-//! The closed list of answers that a node gives in place of a target, and their table.
+//! Responses that a node sends in place of a target, with their status codes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::outcome::Outcome;
 
-/// Why a node answers a request itself.
+/// Reason why a node answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The request breaks HTTP.
+    /// The request violates HTTP.
     BadRequest,
-    /// The head of the request is above its limit.
+    /// The head of the request exceeds its size limit.
     HeaderTooLarge,
-    /// The body of the request is above its limit.
+    /// The body of the request exceeds its size limit.
     BodyTooLarge,
-    /// The head did not arrive whole in time.
+    /// The head was not received completely within its timeout.
     HeaderTimeout,
-    /// No route of the configuration in force fits.
+    /// No route of the active configuration matches.
     NoRoute,
-    /// The node has no configuration, or may hold an outdated one that lacks the route.
+    /// The node has no configuration, or no route matches but its configuration may be outdated.
     NoConfig,
-    /// The configuration in force, which is fresh, knows no workspace with the request's key.
+    /// The active configuration is up to date and has no workspace with the key of the request.
     UnknownKey,
-    /// The key is not known, but the node may hold an outdated configuration that lacks it.
+    /// The key is unknown, but the configuration of the node may be outdated.
     UnverifiedKey,
-    /// A call of a run that this node does not know, so that nobody can say for which workspace it is.
+    /// A call of a run that this node does not know, so its workspace can't be determined.
     UnknownRun,
-    /// The workspace has used its quota.
+    /// The workspace has exhausted its quota.
     OverQuota,
-    /// No instance of the service is known or can be reached.
+    /// No instance of the service is known or reachable.
     NoInstance,
-    /// Shed at the entry since a service on the way is overloaded.
+    /// Shed at the entry because a service downstream is overloaded.
     Shed,
-    /// The host's queue is too long for the time that is left.
+    /// The expected wait in the host's queue is too long.
     Busy,
-    /// The host is about to stop.
+    /// The host is shutting down.
     Stopping,
-    /// The target turned the request away without running it.
+    /// The target refused the request without running it.
     TargetRefused,
-    /// Another instance has the address now.
+    /// The address belongs to another instance now.
     WrongInstance,
-    /// The time ran out before the request was sent to a target.
+    /// The deadline passed before the request was sent to a target.
     ExpiredUnsent,
-    /// The time ran out while the request may have been at work.
+    /// The deadline passed after the request may have started to run.
     Expired,
-    /// Contact was lost after the request may have reached the target.
+    /// The connection was lost after the request may have reached the target.
     Lost,
-    /// The target broke HTTP or cut its answer short.
+    /// The target violated HTTP or truncated its response.
     BrokenAnswer,
-    /// Targets have crashed each time they ran such a request.
+    /// Targets have crashed each time they ran a similar request.
     CrashesTargets,
-    /// Such requests have crashed targets; others of them run one at a time, and too many wait.
+    /// Similar requests have crashed targets, so they run one at a time, and too many are waiting.
     Isolated,
-    /// The body of the request ended early.
+    /// The request body ended before it was complete.
     CallerGone,
 }
 
-/// What a refusal means for the caller.
+/// How a refusal is reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusalRule {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What is known about whether the request ran.
+    /// Whether the request ran, as far as is known.
     pub outcome: Outcome,
-    /// Whether the caller is told when to come back.
+    /// Whether the caller is told when to retry.
     pub retry_after: bool,
 }
 
 impl Refusal {
-    /// Every refusal, for tests and printed tables.
+    /// All refusals, for tests and printed tables.
     pub const ALL: [Self; 23] = [
         Self::BadRequest,
         Self::HeaderTooLarge,
@@ -94,7 +94,7 @@
         Self::CallerGone,
     ];
 
-    /// The row of the answer table.
+    /// How this refusal is reported to the caller.
     pub const fn rule(self) -> RefusalRule {
         use Outcome::{NotRun, Unknown};
         match self {
@@ -108,18 +108,18 @@
             Self::UnverifiedKey | Self::UnknownRun => row(503, NotRun, true),
             Self::NoConfig | Self::NoInstance | Self::Shed | Self::Busy => row(503, NotRun, true),
             Self::Stopping | Self::TargetRefused | Self::WrongInstance => row(503, NotRun, true),
-            // The route's time is over, but not always that of the caller, which may send it again.
+            // The route's timeout has expired, but the caller may have time left to retry.
             Self::ExpiredUnsent => row(503, NotRun, true),
             Self::Expired => row(504, Unknown, false),
             Self::Lost | Self::BrokenAnswer => row(502, Unknown, false),
-            // Final: sent again it would end the next target. An attempt of it may have run.
+            // Not retryable, as a retry would crash the next target. An earlier attempt may have run.
             Self::CrashesTargets => row(400, Unknown, false),
             Self::Isolated => row(503, NotRun, true),
             Self::CallerGone => row(400, NotRun, false),
         }
     }
 
-    /// Word for logs and metrics.
+    /// Name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad-request",
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether the request certainly did not run, so that it may be sent to another target.
+    /// Returns `true` if the request certainly did not run, so that it can be sent to another target.
     pub const fn is_not_run(self) -> bool {
         matches!(self.rule().outcome, Outcome::NotRun)
     }
