--- a/crates/core/tests/mesh_budget.rs
+++ b/crates/core/tests/mesh_budget.rs
@@ -26,10 +26,14 @@
         let mut sent = 0.0;
         for budget in &mut budgets {
             for _ in 0..*requests {
-                budget.earn(&service, 1.0, now);
+                budget.deposit(&service, 1.0, now);
             }
             for _ in 0..*wishes {
-                sent += f64::from(u8::from(budget.spend(&[(service.clone(), 1.0)], 0.0, now)));
+                sent += f64::from(u8::from(budget.try_withdraw(
+                    &[(service.clone(), 1.0)],
+                    0.0,
+                    now,
+                )));
             }
         }
         firsts.push(f64::from(*requests) * nodes as f64);
@@ -83,16 +87,23 @@
     budget.set_nodes(13);
     let (top, bottom) = (ServiceName::from("top"), ServiceName::from("bottom"));
     for _ in 0..50 {
-        budget.earn(&top, 1.0, now);
+        budget.deposit(&top, 1.0, now);
     }
-    let before = budget.left(&top, now);
+    let before = budget.balance(&top, now);
     let costs = [(top.clone(), 1.0), (bottom.clone(), 8.0)];
-    assert!(!budget.spend(&costs, 0.0, now), "nothing was earned below");
-    assert_eq!(budget.left(&top, now), before, "nothing is taken by halves");
+    assert!(
+        !budget.try_withdraw(&costs, 0.0, now),
+        "nothing was earned below"
+    );
+    assert_eq!(
+        budget.balance(&top, now),
+        before,
+        "nothing is taken by halves"
+    );
     for _ in 0..200 {
-        budget.earn(&bottom, 1.0, now);
+        budget.deposit(&bottom, 1.0, now);
     }
-    assert!(budget.spend(&costs, 0.0, now));
+    assert!(budget.try_withdraw(&costs, 0.0, now));
 }
 
 #[test]
@@ -116,11 +127,14 @@
     budget.set_nodes(13);
     let service = ServiceName::from("svc");
     for _ in 0..200 {
-        budget.earn(&service, 1.0, now);
+        budget.deposit(&service, 1.0, now);
     }
     let costs = [(service, 1.0)];
-    while budget.spend(&costs, 0.6, now) {}
-    assert!(budget.spend(&costs, 0.0, now), "less urgent ones took all");
+    while budget.try_withdraw(&costs, 0.6, now) {}
+    assert!(
+        budget.try_withdraw(&costs, 0.0, now),
+        "less urgent ones took all"
+    );
 }
 
 /// Symptom: a service goes on repeating as much as its old settings allowed until each of its nodes is restarted.
@@ -137,10 +151,12 @@
     };
     budget.set_config(none);
     for _ in 0..1000 {
-        budget.earn(&service, 1.0, now);
+        budget.deposit(&service, 1.0, now);
     }
     let cost = [(service, 1.0)];
-    let sent = (0..100).filter(|_| budget.spend(&cost, 0.0, now)).count();
+    let sent = (0..100)
+        .filter(|_| budget.try_withdraw(&cost, 0.0, now))
+        .count();
     assert!(
         sent <= 1,
         "{sent} repeats beyond the one that each node may save up"
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -186,12 +186,13 @@
     /// calls to them leave from other nodes. Those nodes use the rest for repeats of single calls.
     fn earn(&mut self, ask: &SendAsk, now: Instant) {
         if ask.outer.is_some() {
-            return self.budget.earn(&ask.service, INNER_SHARE, now);
+            return self.budget.deposit(&ask.service, INNER_SHARE, now);
         }
-        self.budget.earn(&ask.service, 1.0, now);
+        self.budget.deposit(&ask.service, 1.0, now);
         if let Some(stats) = self.stats.get(&ask.route) {
             for (service, count) in stats.downstream.iter() {
-                self.budget.earn(service, count * (1.0 - INNER_SHARE), now);
+                self.budget
+                    .deposit(service, count * (1.0 - INNER_SHARE), now);
             }
         }
     }
@@ -260,7 +261,7 @@
             }
         }
         let reserve = self.reserve(ask.rank);
-        let affordable = self.budget.spend(&costs, reserve, now);
+        let affordable = self.budget.try_withdraw(&costs, reserve, now);
         self.metrics
             .repeat(if affordable { "sent" } else { "no-budget" });
         affordable
