--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -404,9 +404,11 @@
             member.seen.reported(busy, now);
         }
         match outcome {
-            SendOutcome::Answered { relative } => member.seen.answered(relative, now),
+            SendOutcome::Answered { relative_latency } => {
+                member.seen.answered(relative_latency, now)
+            }
             SendOutcome::Failed => member.seen.failed(now),
-            SendOutcome::NotReached => member.seen.not_reached(now),
+            SendOutcome::HostUnreachable => member.seen.not_reached(now),
             SendOutcome::TargetGone => member.seen.target_gone(now),
             SendOutcome::HostStopping => member.seen.host_stopped(now),
             SendOutcome::HostBusy | SendOutcome::Abandoned => {}
--- a/crates/core/src/mesh/send_outcome.rs
+++ b/crates/core/src/mesh/send_outcome.rs
@@ -1,23 +1,23 @@
-//! What became of a request at an instance.
+//! Outcome of sending a request to an instance.
 
-/// What became of a request at an instance, as far as the choice of instances is concerned.
+/// Outcome of sending a request to an instance, as used for instance selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendOutcome {
-    /// A whole answer, after this multiple of the route's usual time.
+    /// The complete response was received.
     Answered {
-        /// Time over the usual time of the route.
-        relative: f64,
+        /// Latency divided by the usual latency of the route.
+        relative_latency: f64,
     },
-    /// The target failed, refused it or broke off.
+    /// The target failed, refused the request or aborted its response.
     Failed,
-    /// The target does not listen, or is not that instance any more.
+    /// The target does not listen, or its address belongs to another instance now.
     TargetGone,
-    /// The host's queue was too long; the target was not asked.
+    /// The host's queue was too long; the request was not sent to the target.
     HostBusy,
-    /// The host is about to stop; the target was not asked.
+    /// The host is shutting down; the request was not sent to the target.
     HostStopping,
     /// The host could not be reached.
-    NotReached,
-    /// Nobody waits for it any more; says nothing about the instance.
+    HostUnreachable,
+    /// The caller no longer waits for the response; says nothing about the instance.
     Abandoned,
 }
--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -75,7 +75,9 @@
     }
 }
 
-const WELL: SendOutcome = SendOutcome::Answered { relative: 1.0 };
+const WELL: SendOutcome = SendOutcome::Answered {
+    relative_latency: 1.0,
+};
 
 /// A host that stops refuses at once and looks idle: it drew most requests of its service.
 #[test]
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -525,7 +525,7 @@
         let usual = self.deployment.kinds[kind].work_ms / 1000.0;
         let outcome = match well {
             true => SendOutcome::Answered {
-                relative: ((self.now - sent) / usual.max(0.02)).clamp(0.5, 2.0),
+                relative_latency: ((self.now - sent) / usual.max(0.02)).clamp(0.5, 2.0),
             },
             false => SendOutcome::Abandoned,
         };
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -206,7 +206,7 @@
         let stats = entry(&mut self.stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
-                relative: stats.answered(ended.took),
+                relative_latency: stats.answered(ended.took),
             },
             other => other,
         };
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -173,7 +173,7 @@
         match reply {
             Ok(reply) => self.replied(reply, to.guard).await,
             Err(LinkFault::NotSent) => {
-                to.guard.end(SendOutcome::NotReached, None);
+                to.guard.end(SendOutcome::HostUnreachable, None);
                 self.rerouted(Refusal::NoInstance)
             }
             Err(fault) => {
@@ -181,7 +181,7 @@
                 self.entry
                     .journal
                     .reply_lost(&self.id, &self.last_instance, &reason);
-                to.guard.end(SendOutcome::NotReached, None);
+                to.guard.end(SendOutcome::HostUnreachable, None);
                 self.at_targets += 1;
                 self.failed(Err(Refused::from(Refusal::Lost)), true).await
             }
@@ -205,7 +205,9 @@
                 self.failed(Ok(answer), true).await
             }
             Ok(answer) => {
-                let outcome = SendOutcome::Answered { relative: 1.0 };
+                let outcome = SendOutcome::Answered {
+                    relative_latency: 1.0,
+                };
                 guard.end(outcome, Some(report));
                 Step::Finish(Ok(answer))
             }
