--- a/crates/core/tests/mesh_routes.rs
+++ b/crates/core/tests/mesh_routes.rs
@@ -7,7 +7,8 @@
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
-    CallerLimits, ConfigVersion, MeshConfig, MeshConfigError, Part, Refusal, Repeat, Route, Split,
+    CallerLimits, ConfigVersion, MeshConfig, MeshConfigError, Part, Refusal, Repeat, Route,
+    WeightedRoundRobin,
 };
 use coltsfootport_core::outcome::Outcome;
 
@@ -187,7 +188,7 @@
             .map(|(at, weight)| part(&format!("s{at}"), *weight))
             .collect();
         let total: f64 = weights.iter().sum();
-        let mut split = Split::new(&parts, phase);
+        let mut split = WeightedRoundRobin::new(&parts, phase);
         let mut counts: Map<ServiceName, u32> = Map::default();
         let rounds = 300;
         for _ in 0..rounds {
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -5,7 +5,9 @@
 
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
-use coltsfootport_core::mesh::{InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, Split};
+use coltsfootport_core::mesh::{
+    InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, WeightedRoundRobin,
+};
 use coltsfootport_core::quarantine::Standing;
 use rand::Rng;
 use smol_str::SmolStr;
@@ -130,7 +132,7 @@
         }
         let phase = self.rng.random::<f64>();
         let split = entry(&mut self.splits, &route.name, || {
-            Split::new(&route.parts, phase)
+            WeightedRoundRobin::new(&route.parts, phase)
         });
         split.next(&route.parts).cloned()
     }
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -9,7 +9,7 @@
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
     CallerLimits, Drain, DrainConfig, Era, Fleet, FleetConfig, GateConfig, MeshConfig, RetryBudget,
-    RetryBudgetConfig, Shedder, ShedderConfig, Split, TargetGate, Ticket,
+    RetryBudgetConfig, Shedder, ShedderConfig, TargetGate, Ticket, WeightedRoundRobin,
 };
 use coltsfootport_core::quarantine::QuarantineConfig;
 use coltsfootport_core::workspace::{EntryQuotas, HomeQuotas, QuotaConfig, QuotaRouter};
@@ -101,7 +101,7 @@
     pub(super) limits: watch::Sender<CallerLimits>,
     pub(super) rng: SmallRng,
     pub(super) config: Option<Arc<MeshConfig>>,
-    pub(super) splits: Map<SmolStr, Split>,
+    pub(super) splits: Map<SmolStr, WeightedRoundRobin>,
     pub(super) stats: Map<SmolStr, RouteStats>,
     pub(super) fleet: Fleet,
     pub(super) entries: Entries,
