--- a/crates/core/src/mesh/route_table.rs
+++ b/crates/core/src/mesh/route_table.rs
@@ -1,11 +1,11 @@
-//! The choice of a route by host and longest prefix.
+//! Route lookup by host and longest path prefix.
 
 use smol_str::SmolStr;
 
 use crate::collections::Map;
 use crate::mesh::{Route, RouteKey};
 
-/// Routes by host, those with the longest prefix first.
+/// Routes by host, sorted by descending prefix length.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: Map<SmolStr, Vec<Entry>>,
@@ -18,7 +18,7 @@
 }
 
 impl RouteTable {
-    /// The table of these routes.
+    /// Builds a table of `routes`.
     pub fn new<'r, I>(routes: I) -> Self
     where
         I: IntoIterator<Item = (RouteKey, &'r Route)>,
@@ -37,11 +37,11 @@
         Self { hosts }
     }
 
-    /// The route with the longest prefix that begins `path`, which has no query.
+    /// Returns the route with the longest prefix that matches `path`, which must not contain a query.
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let entries = match self.hosts.get(host) {
             Some(entries) => entries,
-            None => self.hosts.get(bare_host(host).as_str())?,
+            None => self.hosts.get(normalize_host(host).as_str())?,
         };
         entries
             .iter()
@@ -50,8 +50,8 @@
     }
 }
 
-/// A host as it stands in routes: without its port, in lower case.
-fn bare_host(host: &str) -> SmolStr {
+/// Strips the port and converts to lower case, as in the host names of routes.
+fn normalize_host(host: &str) -> SmolStr {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
         _ => host,
