--- a/crates/core/src/mesh/config.rs
+++ b/crates/core/src/mesh/config.rs
@@ -68,7 +68,7 @@
         }
         let keyed = (0..).map(RouteKey).zip(&routes);
         let table = RouteTable::new(keyed);
-        let parts = routes.iter().flat_map(|route| &route.parts);
+        let parts = routes.iter().flat_map(|route| &route.services);
         let services = parts.map(|part| part.service.clone()).collect();
         let config = Self {
             version,
@@ -180,8 +180,8 @@
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
         return Err(MeshConfigError::Prefix(name()));
     }
-    let weights_are_numbers = route.parts.iter().all(|part| part.weight >= 0.0);
-    if !weights_are_numbers || !route.parts.iter().any(|part| part.weight > 0.0) {
+    let weights_are_numbers = route.services.iter().all(|part| part.weight >= 0.0);
+    if !weights_are_numbers || !route.services.iter().any(|part| part.weight > 0.0) {
         return Err(MeshConfigError::Weights(name()));
     }
     if route.max_attempts == 0 {
--- a/crates/core/src/mesh/route.rs
+++ b/crates/core/src/mesh/route.rs
@@ -1,4 +1,4 @@
-//! One route of a configuration.
+//! Routes of a mesh configuration.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -9,51 +9,52 @@
 use crate::id::ServiceName;
 use crate::mesh::RequestKind;
 
-/// How often a request of a route may run.
+/// How often a request of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Running it twice does no harm.
+    /// Executing it more than once has no further effect.
     Idempotent,
-    /// It may run once at most.
+    /// It must not be executed more than once.
     AtMostOnce,
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
-    /// The service.
+pub struct WeightedService {
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share, relative to the sum over all parts.
+    /// Weight, relative to the sum over all services of the route.
     pub weight: f64,
 }
 
-/// Where requests of a host and path prefix go, and what holds for them.
+/// Maps requests for a host and path prefix to services, and configures how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, which stays the same over versions of the configuration.
+    /// Name; identifies the route across configuration versions.
     pub name: SmolStr,
-    /// Host, in lower case and without a port.
+    /// Host name, in lower case and without port.
     pub host: SmolStr,
-    /// Beginning of the path, from slash to slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: SmolStr,
-    /// How often a request may run.
+    /// How often a request may be executed.
     pub repeat: Repeat,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until a caller gets a response.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth.
+    /// Latency up to which a response has its full value.
     pub latency_target: Duration,
-    /// Urgency; 0 is shed last.
+    /// Urgency; 0 is the most urgent and shed last.
     pub rank: u8,
-    /// The services that run its requests; one where nothing is split.
-    pub parts: Vec<Part>,
-    /// Most targets that one request may be sent to.
+    /// Services that receive its requests; more than one if the traffic is split.
+    pub services: Vec<WeightedService>,
+    /// Maximum number of targets that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether its requests need no key although there are workspaces.
+    /// Whether its requests need no key even if workspaces are configured.
     pub public: bool,
 }
 
 impl Route {
-    /// Stands for the route within reports and frames. Two routes of one kind would only share their usual times.
+    /// Identifies the route in reports and frames. It is a hash of the name; routes that collide only share their mean
+    /// service times.
     pub fn kind(&self) -> RequestKind {
         let mut hasher = FastHasher::default();
         self.name.hash(&mut hasher);
--- a/crates/core/src/mesh/weighted_round_robin.rs
+++ b/crates/core/src/mesh/weighted_round_robin.rs
@@ -1,7 +1,7 @@
 //! Selection among the services of a route by weight.
 
 use crate::id::ServiceName;
-use crate::mesh::Part;
+use crate::mesh::WeightedService;
 
 /// Smooth weighted round robin: after any number of selections, each service is within one of its share.
 ///
@@ -15,13 +15,13 @@
     /// Creates a selection whose start is shifted by `phase`, from 0 to 1.
     ///
     /// If all nodes started with the service of the highest weight, it would receive the first requests of each of them.
-    pub fn new(parts: &[Part], phase: f64) -> Self {
-        let total: f64 = parts.iter().map(|part| part.weight).sum();
-        let mut credits = Vec::with_capacity(parts.len());
+    pub fn new(services: &[WeightedService], phase: f64) -> Self {
+        let total: f64 = services.iter().map(|service| service.weight).sum();
+        let mut credits = Vec::with_capacity(services.len());
         let mut sum = 0.0;
-        for (index, part) in parts.iter().enumerate() {
+        for (index, service) in services.iter().enumerate() {
             let offset = (phase + 0.618 * index as f64).fract() - 0.5;
-            let credit = offset * part.weight.min(total / 2.0);
+            let credit = offset * service.weight.min(total / 2.0);
             credits.push(credit);
             sum += credit;
         }
@@ -33,19 +33,19 @@
 
     /// Selects the next service. A single service is selected whatever its weight; otherwise returns `None` if no service
     /// has a weight above 0.
-    pub fn next<'p>(&mut self, parts: &'p [Part]) -> Option<&'p ServiceName> {
-        if let [only] = parts {
+    pub fn next<'p>(&mut self, services: &'p [WeightedService]) -> Option<&'p ServiceName> {
+        if let [only] = services {
             return Some(&only.service);
         }
-        self.credits.resize(parts.len(), 0.0);
-        let total: f64 = parts.iter().map(|part| part.weight).sum();
-        for (credit, part) in self.credits.iter_mut().zip(parts) {
-            *credit += part.weight;
+        self.credits.resize(services.len(), 0.0);
+        let total: f64 = services.iter().map(|service| service.weight).sum();
+        for (credit, service) in self.credits.iter_mut().zip(services) {
+            *credit += service.weight;
         }
-        let best = (0..parts.len())
-            .filter(|index| parts[*index].weight > 0.0)
+        let best = (0..services.len())
+            .filter(|index| services[*index].weight > 0.0)
             .max_by(|a, b| self.credits[*a].total_cmp(&self.credits[*b]))?;
         self.credits[best] -= total;
-        Some(&parts[best].service)
+        Some(&services[best].service)
     }
 }
--- a/crates/core/tests/mesh_routes.rs
+++ b/crates/core/tests/mesh_routes.rs
@@ -7,13 +7,13 @@
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
-    CallerLimits, ConfigVersion, MeshConfig, MeshConfigError, Part, Refusal, Repeat, Route,
-    WeightedRoundRobin,
+    CallerLimits, ConfigVersion, MeshConfig, MeshConfigError, Refusal, Repeat, Route,
+    WeightedRoundRobin, WeightedService,
 };
 use coltsfootport_core::outcome::Outcome;
 
-fn part(service: &str, weight: f64) -> Part {
-    Part {
+fn part(service: &str, weight: f64) -> WeightedService {
+    WeightedService {
         service: service.into(),
         weight,
     }
@@ -28,7 +28,7 @@
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank: 1,
-        parts: vec![part("svc", 1.0)],
+        services: vec![part("svc", 1.0)],
         max_attempts: 2,
         public: false,
     }
@@ -120,17 +120,17 @@
         },
         Case {
             name: "no weight",
-            change: |route| route.parts = vec![part("svc", 0.0)],
+            change: |route| route.services = vec![part("svc", 0.0)],
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
             name: "a weight that is no number",
-            change: |route| route.parts = vec![part("svc", f64::NAN)],
+            change: |route| route.services = vec![part("svc", f64::NAN)],
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
             name: "no part",
-            change: |route| route.parts.clear(),
+            change: |route| route.services.clear(),
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
@@ -182,7 +182,7 @@
         phase in 0.0_f64..1.0,
     ) {
         prop_assume!(weights.iter().sum::<f64>() > 1.0);
-        let parts: Vec<Part> = weights
+        let parts: Vec<WeightedService> = weights
             .iter()
             .enumerate()
             .map(|(at, weight)| part(&format!("s{at}"), *weight))
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{
-    CallerLimits, Claim, ConfigVersion, MeshConfig, Part, Presented, Refusal, Repeat, Route,
-    authenticate,
+    CallerLimits, Claim, ConfigVersion, MeshConfig, Presented, Refusal, Repeat, Route,
+    WeightedService, authenticate,
 };
 use coltsfootport_core::workspace::{
     Directory, DirectoryError, DirectorySecret, MAX_KEY_BYTES, Quota, Workspace, WorkspaceSpec,
@@ -222,7 +222,7 @@
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank,
-        parts: vec![Part {
+        services: vec![WeightedService {
             service: "svc".into(),
             weight: 1.0,
         }],
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -127,14 +127,14 @@
 
     fn next_part(&mut self, config: &MeshConfig, key: RouteKey) -> Option<ServiceName> {
         let route = config.route(key);
-        if let [only] = route.parts.as_slice() {
+        if let [only] = route.services.as_slice() {
             return Some(only.service.clone());
         }
         let phase = self.rng.random::<f64>();
         let split = entry(&mut self.splits, &route.name, || {
-            WeightedRoundRobin::new(&route.parts, phase)
+            WeightedRoundRobin::new(&route.services, phase)
         });
-        split.next(&route.parts).cloned()
+        split.next(&route.services).cloned()
     }
 
     /// Chooses an instance for a request.
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -187,7 +187,7 @@
         let same_parts = |name: &SmolStr| {
             let find = |config: &MeshConfig| {
                 let route = config.routes().iter().find(|route| route.name == *name)?;
-                Some(route.parts.clone())
+                Some(route.services.clone())
             };
             old.as_deref().and_then(find) == find(new)
         };
