--- a/crates/core/src/mesh/drain.rs
+++ b/crates/core/src/mesh/drain.rs
@@ -7,11 +7,11 @@
 pub struct DrainConfig {
     /// Grace period from the stop signal to the forced end.
     pub grace_period: Duration,
-    /// Time after the stop signal for which callers still send requests. They notice by the readiness check, which is polled
-    /// every second and takes two failures.
+    /// Time after the stop signal for which callers still send requests. They notice by the readiness check, which is
+    /// polled every second and takes two failures.
     pub caller_window: Duration,
-    /// Time before the forced end by which admitted requests should have finished, since their responses still have to be
-    /// sent.
+    /// Time before the forced end by which admitted requests should have finished, since their responses still have to
+    /// be sent.
     pub margin: Duration,
     /// Multiple of the mean latency of their kind within which nearly all requests finish.
     pub tail_factor: f64,
@@ -41,8 +41,8 @@
         Self { cfg, started: now }
     }
 
-    /// Whether to admit a request of a caller: only if it is expected to finish before the forced end of the node. `expected`
-    /// is the mean latency of its kind, `left` the time until its deadline.
+    /// Whether to admit a request of a caller: only if it is expected to finish before the forced end of the node.
+    /// `expected` is the mean latency of its kind, `left` the time until its deadline.
     ///
     /// A request refused here has not run and can be retried; one that is cut off at the end may have run.
     pub fn admits_caller(&self, expected: Duration, left: Duration, now: Instant) -> bool {
@@ -51,8 +51,8 @@
             && self.expected_end(expected, left, now) <= latest
     }
 
-    /// Whether to admit a request of another node: only if it is not expected to delay the end of this node beyond the time
-    /// when its own callers have left. The other node can choose another host immediately.
+    /// Whether to admit a request of another node: only if it is not expected to delay the end of this node beyond the
+    /// time when its own callers have left. The other node can choose another host immediately.
     pub fn admits_peer(&self, expected: Duration, left: Duration, now: Instant) -> bool {
         let latest = self.cfg.grace_period.saturating_sub(self.cfg.margin);
         self.expected_end(expected, left, now) <= latest.min(self.cfg.caller_window)
--- a/crates/core/src/mesh/headroom.rs
+++ b/crates/core/src/mesh/headroom.rs
@@ -7,9 +7,9 @@
 
 /// Estimates whether service times rise near full concurrency, and leaves a few slots free if they do.
 ///
-/// Some targets take a third longer for every request once nearly all slots are in use. A queue in front of such a target
-/// keeps it there for the whole overload, and its throughput is a quarter lower than with two slots fewer. Other targets
-/// don't slow down, and a slot left free there only loses throughput.
+/// Some targets take a third longer for every request once nearly all slots are in use. A queue in front of such a
+/// target keeps it there for the whole overload, and its throughput is a quarter lower than with two slots fewer. Other
+/// targets don't slow down, and a slot left free there only loses throughput.
 #[derive(Clone, Debug, Default)]
 pub struct Headroom {
     /// Mean service time of requests dispatched below the near-full threshold, by kind, in seconds.
@@ -30,8 +30,8 @@
 /// Minimum slowdown at which slots are left free: the gain must exceed the throughput of the free slots, about a tenth.
 const MIN_SLOWDOWN: f64 = 0.15;
 
-/// Half-life of the slowdown estimate. No slowdown can be observed while slots are left free, so the estimate decays until
-/// all slots are used again and new samples confirm or refute it.
+/// Half-life of the slowdown estimate. No slowdown can be observed while slots are left free, so the estimate decays
+/// until all slots are used again and new samples confirm or refute it.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// Maximum number of kinds tracked; bounds memory when routes are added and removed.
--- a/crates/core/src/mesh/level.rs
+++ b/crates/core/src/mesh/level.rs
@@ -7,8 +7,8 @@
 pub struct LevelConfig {
     /// Load up to which requests are admitted, as work arriving over work that the slots can do.
     ///
-    /// Slightly above 1 keeps all slots busy; the resulting queue is counted as backlog as soon as it forms. 0.9 served 3%
-    /// fewer requests in surges; there was no difference between 1.0 and 1.1.
+    /// Slightly above 1 keeps all slots busy; the resulting queue is counted as backlog as soon as it forms. 0.9 served
+    /// 3% fewer requests in surges; there was no difference between 1.0 and 1.1.
     pub target_load: f64,
     /// Window over which arrivals are averaged.
     pub load_window: Duration,
@@ -29,8 +29,8 @@
 /// Number of distinct shed orders; more urgent ranks are counted with the last one.
 const MAX_SHED_ORDERS: usize = 16;
 
-/// Share of the most urgent rank that is still admitted at the maximum level, so that responses keep reporting the level
-/// and callers notice a recovery.
+/// Share of the most urgent rank that is still admitted at the maximum level, so that responses keep reporting the
+/// level and callers notice a recovery.
 const MIN_ADMITTED_AT_MAX_LEVEL: f64 = 0.5;
 
 /// Lower bound of the admitted share used to extrapolate an arrival. Below it, a single request would stand for so many
@@ -39,9 +39,9 @@
 
 /// Tracks the load of one target and derives its overload level.
 ///
-/// Each request carries the share of similar requests that entries admitted. Dividing its expected work by that share and
-/// summing up estimates the load that would arrive without shedding. The level follows directly from this estimate: the
-/// most urgent ranks are admitted first, then as much of the next rank as the remaining capacity allows.
+/// Each request carries the share of similar requests that entries admitted. Dividing its expected work by that share
+/// and summing up estimates the load that would arrive without shedding. The level follows directly from this estimate:
+/// the most urgent ranks are admitted first, then as much of the next rank as the remaining capacity allows.
 ///
 /// A feedback controller that integrates the remaining load or wait does not know how much a step changes, and sees the
 /// effect only after the chain of calls above has run. It keeps rising while the queue of a surge drains, falls once
@@ -136,8 +136,8 @@
     /// shed in part, plus the share of it that is shed.
     ///
     /// Queued requests use capacity of their own rank and of those that are served after it. When the queue counted
-    /// against all ranks, urgent requests were shed for a long queue of a less urgent rank although they would have been
-    /// served before it: in a replayed surge with a slow last service, 0.79 of them were served instead of 0.90.
+    /// against all ranks, urgent requests were shed for a long queue of a less urgent rank although they would have
+    /// been served before it: in a replayed surge with a slow last service, 0.79 of them were served instead of 0.90.
     fn lowest_sufficient_level(&self, backlog: &Backlog) -> f64 {
         let mut capacity = self.cfg.target_load;
         for (shed_order, offered) in self.offered.iter().enumerate().rev() {
--- a/crates/core/src/mesh/retry_budget.rs
+++ b/crates/core/src/mesh/retry_budget.rs
@@ -15,8 +15,8 @@
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
-    /// Share of the bound that nodes use, from 0 to 1. The rest covers what nodes can't see of each other: requests that
-    /// ended at another node, and instance counts that differ temporarily.
+    /// Share of the bound that nodes use, from 0 to 1. The rest covers what nodes can't see of each other: requests
+    /// that ended at another node, and instance counts that differ temporarily.
     pub used_share: f64,
 }
 
@@ -67,8 +67,8 @@
         self.nodes = u32::try_from(nodes).unwrap_or(u32::MAX).max(1);
     }
 
-    /// Deposits tokens for first attempts of requests to a service. `requests` may be fractional if this node may use only a
-    /// part of their tokens.
+    /// Deposits tokens for first attempts of requests to a service. `requests` may be fractional if this node may use
+    /// only a part of their tokens.
     pub fn deposit(&mut self, service: &ServiceName, requests: f64, now: Instant) {
         let deposit = self.cfg.ratio * self.cfg.used_share * requests;
         let slack = self.slack_share();
@@ -80,8 +80,9 @@
     /// Withdraws the cost of one retry from the bucket of every service that it reaches. Withdraws nothing and returns
     /// `false` if one of them has too few tokens.
     ///
-    /// `reserve` is the share of the bucket capacity, from 0 to 1, that must remain for more urgent requests. If everything
-    /// fails, retries of the many less urgent requests would otherwise leave nothing for the few urgent ones.
+    /// `reserve` is the share of the bucket capacity, from 0 to 1, that must remain for more urgent requests. If
+    /// everything fails, retries of the many less urgent requests would otherwise leave nothing for the few urgent
+    /// ones.
     pub fn try_withdraw(
         &mut self,
         costs: &[(ServiceName, f64)],
@@ -134,8 +135,8 @@
 }
 
 impl Bucket {
-    /// Maximum number of tokens. All of them can be spent at once, on top of the deposits of a window, so the capacity is only
-    /// a part of the allowance of a window.
+    /// Maximum number of tokens. All of them can be spent at once, on top of the deposits of a window, so the capacity
+    /// is only a part of the allowance of a window.
     fn capacity(&self, slack: f64) -> f64 {
         (slack * CAPACITY_SHARE + self.recent_deposits * CAPACITY_SHARE).max(MIN_CAPACITY)
     }
@@ -144,6 +145,6 @@
 /// Share of a window's allowance that can be carried over to the next one.
 const CAPACITY_SHARE: f64 = 0.5;
 
-/// Minimum capacity of a bucket. A node of a large fleet must be able to accumulate the token for one retry, or it could
-/// never send one.
+/// Minimum capacity of a bucket. A node of a large fleet must be able to accumulate the token for one retry, or it
+/// could never send one.
 const MIN_CAPACITY: f64 = 1.0;
--- a/crates/core/src/mesh/service_times.rs
+++ b/crates/core/src/mesh/service_times.rs
@@ -8,8 +8,8 @@
 
 /// Moving averages of the service time by kind.
 ///
-/// A single mean over all kinds would jump with each long request: if a few requests hold a slot for a second and most for
-/// a twentieth of it, the load of the last twenty requests says little about that of the next ones.
+/// A single mean over all kinds would jump with each long request: if a few requests hold a slot for a second and most
+/// for a twentieth of it, the load of the last twenty requests says little about that of the next ones.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
     by_kind: Map<RequestKind, f64>,
--- a/crates/core/src/mesh/shedder.rs
+++ b/crates/core/src/mesh/shedder.rs
@@ -18,8 +18,8 @@
     pub decay_per_second: f64,
     /// Maximum share of a rank that is shed; the requests still admitted keep returning reports.
     pub max_share: f64,
-    /// Time for which the choice of requests to shed stays the same. Longer than a caller waits before it retries, but short
-    /// compared with a lasting overload, so that the same callers are not shed throughout.
+    /// Time for which the choice of requests to shed stays the same. Longer than a caller waits before it retries, but
+    /// short compared with a lasting overload, so that the same callers are not shed throughout.
     pub epoch: Duration,
     /// Minimum Retry-After of a shed request: levels change within a few tenths of a second.
     pub min_retry_after: Duration,
@@ -46,10 +46,10 @@
 /// Requests are shed at the entry, before any work has been done for them. If they were refused further downstream, the
 /// work upstream would be lost, and callers would repeat all of it.
 ///
-/// The choice is made by a hash of the requested host and path, so a caller that retries too early is shed again, and an
-/// admitted request is admitted at its first attempt. With an independent random choice for each attempt, shedding a share
-/// `s` would reject only `s²` of the requests in the end and delay the others needlessly: the load falls late, and the
-/// level overshoots.
+/// The choice is made by a hash of the requested host and path, so a caller that retries too early is shed again, and
+/// an admitted request is admitted at its first attempt. With an independent random choice for each attempt, shedding a
+/// share `s` would reject only `s²` of the requests in the end and delay the others needlessly: the load falls late,
+/// and the level overshoots.
 #[derive(Clone, Debug)]
 pub struct Shedder {
     cfg: ShedderConfig,
@@ -110,8 +110,8 @@
         (self.level(route, now) - shed_order as f64).clamp(0.0, self.cfg.max_share)
     }
 
-    /// Decides whether to admit a request for `host` and `path`. Returns the admitted share of requests with its route and
-    /// rank.
+    /// Decides whether to admit a request for `host` and `path`. Returns the admitted share of requests with its route
+    /// and rank.
     ///
     /// # Errors
     ///
--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -13,8 +13,8 @@
     pub slots: u32,
     /// Maximum number of queued requests; bounds memory.
     pub max_queued: usize,
-    /// Share of the mean service time of its kind that a request must have left to be dispatched; 0 dispatches any request
-    /// before its deadline. A run that is cut off at its deadline has wasted its slot and those of its calls.
+    /// Share of the mean service time of its kind that a request must have left to be dispatched; 0 dispatches any
+    /// request before its deadline. A run that is cut off at its deadline has wasted its slot and those of its calls.
     pub start_share: f64,
     /// Whether to leave slots free when the target slows down near full concurrency.
     pub headroom: bool,
@@ -52,8 +52,8 @@
     pub admitted: f64,
     /// Route of the request.
     pub kind: RequestKind,
-    /// Whether it is a call of another run. ServiceTimes upstream has already been done, so it is served before others of its rank
-    /// and refused only if it can't finish in time.
+    /// Whether it is a call of another run. Work upstream has already been done, so it is served before others of its
+    /// rank and refused only if it can't finish in time.
     pub inner: bool,
     /// When the external request that it belongs to entered the mesh.
     pub began: Instant,
@@ -115,16 +115,17 @@
 impl Queued {
     /// Sort key: rank, then calls of runs in progress, then the age of the external request.
     ///
-    /// A request that makes several calls in sequence queues here for each of them. Ordered by the arrival of each call, all
-    /// requests in progress would take turns and all finish late; ordered by age, the most advanced ones finish first.
+    /// A request that makes several calls in sequence queues here for each of them. Ordered by the arrival of each
+    /// call, all requests in progress would take turns and all finish late; ordered by age, the most advanced ones
+    /// finish first.
     fn dispatch_order(&self) -> (u8, bool, Instant, Ticket) {
         let req = &self.request;
         (req.rank, !req.inner, req.began, self.ticket)
     }
 }
 
-/// Share of a request's remaining time within which the queue should drain. Most of that time is needed for its own run,
-/// and it may queue at several targets on its way.
+/// Share of a request's remaining time within which the queue should drain. Most of that time is needed for its own
+/// run, and it may queue at several targets on its way.
 const DRAIN_SHARE: f64 = 0.25;
 
 /// Bounds of the drain time in seconds: a shorter one would react to every fluctuation, a longer one would let queues
@@ -285,8 +286,8 @@
         self.queue.len()
     }
 
-    /// Expected time until a request that is admitted now has ended: its wait for a slot plus the mean service time of its
-    /// kind.
+    /// Expected time until a request that is admitted now has ended: its wait for a slot plus the mean service time of
+    /// its kind.
     pub fn expected_completion(&self, request: &SlotRequest) -> Duration {
         let is_free = self.running() < self.usable && self.queue.is_empty();
         let wait = match is_free {
@@ -322,7 +323,8 @@
         backlog
     }
 
-    /// Expected time until a request that is admitted now gets a slot, from the requests running and queued ahead of it.
+    /// Expected time until a request that is admitted now gets a slot, from the requests running and queued ahead of
+    /// it.
     fn expected_wait(&self, request: &SlotRequest) -> Duration {
         let order = (
             request.rank,
--- a/crates/core/src/mesh/weighted_round_robin.rs
+++ b/crates/core/src/mesh/weighted_round_robin.rs
@@ -14,7 +14,8 @@
 impl WeightedRoundRobin {
     /// Creates a selection whose start is shifted by `phase`, from 0 to 1.
     ///
-    /// If all nodes started with the service of the highest weight, it would receive the first requests of each of them.
+    /// If all nodes started with the service of the highest weight, it would receive the first requests of each of
+    /// them.
     pub fn new(services: &[WeightedService], phase: f64) -> Self {
         let total: f64 = services.iter().map(|service| service.weight).sum();
         let mut credits = Vec::with_capacity(services.len());
@@ -31,8 +32,8 @@
         Self { credits }
     }
 
-    /// Selects the next service. A single service is selected whatever its weight; otherwise returns `None` if no service
-    /// has a weight above 0.
+    /// Selects the next service. A single service is selected whatever its weight; otherwise returns `None` if no
+    /// service has a weight above 0.
     pub fn next<'p>(&mut self, services: &'p [WeightedService]) -> Option<&'p ServiceName> {
         if let [only] = services {
             return Some(&only.service);
