--- a/crates/core/tests/mesh_gate.rs
+++ b/crates/core/tests/mesh_gate.rs
@@ -61,9 +61,9 @@
     assert_eq!(order, [high, inner_low, outer_low]);
 }
 
-/// Guards against ordering calls by their own arrival. Requests that make several calls in sequence to an overloaded target
-/// then take turns, and nearly all requests of the least urgent rank are answered late although only as many are admitted
-/// as could be answered in time.
+/// Guards against ordering calls by their own arrival. Requests that make several calls in sequence to an overloaded
+/// target then take turns, and nearly all requests of the least urgent rank are answered late although only as many are
+/// admitted as could be answered in time.
 #[test]
 fn calls_of_the_oldest_request_are_dispatched_first() {
     let now = Instant::now();
@@ -157,9 +157,9 @@
     }
 }
 
-/// Guards against a level that integrates the wait. It ignores that the load has already fallen, rises through all ranks
-/// while requests admitted before still arrive and queue, and falls as slowly as it rose: urgent requests are shed for
-/// seconds while the target is idle, and again in the next surge.
+/// Guards against a level that integrates the wait. It ignores that the load has already fallen, rises through all
+/// ranks while requests admitted before still arrive and queue, and falls as slowly as it rose: urgent requests are
+/// shed for seconds while the target is idle, and again in the next surge.
 #[test]
 fn level_does_not_overshoot_while_a_queue_drains() {
     let mut now = Instant::now();
@@ -225,9 +225,9 @@
 }
 
 /// Guards against counting the queue of a rank against all ranks, where a queue above the target load shed even ranks
-/// without any requests. After a service had lost half of its hosts, less urgent requests with a long queue timeout queued
-/// up, the level jumped between shedding a part of them and shedding everything, and urgent requests were refused although
-/// the arrivals were below the capacity.
+/// without any requests. After a service had lost half of its hosts, less urgent requests with a long queue timeout
+/// queued up, the level jumped between shedding a part of them and shedding everything, and urgent requests were
+/// refused although the arrivals were below the capacity.
 #[test]
 fn backlog_of_a_rank_does_not_shed_more_urgent_ranks() {
     let now = Instant::now();
@@ -249,9 +249,9 @@
     );
 }
 
-/// Guards against hosts that take a change of their load for the effect of their own level. Entries shed by the mean level of
-/// all hosts, so the level of the host with slightly more load kept rising to 1 in a long surge while the other one fell to
-/// 0, and a third of the capacity was unused.
+/// Guards against hosts that take a change of their load for the effect of their own level. Entries shed by the mean
+/// level of all hosts, so the level of the host with slightly more load kept rising to 1 in a long surge while the
+/// other one fell to 0, and a third of the capacity was unused.
 #[test]
 fn levels_of_the_hosts_of_a_service_converge_in_a_surge() {
     let mut now = Instant::now();
@@ -280,8 +280,8 @@
     }
 }
 
-/// Guards against dispatching every request that has any time left. In a surge, three in ten requests of a slow route queued
-/// until shortly before their deadline, were dispatched, and were stopped by their target at the deadline.
+/// Guards against dispatching every request that has any time left. In a surge, three in ten requests of a slow route
+/// queued until shortly before their deadline, were dispatched, and were stopped by their target at the deadline.
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_not_dispatched() {
     let now = Instant::now();
@@ -343,8 +343,9 @@
     );
 }
 
-/// Guards against an independent random choice for each attempt. Most callers that retry are then admitted at the second
-/// attempt, so shedding a third of the requests does not reduce the load, and the level rises until nearly all are shed.
+/// Guards against an independent random choice for each attempt. Most callers that retry are then admitted at the
+/// second attempt, so shedding a third of the requests does not reduce the load, and the level rises until nearly all
+/// are shed.
 #[test]
 fn early_retries_are_shed_again() {
     struct Case {
