--- a/crates/core/tests/mesh_drain.rs
+++ b/crates/core/tests/mesh_drain.rs
@@ -1,4 +1,4 @@
-//! What a draining node admits.
+//! Tests of the admission of requests by a draining node.
 
 use std::time::{Duration, Instant};
 
@@ -8,12 +8,13 @@
     Duration::from_millis(n)
 }
 
-/// A request that can't end before the node must: the node took it and was killed with it at work.
+/// Guards against admitting a request that can't finish before the forced end of the node, which then kills it while it
+/// runs.
 #[test]
-fn a_draining_node_admits_what_it_expects_to_end() {
+fn draining_node_admits_requests_expected_to_finish_in_time() {
     struct Case {
         name: &'static str,
-        passed: u64,
+        elapsed: u64,
         expected: u64,
         left: u64,
         caller: bool,
@@ -21,8 +22,8 @@
     }
     let cases = [
         Case {
-            name: "short, at once",
-            passed: 0,
+            name: "short, immediately",
+            elapsed: 0,
             expected: 100,
             left: 5000,
             caller: true,
@@ -30,23 +31,23 @@
         },
         Case {
             name: "unknown kind",
-            passed: 2300,
+            elapsed: 2300,
             expected: 0,
             left: 9000,
             caller: true,
             peer: true,
         },
         Case {
-            name: "long, at once",
-            passed: 0,
+            name: "long, immediately",
+            elapsed: 0,
             expected: 2500,
             left: 9000,
             caller: true,
             peer: false,
         },
         Case {
-            name: "short, just before callers have been told",
-            passed: 2200,
+            name: "short, just before the end of the caller window",
+            elapsed: 2200,
             expected: 150,
             left: 5000,
             caller: true,
@@ -54,31 +55,31 @@
         },
         Case {
             name: "long, later",
-            passed: 1000,
+            elapsed: 1000,
             expected: 2500,
             left: 9000,
             caller: false,
             peer: false,
         },
         Case {
-            name: "long, but limited by its own time",
-            passed: 1000,
+            name: "long, but bounded by its deadline",
+            elapsed: 1000,
             expected: 2500,
             left: 4000,
             caller: true,
             peer: false,
         },
         Case {
-            name: "short, after callers have been told",
-            passed: 2400,
+            name: "short, after the caller window",
+            elapsed: 2400,
             expected: 10,
             left: 5000,
             caller: false,
             peer: false,
         },
         Case {
-            name: "short, after the end",
-            passed: 7000,
+            name: "short, after the grace period",
+            elapsed: 7000,
             expected: 10,
             left: 5000,
             caller: false,
@@ -95,17 +96,17 @@
     for case in cases {
         let drain = Drain::new(cfg, now);
         let (expected, left) = (ms(case.expected), ms(case.left));
-        let then = now + ms(case.passed);
-        let admits = drain.admits_caller(expected, left, then);
+        let at = now + ms(case.elapsed);
+        let admits = drain.admits_caller(expected, left, at);
         assert_eq!(admits, case.caller, "{}, caller", case.name);
-        let admits = drain.admits_peer(expected, left, then);
+        let admits = drain.admits_peer(expected, left, at);
         assert_eq!(admits, case.peer, "{}, peer", case.name);
     }
 }
 
-/// A grace period shorter than its margin: nothing that takes time is admitted.
+/// With a grace period shorter than the margin, no request that takes time is admitted.
 #[test]
-fn a_short_grace_period_admits_nothing_that_takes_time() {
+fn grace_period_below_the_margin_admits_nothing_that_takes_time() {
     let now = Instant::now();
     let cfg = DrainConfig {
         grace_period: ms(400),
