--- a/crates/core/tests/mesh_budget.rs
+++ b/crates/core/tests/mesh_budget.rs
@@ -1,4 +1,4 @@
-//! Tests of the budget for repeats that all nodes of a mesh share.
+//! Tests of the retry budget shared by all nodes of a mesh.
 
 use std::time::{Duration, Instant};
 
@@ -9,26 +9,26 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// One second of one node: first requests, and repeats that it would like to send.
+/// Traffic of one node in one second: first attempts, and retries that it tries to send.
 type Second = (u8, u8);
 
-/// Repeats sent in each second by all nodes that see the same traffic.
-fn play(nodes: usize, seconds: &[Second], cfg: RetryBudgetConfig) -> (Vec<f64>, Vec<f64>) {
+/// Simulates nodes with equal traffic. Returns the first attempts and the retries sent by all of them in each second.
+fn simulate(nodes: usize, seconds: &[Second], cfg: RetryBudgetConfig) -> (Vec<f64>, Vec<f64>) {
     let service = ServiceName::from("svc");
     let start = Instant::now();
     let mut budgets = vec![RetryBudget::new(cfg); nodes];
-    let (mut firsts, mut repeats) = (Vec::new(), Vec::new());
+    let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
     for budget in &mut budgets {
         budget.set_nodes(nodes);
     }
-    for (second, (requests, wishes)) in (0..).zip(seconds) {
+    for (second, (requests, wanted)) in (0..).zip(seconds) {
         let now = start + Duration::from_secs(second);
         let mut sent = 0.0;
         for budget in &mut budgets {
             for _ in 0..*requests {
                 budget.deposit(&service, 1.0, now);
             }
-            for _ in 0..*wishes {
+            for _ in 0..*wanted {
                 sent += f64::from(u8::from(budget.try_withdraw(
                     &[(service.clone(), 1.0)],
                     0.0,
@@ -36,52 +36,53 @@
                 )));
             }
         }
-        firsts.push(f64::from(*requests) * nodes as f64);
-        repeats.push(sent);
+        first_attempts.push(f64::from(*requests) * nodes as f64);
+        retries.push(sent);
     }
-    (firsts, repeats)
+    (first_attempts, retries)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the traffic and however much nodes would like to repeat, all of them together stay within the bound of
-    /// every window.
+    /// Whatever the traffic and the number of retries wanted, the retries of all nodes stay within the bound of every
+    /// window.
     #[test]
     fn all_nodes_together_stay_within_the_bound(
         nodes in 1_usize..30,
         seconds in proptest::collection::vec((0_u8..40, 0_u8..60), 10..60),
     ) {
         let cfg = RetryBudgetConfig::default();
-        let (firsts, repeats) = play(nodes, &seconds, cfg);
+        let (first_attempts, retries) = simulate(nodes, &seconds, cfg);
         let window = WINDOW.as_secs() as usize;
-        for end in window..=repeats.len() {
-            let spent: f64 = repeats[end - window..end].iter().sum();
-            let requests: f64 = firsts[end - window..end].iter().sum();
-            let before: f64 = firsts[end.saturating_sub(2 * window)..end - window].iter().sum();
+        for end in window..=retries.len() {
+            let sent: f64 = retries[end - window..end].iter().sum();
+            let requests: f64 = first_attempts[end - window..end].iter().sum();
+            let previous_window = end.saturating_sub(2 * window)..end - window;
+            let before: f64 = first_attempts[previous_window].iter().sum();
             let bound = cfg.ratio * requests.max(before) + cfg.slack;
-            prop_assert!(spent <= bound, "{spent} repeats, {bound} allowed");
+            prop_assert!(sent <= bound, "{sent} retries sent, {bound} allowed");
         }
     }
 }
 
-/// Symptom: with a tenth of the targets broken nearly every lost answer reaches the caller, although repeats are allowed.
-/// Sequence: a node earns for each request; what it may hold is bounded by its part of the slack, about one.
-/// Cause: the bound did not grow with what was earned.
+/// Guards against a bucket capacity that does not grow with the deposits. It was bounded by the node's share of the
+/// slack, about one token, so with a tenth of the targets broken nearly every lost response reached the caller although
+/// retries were within the bound.
 #[test]
-fn what_was_earned_can_be_spent() {
+fn deposited_tokens_can_be_withdrawn() {
     let seconds = vec![(20, 2); 30];
-    let (_, repeats) = play(13, &seconds, RetryBudgetConfig::default());
-    let last: f64 = repeats[20..].iter().sum();
-    let wished = 2.0 * 13.0 * 10.0;
+    let (_, retries) = simulate(13, &seconds, RetryBudgetConfig::default());
+    let last: f64 = retries[20..].iter().sum();
+    let wanted = 2.0 * 13.0 * 10.0;
     assert!(
-        last >= 0.95 * wished,
-        "{last} of {wished} repeats were sent"
+        last >= 0.95 * wanted,
+        "{last} of {wanted} retries were sent"
     );
 }
 
 #[test]
-fn a_repeat_is_sent_only_where_every_service_below_has_room() {
+fn retry_needs_tokens_of_every_downstream_service() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
     budget.set_nodes(13);
@@ -93,12 +94,12 @@
     let costs = [(top.clone(), 1.0), (bottom.clone(), 8.0)];
     assert!(
         !budget.try_withdraw(&costs, 0.0, now),
-        "nothing was earned below"
+        "no deposits for the downstream service"
     );
     assert_eq!(
         budget.balance(&top, now),
         before,
-        "nothing is taken by halves"
+        "a failed withdrawal leaves all buckets unchanged"
     );
     for _ in 0..200 {
         budget.deposit(&bottom, 1.0, now);
@@ -107,21 +108,21 @@
 }
 
 #[test]
-fn what_a_run_causes_is_learnt() {
-    let mut below = Downstream::default();
+fn mean_number_of_downstream_requests_is_tracked() {
+    let mut downstream = Downstream::default();
     let service = ServiceName::from("bottom");
     for _ in 0..60 {
-        below.record([(&service, 8)]);
+        downstream.record([(&service, 8)]);
     }
-    let learnt: Vec<f64> = below.iter().map(|(_, mean)| mean).collect();
-    assert!((7.5..=8.0).contains(&learnt[0]), "{learnt:?}");
+    let means: Vec<f64> = downstream.iter().map(|(_, mean)| mean).collect();
+    assert!((7.5..=8.0).contains(&means[0]), "{means:?}");
 }
 
-/// Symptom: while all targets of a deep service turn requests away, bids fail although they are few.
-/// Sequence: repeats for the many reads use the budget as fast as it is earned; a repeat for a bid finds nothing.
-/// Cause: the budget knew no urgency.
+/// Guards against a budget that ignores urgency. While all targets of a deep service refuse requests, retries of many
+/// less urgent requests use up the tokens as fast as they are deposited, and the few urgent requests fail without a
+/// retry.
 #[test]
-fn urgent_repeats_find_something_left() {
+fn reserve_keeps_tokens_for_urgent_retries() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
     budget.set_nodes(13);
@@ -133,15 +134,14 @@
     while budget.try_withdraw(&costs, 0.6, now) {}
     assert!(
         budget.try_withdraw(&costs, 0.0, now),
-        "less urgent ones took all"
+        "less urgent retries must leave the reserve"
     );
 }
 
-/// Symptom: a service goes on repeating as much as its old settings allowed until each of its nodes is restarted.
-/// Sequence: an operator lowers the ratio of repeats; the node reads the file again and says that it did.
-/// Cause: the budget kept the bounds of its start.
+/// Guards against a budget that keeps the bounds of its start. After an operator lowers the retry ratio and the node
+/// reloads its settings, the old ratio would apply until the node is restarted.
 #[test]
-fn changed_bounds_hold_at_once() {
+fn changed_bounds_apply_immediately() {
     let (service, now) = (ServiceName::from("svc"), Instant::now());
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
     let none = RetryBudgetConfig {
@@ -159,6 +159,6 @@
         .count();
     assert!(
         sent <= 1,
-        "{sent} repeats beyond the one that each node may save up"
+        "{sent} retries sent, only the one of the minimum capacity is allowed"
     );
 }
