--- a/crates/core/tests/mesh_time_limits.rs
+++ b/crates/core/tests/mesh_time_limits.rs
@@ -1,4 +1,4 @@
-//! Tests of what is taken off the time limits of requests on their way.
+//! Tests of deadlines and of the margins subtracted from time limits.
 
 use std::time::{Duration, Instant};
 
@@ -11,15 +11,16 @@
     Duration::from_millis(n)
 }
 
-/// Runs a request and, from its run, a call of the next service, and so on; returns the deadline of the last call.
+/// Returns the deadline of the last call in a chain of `depth` services, where each run calls the next service.
 ///
-/// `limit` is what the caller from outside waits; every hop takes `hop`, and each run tells its calls the time it has left.
+/// `limit` is the time limit of the external caller; every hop takes `hop`, and each run passes its remaining time on
+/// to its call.
 fn last_deadline(start: Instant, limit: Duration, hop: Duration, depth: u32) -> Instant {
     let limits = TimeLimits::default();
     let mut outer = None;
     let mut deadline = start;
-    for level in 0..depth {
-        let arrived = start + hop * level;
+    for index in 0..depth {
+        let arrived = start + hop * index;
         let left = outer.map_or(limit, |outer: Instant| {
             outer.saturating_duration_since(arrived)
         });
@@ -35,13 +36,10 @@
 }
 
 proptest! {
-    /// Symptom: calls at the end of a chain are refused on arrival although their service needs a tenth of what the clock
-    /// has left them.
-    /// Sequence: a request enters, its run calls the next service, and so on; each hop takes a margin off the deadline and
-    /// hands the rest on.
-    /// Cause: a margin that protects one hop was taken by each.
+    /// Guards against subtracting the margin at every hop of a chain of calls. Calls at its end are then refused on
+    /// arrival although their service needs only a tenth of the time that is actually left.
     #[test]
-    fn a_chain_takes_one_margin_off_the_limit(
+    fn margin_is_subtracted_once_per_chain_of_calls(
         limit_ms in 20_u64..20_000,
         hop_us in 0_u64..2_000,
         depth in 1_u32..14,
@@ -52,11 +50,11 @@
         let last = last_deadline(start, limit, Duration::from_micros(hop_us), depth);
         let margin = limits.answer.for_limit(limit);
         prop_assert!(last + margin >= start + limit);
-        // Nor may a call outlive what its caller waits.
+        // A call must not outlive the time limit of its caller.
         prop_assert!(last <= start + limit);
     }
 
-    /// However short a limit is, its margins leave most of it.
+    /// The margins leave most of a limit, however short it is.
     #[test]
     fn margins_leave_most_of_a_limit(limit_ms in 1_u64..60_000) {
         let limits = TimeLimits::default();
@@ -66,7 +64,7 @@
     }
 }
 
-fn waiting(inner: bool, now: Instant, left: Duration) -> SlotRequest {
+fn request(inner: bool, now: Instant, left: Duration) -> SlotRequest {
     SlotRequest {
         rank: 1,
         shed_order: 0,
@@ -85,21 +83,21 @@
         ..Default::default()
     };
     let mut gate = TargetGate::new(cfg, now);
-    let first = gate.admit(waiting(false, now, ms(10_000)), now);
+    let first = gate.admit(request(false, now, ms(10_000)), now);
     assert!(matches!(first, Admission::Dispatched(_)));
     gate
 }
 
-/// A request with little time left is refused for a margin only while it waits, and only where somebody outside must hear
-/// of it.
+/// The refusal margin applies only to queued external requests, whose callers must be told in time that they did not
+/// run.
 #[test]
-fn a_margin_is_taken_by_those_that_wait() {
+fn refusal_margin_applies_to_queued_external_requests() {
     struct Case {
         name: &'static str,
         inner: bool,
         left: Duration,
-        /// Age at which it is refused if it still waits.
-        refused_at: Duration,
+        /// Age at which it expires if it is still queued.
+        expires_at: Duration,
     }
     let limits = TimeLimits::default();
     let cases = [
@@ -107,45 +105,44 @@
             name: "a long limit",
             inner: false,
             left: ms(5000),
-            refused_at: ms(5000) - limits.refusal.max,
+            expires_at: ms(5000) - limits.refusal.max,
         },
         Case {
             name: "a short limit",
             inner: false,
             left: ms(200),
-            refused_at: ms(200).mul_f64(1.0 - limits.refusal.share),
+            expires_at: ms(200).mul_f64(1.0 - limits.refusal.share),
         },
         Case {
             name: "a call of a run",
             inner: true,
             left: ms(200),
-            refused_at: ms(200),
+            expires_at: ms(200),
         },
     ];
     for case in cases {
         let now = Instant::now();
         let mut gate = busy_gate(now);
-        let Admission::Queued(ticket) = gate.admit(waiting(case.inner, now, case.left), now) else {
-            panic!("{}: it can wait", case.name);
+        let Admission::Queued(ticket) = gate.admit(request(case.inner, now, case.left), now) else {
+            panic!("{}: must be queued", case.name);
         };
-        let before = now + case.refused_at - ms(1);
+        let before = now + case.expires_at - ms(1);
         assert_eq!(gate.expire(before), [], "{}", case.name);
-        let after = now + case.refused_at + ms(1);
+        let after = now + case.expires_at + ms(1);
         assert_eq!(gate.expire(after), [ticket], "{}", case.name);
     }
 }
 
-/// Symptom: the last call of a chain is refused although a slot is free and 60 ms are left of the 33 ms that it needs.
-/// Sequence: it arrives with less time than the margin of a queue.
-/// Cause: the margin of those that wait was taken from those that don't.
+/// Guards against subtracting the refusal margin from requests that need not queue. The last call of a chain that
+/// needed 33 ms was refused although a slot was free and 60 ms were left, less than the margin.
 #[test]
-fn a_request_that_need_not_wait_gives_up_no_margin() {
+fn dispatched_requests_are_not_subject_to_the_refusal_margin() {
     let now = Instant::now();
     let mut gate = TargetGate::new(GateConfig::default(), now);
     for inner in [false, true] {
-        let entered = gate.admit(waiting(inner, now, ms(60)), now);
+        let admission = gate.admit(request(inner, now, ms(60)), now);
         assert!(
-            matches!(entered, Admission::Dispatched(_)),
+            matches!(admission, Admission::Dispatched(_)),
             "inner: {inner}"
         );
     }
