--- a/crates/core/tests/mesh_routes.rs
+++ b/crates/core/tests/mesh_routes.rs
@@ -1,4 +1,4 @@
-//! Tests of routes, splits and configurations of a mesh.
+//! Tests of routes, traffic splits, configurations and refusals of a mesh.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 };
 use coltsfootport_core::outcome::Outcome;
 
-fn part(service: &str, weight: f64) -> WeightedService {
+fn weighted(service: &str, weight: f64) -> WeightedService {
     WeightedService {
         service: service.into(),
         weight,
@@ -28,7 +28,7 @@
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank: 1,
-        services: vec![part("svc", 1.0)],
+        services: vec![weighted("svc", 1.0)],
         max_attempts: 2,
         public: false,
     }
@@ -39,11 +39,11 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn route_with_the_longest_matching_prefix_is_found() {
     struct Case {
         host: &'static str,
         path: &'static str,
-        found: Option<&'static str>,
+        expected: Option<&'static str>,
     }
     let routes = vec![
         route("short", "a.example", "/x/"),
@@ -55,58 +55,58 @@
         Case {
             host: "a.example",
             path: "/x/1",
-            found: Some("short"),
+            expected: Some("short"),
         },
         Case {
             host: "a.example",
             path: "/x/y/1",
-            found: Some("long"),
+            expected: Some("long"),
         },
         Case {
             host: "a.example",
             path: "/x/yz",
-            found: Some("short"),
+            expected: Some("short"),
         },
         Case {
             host: "A.Example:8080",
             path: "/x/y/",
-            found: Some("long"),
+            expected: Some("long"),
         },
         Case {
             host: "b.example",
             path: "/x/y/1",
-            found: Some("other"),
+            expected: Some("other"),
         },
         Case {
             host: "b.example",
             path: "/y/",
-            found: None,
+            expected: None,
         },
         Case {
             host: "c.example",
             path: "/x/",
-            found: None,
+            expected: None,
         },
         Case {
             host: "a.example",
             path: "/x",
-            found: None,
+            expected: None,
         },
         Case {
             host: "",
             path: "",
-            found: None,
+            expected: None,
         },
     ];
     for case in cases {
         let found = config.find(case.host, case.path);
         let name = found.map(|(_, route)| route.name.as_str());
-        assert_eq!(name, case.found, "{} {}", case.host, case.path);
+        assert_eq!(name, case.expected, "{} {}", case.host, case.path);
     }
 }
 
 #[test]
-fn faulty_configurations_are_refused_whole() {
+fn invalid_configurations_are_rejected() {
     struct Case {
         name: &'static str,
         change: fn(&mut Route),
@@ -114,36 +114,36 @@
     }
     let cases = [
         Case {
-            name: "prefix without its last slash",
+            name: "prefix without trailing slash",
             change: |route| route.prefix = "/x".into(),
             error: MeshConfigError::Prefix("r".into()),
         },
         Case {
-            name: "no weight",
-            change: |route| route.services = vec![part("svc", 0.0)],
+            name: "zero weight",
+            change: |route| route.services = vec![weighted("svc", 0.0)],
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
-            name: "a weight that is no number",
-            change: |route| route.services = vec![part("svc", f64::NAN)],
+            name: "weight is NaN",
+            change: |route| route.services = vec![weighted("svc", f64::NAN)],
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
-            name: "no part",
+            name: "no service",
             change: |route| route.services.clear(),
             error: MeshConfigError::Weights("r".into()),
         },
         Case {
-            name: "no attempt",
+            name: "no attempts",
             change: |route| route.max_attempts = 0,
             error: MeshConfigError::Attempts("r".into()),
         },
     ];
     for case in cases {
-        let mut faulty = route("r", "a.example", "/x/");
-        (case.change)(&mut faulty);
+        let mut invalid = route("r", "a.example", "/x/");
+        (case.change)(&mut invalid);
         assert_eq!(
-            config(vec![faulty]).err(),
+            config(vec![invalid]).err(),
             Some(case.error),
             "{}",
             case.name
@@ -175,37 +175,41 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Shares of a split must hold over the few hundred requests that one node sees, whatever the weights.
+    /// The shares of a traffic split must match its weights within the few hundred requests that one node sees.
     #[test]
-    fn a_split_keeps_its_weights(
+    fn traffic_split_follows_its_weights(
         weights in proptest::collection::vec(0.0_f64..100.0, 2..6),
         phase in 0.0_f64..1.0,
     ) {
         prop_assume!(weights.iter().sum::<f64>() > 1.0);
-        let parts: Vec<WeightedService> = weights
+        let services: Vec<WeightedService> = weights
             .iter()
             .enumerate()
-            .map(|(at, weight)| part(&format!("s{at}"), *weight))
+            .map(|(at, weight)| weighted(&format!("s{at}"), *weight))
             .collect();
         let total: f64 = weights.iter().sum();
-        let mut split = WeightedRoundRobin::new(&parts, phase);
+        let mut selection = WeightedRoundRobin::new(&services, phase);
         let mut counts: Map<ServiceName, u32> = Map::default();
         let rounds = 300;
         for _ in 0..rounds {
-            let service = split.next(&parts).expect("a part with weight");
+            let service = selection.next(&services).expect("a service with a weight");
             *counts.entry(service.clone()).or_default() += 1;
         }
-        for part in &parts {
-            let count = f64::from(counts.get(&part.service).copied().unwrap_or(0));
-            let due = part.weight / total * f64::from(rounds);
-            prop_assert!((count - due).abs() <= 3.0, "{} got {count}, due {due}", part.service);
+        for service in &services {
+            let count = f64::from(counts.get(&service.service).copied().unwrap_or(0));
+            let expected = service.weight / total * f64::from(rounds);
+            prop_assert!(
+                (count - expected).abs() <= 3.0,
+                "{} was selected {count} times, expected {expected}",
+                service.service
+            );
         }
     }
 }
 
-/// The statuses by which callers know that a request never ran must not stand for anything else.
+/// Callers rely on some status codes to mean that a request did not run, so no other outcome may use them.
 #[test]
-fn a_promised_status_means_not_run() {
+fn status_codes_that_promise_not_run_have_no_other_outcome() {
     for refusal in Refusal::ALL {
         let rule = refusal.rule();
         let promises = matches!(rule.status, 408 | 421 | 429 | 503);
@@ -213,7 +217,10 @@
             assert_eq!(rule.outcome, Outcome::NotRun, "{refusal:?}");
         }
         if rule.retry_after {
-            assert!(promises, "{refusal:?} asks a caller back without a promise");
+            assert!(
+                promises,
+                "{refusal:?} tells the caller to retry without promising that it did not run"
+            );
         }
         assert_eq!(refusal.is_not_run(), rule.outcome == Outcome::NotRun);
     }
