--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -266,7 +266,7 @@
         self.level.level()
     }
 
-    /// ServiceTimes that arrives over work that the slots can do.
+    /// Work that arrives over work that the slots can do.
     pub fn load(&self) -> f64 {
         self.level.load()
     }
