--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -57,7 +57,7 @@
 pub use readers::{Readers, ReadersConfig, ReadersView, ReadingPlan};
 pub use refusal::{Refusal, RefusalRule};
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
-pub use route::{Repeat, Route, WeightedService};
+pub use route::{Idempotency, Route, WeightedService};
 pub use route_table::RouteTable;
 pub use send_outcome::SendOutcome;
 pub use service_times::{RequestKind, ServiceTimes};
--- a/crates/core/src/mesh/route.rs
+++ b/crates/core/src/mesh/route.rs
@@ -9,9 +9,9 @@
 use crate::id::ServiceName;
 use crate::mesh::RequestKind;
 
-/// How often a request of a route may be executed.
+/// Whether the requests of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Executing it more than once has no further effect.
     Idempotent,
     /// It must not be executed more than once.
@@ -36,8 +36,8 @@
     pub host: SmolStr,
     /// Path prefix; starts and ends with a slash.
     pub prefix: SmolStr,
-    /// How often a request may be executed.
-    pub repeat: Repeat,
+    /// Whether a request may be executed more than once.
+    pub idempotency: Idempotency,
     /// Maximum time until a caller gets a response.
     pub timeout: Duration,
     /// Latency up to which a response has its full value.
--- a/crates/core/tests/mesh_routes.rs
+++ b/crates/core/tests/mesh_routes.rs
@@ -7,7 +7,7 @@
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
-    CallerLimits, ConfigVersion, MeshConfig, MeshConfigError, Refusal, Repeat, Route,
+    CallerLimits, ConfigVersion, Idempotency, MeshConfig, MeshConfigError, Refusal, Route,
     WeightedRoundRobin, WeightedService,
 };
 use coltsfootport_core::outcome::Outcome;
@@ -24,7 +24,7 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank: 1,
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{
-    CallerLimits, Claim, ConfigVersion, MeshConfig, Presented, Refusal, Repeat, Route,
+    CallerLimits, Claim, ConfigVersion, Idempotency, MeshConfig, Presented, Refusal, Route,
     WeightedService, authenticate,
 };
 use coltsfootport_core::workspace::{
@@ -218,7 +218,7 @@
         name: name.into(),
         host: "a.example".into(),
         prefix: format!("/{name}/").into(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank,
--- a/crates/node/src/mesh/call.rs
+++ b/crates/node/src/mesh/call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coltsfootport_core::id::ServiceName;
-use coltsfootport_core::mesh::{Refusal, Repeat, RequestKind};
+use coltsfootport_core::mesh::{Idempotency, Refusal, RequestKind};
 use coltsfootport_core::quarantine::{BodyDigest, CrashId, Finding, Fingerprint};
 use http::{HeaderMap, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
     /// Its route.
     pub kind: RequestKind,
     /// How often it may run.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// When nobody waits for it any more.
     pub deadline: Instant,
     /// Longest wait for its target that it should take; expected to wait longer, it is refused at once.
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    InstanceKey, QueueTimeoutRequest, Refusal, Repeat, RequestLimits, SendOutcome,
+    Idempotency, InstanceKey, QueueTimeoutRequest, Refusal, RequestLimits, SendOutcome,
 };
 use coltsfootport_core::quarantine::{Fingerprint, RequestParts};
 use http::header::HOST;
@@ -261,7 +261,7 @@
     /// After a target has failed: sent again where that is harmless, allowed and affordable.
     async fn failed(&self, result: AttemptResult, may_have_run: bool) -> Step {
         let route = self.admitted.config.route(self.admitted.route);
-        let harmless = !may_have_run || route.repeat == Repeat::Idempotent;
+        let harmless = !may_have_run || route.idempotency == Idempotency::Idempotent;
         if !harmless || self.at_targets >= route.max_attempts || self.body.is_none() {
             return Step::Finish(result);
         }
@@ -292,7 +292,7 @@
             began: self.began(),
             admitted: self.admitted.share,
             kind: route.kind(),
-            repeat: route.repeat,
+            repeat: route.idempotency,
             deadline: self.deadline,
             queue_timeout: self.queue_timeout(),
             origin: self.entry.service.borrow().clone(),
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootport_core::mesh::{Dialect, Refusal, Repeat};
+use coltsfootport_core::mesh::{Dialect, Idempotency, Refusal};
 use coltsfootport_core::quarantine::{CrashId, Standing};
 use http::StatusCode;
 use tokio::time::timeout;
@@ -80,8 +80,8 @@
             Err(refused) => return not_granted(refused),
         };
         match req.repeat {
-            Repeat::Idempotent => self.run_in_slot(req, slot, Duration::ZERO).await,
-            Repeat::AtMostOnce => {
+            Idempotency::Idempotent => self.run_in_slot(req, slot, Duration::ZERO).await,
+            Idempotency::AtMostOnce => {
                 let host = self.clone();
                 let running =
                     tokio::spawn(async move { host.run_in_slot(req, slot, ONCE_GRACE).await });
@@ -125,7 +125,7 @@
         req: &mut HostedRequest,
         grace: Duration,
     ) -> Result<Exchanged, NoAnswer> {
-        let careful = req.repeat == Repeat::AtMostOnce;
+        let careful = req.repeat == Idempotency::AtMostOnce;
         let kept = self.pool.take(careful);
         let conn = match kept {
             Some(conn) => conn,
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use coltsfootport_core::mesh::Repeat;
+use coltsfootport_core::mesh::Idempotency;
 use tokio::sync::watch;
 
 use super::conn::WriteFault;
@@ -77,10 +77,10 @@
 async fn given_up(
     health: &mut watch::Receiver<Health>,
     host: Incarnation,
-    repeat: Repeat,
+    repeat: Idempotency,
 ) -> LinkFault {
     let is_replaced = |health: &Health| health.has_replaced(&host);
-    let is_left = |health: &Health| health.silent && repeat == Repeat::Idempotent;
+    let is_left = |health: &Health| health.silent && repeat == Idempotency::Idempotent;
     // The node is known for as long as it has requests.
     let known = health
         .wait_for(|health| is_replaced(health) || is_left(health))
--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::id::ServiceName;
-use coltsfootport_core::mesh::{Refusal, Repeat, RequestKind};
+use coltsfootport_core::mesh::{Idempotency, Refusal, RequestKind};
 use coltsfootport_core::quarantine::{Finding, Fingerprint};
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -115,7 +115,7 @@
             rank: req.rank,
             workspace: req.workspace.clone(),
             inner: req.inner,
-            at_most_once: req.repeat == Repeat::AtMostOnce,
+            at_most_once: req.repeat == Idempotency::AtMostOnce,
             kind: req.kind.0,
             admitted: thousandths(req.admitted),
             age_ms: millis(now.saturating_duration_since(req.began)),
@@ -163,8 +163,8 @@
             kind: RequestKind(self.kind),
             admitted: f64::from(self.admitted) / THOUSANDTHS,
             repeat: match self.at_most_once {
-                true => Repeat::AtMostOnce,
-                false => Repeat::Idempotent,
+                true => Idempotency::AtMostOnce,
+                false => Idempotency::Idempotent,
             },
             deadline: now + Duration::from_millis(u64::from(self.left_ms)),
             queue_timeout: Duration::from_millis(u64::from(self.queue_timeout_ms)),
