--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -11,8 +11,8 @@
 
 use coltsfootport_core::mesh::{
     Admission, Fleet, FleetConfig, GateConfig, Instance, InstanceKey, QueueTimeoutConfig,
-    QueueTimeoutRequest, RequestKind, SendOutcome, Shedder, ShedderConfig, TargetGate, Ticket,
-    Waiting,
+    QueueTimeoutRequest, RequestKind, SendOutcome, Shedder, ShedderConfig, SlotRequest, TargetGate,
+    Ticket,
 };
 
 use super::deployment::{Deployment, Pattern};
@@ -247,7 +247,7 @@
         let spec = &self.deployment.kinds[kind];
         let node = &self.nodes[entry];
         let path = &self.requests[request].path;
-        match node.shedder.judge(&route(kind), spec.order, "h", path, now) {
+        match node.shedder.admit(&route(kind), spec.order, "h", path, now) {
             Err(shed) => self.refused(request, shed.retry_after.as_secs_f64()),
             Ok(admitted) => {
                 let deadline = self.now + spec.timeout_ms as f64 / 1000.0;
@@ -344,19 +344,19 @@
             latency_target: Duration::from_millis(spec.aim_ms),
             deadline: self.instant(deadline),
         };
-        let waiting = Waiting {
+        let waiting = SlotRequest {
             rank: root.rank,
-            order: root.order,
+            shed_order: root.order,
             admitted,
             kind: RequestKind(kind as u32),
             inner,
             began: self.instant(self.requests[request].asked),
             deadline: self.instant(deadline),
-            queue_timeout: QueueTimeoutConfig::default().of(&queue_req, now),
+            queue_timeout: QueueTimeoutConfig::default().timeout_for(&queue_req, now),
         };
-        match self.nodes[host].gate.enter(waiting, now) {
-            Admission::Run(ticket) => self.start(run, ticket),
-            Admission::Wait(ticket) => {
+        match self.nodes[host].gate.admit(waiting, now) {
+            Admission::Dispatched(ticket) => self.start(run, ticket),
+            Admission::Queued(ticket) => {
                 self.runs[run].state = State::Waits;
                 self.runs[run].ticket = Some(ticket);
                 self.nodes[host].waiting.insert(ticket, run);
@@ -476,7 +476,8 @@
             State::Runs => {
                 let held = self.now - began;
                 node.running -= 1;
-                node.gate.leave(ticket, Duration::from_secs_f64(held), now);
+                node.gate
+                    .release(ticket, Duration::from_secs_f64(held), now);
                 self.requests[request].held += held;
                 self.outcome.used += held;
                 self.pump(host);
@@ -497,10 +498,10 @@
                 self.end(run, false);
             }
         }
-        while let Some(ticket) = self.nodes[host].gate.next_start() {
+        while let Some(ticket) = self.nodes[host].gate.dispatch_next() {
             match self.nodes[host].waiting.remove(&ticket) {
                 Some(run) => self.start(run, ticket),
-                None => self.nodes[host].gate.give_back(ticket),
+                None => self.nodes[host].gate.release_unused(ticket),
             }
         }
     }
@@ -524,11 +525,11 @@
         let usual = self.deployment.kinds[kind].work_ms / 1000.0;
         let outcome = match well {
             true => SendOutcome::Answered {
-                relative: ((self.now - sent) / usual.max(0.02)).clamp(0.5, 2.0),
+                relative_latency: ((self.now - sent) / usual.max(0.02)).clamp(0.5, 2.0),
             },
             false => SendOutcome::Abandoned,
         };
-        let busy = self.nodes[host].gate.busy();
+        let busy = self.nodes[host].gate.in_flight();
         let level = self.nodes[host].gate.level();
         let service = self.nodes[host].service;
         self.nodes[entry].fleet.ended(key, outcome, Some(busy), now);
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{
-    CallerLimits, Claim, ConfigVersion, MeshConfig, Part, Presented, Refusal, Repeat, Route,
-    authenticate,
+    CallerLimits, Claim, ConfigVersion, Idempotency, MeshConfig, Presented, Refusal, Route,
+    WeightedService, authenticate,
 };
 use coltsfootport_core::workspace::{
     Directory, DirectoryError, DirectorySecret, MAX_KEY_BYTES, Quota, Workspace, WorkspaceSpec,
@@ -218,11 +218,11 @@
         name: name.into(),
         host: "a.example".into(),
         prefix: format!("/{name}/").into(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(5),
         latency_target: Duration::from_secs(1),
         rank,
-        parts: vec![Part {
+        services: vec![WeightedService {
             service: "svc".into(),
             weight: 1.0,
         }],
--- a/crates/node/src/mesh/call.rs
+++ b/crates/node/src/mesh/call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coltsfootport_core::id::ServiceName;
-use coltsfootport_core::mesh::{Refusal, Repeat, RequestKind};
+use coltsfootport_core::mesh::{Idempotency, Refusal, RequestKind};
 use coltsfootport_core::quarantine::{BodyDigest, CrashId, Finding, Fingerprint};
 use http::{HeaderMap, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -101,7 +101,7 @@
     /// Identifies the route in reports and frames.
     pub kind: RequestKind,
     /// Whether the request may run more than once.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Deadline, after which no one waits for the answer.
     pub deadline: Instant,
     /// Longest acceptable queueing time. If the expected time is longer, the request is refused at once.
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -5,7 +5,9 @@
 
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::ServiceName;
-use coltsfootport_core::mesh::{InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, Split};
+use coltsfootport_core::mesh::{
+    InstanceKey, MeshConfig, Refusal, RouteKey, SendOutcome, WeightedRoundRobin,
+};
 use coltsfootport_core::quarantine::SuspicionLevel;
 use rand::Rng;
 use smol_str::SmolStr;
@@ -117,7 +119,7 @@
         let order = config.shed_order(rank);
         let judged = self
             .shedder
-            .judge(&route.name, order, &req.host, &req.path, now);
+            .admit(&route.name, order, &req.host, &req.path, now);
         match judged {
             Ok(admitted) => Ok(admitted),
             Err(shed) => {
@@ -129,14 +131,14 @@
 
     fn next_service(&mut self, config: &MeshConfig, key: RouteKey) -> Option<ServiceName> {
         let route = config.route(key);
-        if let [only] = route.parts.as_slice() {
+        if let [only] = route.services.as_slice() {
             return Some(only.service.clone());
         }
         let phase = self.rng.random::<f64>();
         let split = get_or_insert(&mut self.splits, &route.name, || {
-            Split::new(&route.parts, phase)
+            WeightedRoundRobin::new(&route.services, phase)
         });
-        split.next(&route.parts).cloned()
+        split.next(&route.services).cloned()
     }
 
     /// Selects an instance for a request, unless the quarantine refuses it.
@@ -197,13 +199,13 @@
     /// although other nodes send those calls. They use the rest of that budget to retry single calls.
     fn earn_retry_budget(&mut self, req: &InstanceRequest, now: Instant) {
         if req.parent.is_some() {
-            return self.budget.earn(&req.service, INNER_BUDGET_SHARE, now);
+            return self.budget.deposit(&req.service, INNER_BUDGET_SHARE, now);
         }
-        self.budget.earn(&req.service, 1.0, now);
+        self.budget.deposit(&req.service, 1.0, now);
         if let Some(stats) = self.route_stats.get(&req.route) {
             for (service, count) in stats.downstream.iter() {
                 self.budget
-                    .earn(service, count * (1.0 - INNER_BUDGET_SHARE), now);
+                    .deposit(service, count * (1.0 - INNER_BUDGET_SHARE), now);
             }
         }
     }
@@ -217,7 +219,7 @@
         let stats = get_or_insert(&mut self.route_stats, &ended.route, RouteStats::new);
         let outcome = match ended.outcome {
             SendOutcome::Answered { .. } => SendOutcome::Answered {
-                relative: stats.record_response(ended.took),
+                relative_latency: stats.record_response(ended.took),
             },
             other => other,
         };
@@ -229,7 +231,7 @@
                 let below = report.downstream.iter();
                 stats
                     .downstream
-                    .learn(below.map(|below| (&below.service, below.count)));
+                    .record(below.map(|below| (&below.service, below.count)));
             }
             self.shedder.report(&ended.route, report.max_level(), now);
             if report.stopping {
@@ -276,7 +278,7 @@
             }
         }
         let reserve = self.retry_reserve(req.rank);
-        let affordable = self.budget.spend(&costs, reserve, now);
+        let affordable = self.budget.try_withdraw(&costs, reserve, now);
         self.metrics
             .repeat(if affordable { "sent" } else { "no-budget" });
         affordable
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -42,9 +42,9 @@
     /// unless it was refused.
     pub(super) fn enter_gate(&mut self, waiter: Waiter, now: Instant) -> Option<Ticket> {
         let Waiter { req, reply } = waiter;
-        let waiting = coltsfootport_core::mesh::Waiting {
+        let waiting = coltsfootport_core::mesh::SlotRequest {
             rank: req.rank,
-            order: self.shed_order(req.rank),
+            shed_order: self.shed_order(req.rank),
             admitted: req.admitted_share,
             kind: req.kind,
             inner: req.inner,
@@ -56,12 +56,12 @@
             drop(reply.send(Err(self.slot_refusal(Refusal::Stopping, None))));
             return None;
         }
-        match self.gate.enter(waiting, now) {
-            Admission::Run(ticket) => {
+        match self.gate.admit(waiting, now) {
+            Admission::Dispatched(ticket) => {
                 self.grant(ticket, Waiter { req, reply }, now);
                 Some(ticket)
             }
-            Admission::Wait(ticket) => {
+            Admission::Queued(ticket) => {
                 self.waiting.insert(ticket, Waiter { req, reply });
                 Some(ticket)
             }
@@ -86,7 +86,7 @@
         reply: Option<oneshot::Sender<RunOutcome>>,
     ) {
         let now = self.clock.now();
-        self.gate.leave(ticket, release.held, now);
+        self.gate.release(ticket, release.held, now);
         let standing = self.record_run_end(ticket, release.end, now);
         let run = self.runs.remove(ticket);
         self.end_isolation(ticket, now);
@@ -107,10 +107,10 @@
         for ticket in self.gate.expire(now) {
             self.refuse_waiter(ticket, Refusal::ExpiredUnsent);
         }
-        while let Some(ticket) = self.gate.next_start() {
+        while let Some(ticket) = self.gate.dispatch_next() {
             match self.waiting.remove(&ticket) {
                 Some(waiter) if !waiter.reply.is_closed() => self.grant(ticket, waiter, now),
-                _ => self.gate.give_back(ticket),
+                _ => self.gate.release_unused(ticket),
             }
         }
     }
@@ -210,7 +210,7 @@
 
     fn report(&self) -> Report {
         Report {
-            busy: self.gate.busy(),
+            busy: self.gate.in_flight(),
             level: self.gate.level(),
             stopping: self.drain.is_some(),
             cut_off: !self.publisher_healthy,
--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use coltsfootport_core::mesh::{Drain, Route, Waiting};
+use coltsfootport_core::mesh::{Drain, Route, SlotRequest};
 
 use super::{AdmissionRequest, Controller};
 
@@ -31,12 +31,12 @@
     }
 
     /// Whether draining, if it has started, still allows a request from another node.
-    pub(super) fn drain_admits_peer(&self, req: &Waiting, now: Instant) -> bool {
+    pub(super) fn drain_admits_peer(&self, req: &SlotRequest, now: Instant) -> bool {
         let Some(drain) = &self.drain else {
             return true;
         };
         let left = req.deadline.saturating_duration_since(now);
-        drain.admits_peer(self.gate.expected_time(req), left, now)
+        drain.admits_peer(self.gate.expected_completion(req), left, now)
     }
 
     /// Logs the requests that still run or wait on this host at the end of the grace period.
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    InstanceKey, Limited, QueueTimeoutRequest, Refusal, Repeat, SendOutcome,
+    Idempotency, InstanceKey, QueueTimeoutRequest, Refusal, RequestLimits, SendOutcome,
 };
 use coltsfootport_core::quarantine::{Fingerprint, RequestParts};
 use http::header::HOST;
@@ -68,11 +68,11 @@
     ) -> Self {
         let route = admitted.config.route(admitted.route);
         let caller_deadline = time_left.map(|left| req.arrived + left);
-        let deadline = entry.limits.deadline(&Limited {
+        let deadline = entry.limits.deadline(&RequestLimits {
             arrived: req.arrived,
-            route: route.timeout,
-            caller: time_left,
-            outer: admitted.parent.as_ref().map(|parent| parent.deadline),
+            route_timeout: route.timeout,
+            caller_timeout: time_left,
+            outer_deadline: admitted.parent.as_ref().map(|parent| parent.deadline),
         });
         let fingerprint = fingerprint(entry, &req, &admitted);
         let mut head = req.head;
@@ -184,7 +184,7 @@
         match reply {
             Ok(reply) => self.handle_reply(reply, to.guard).await,
             Err(LinkFault::NotSent) => {
-                to.guard.end(SendOutcome::NotReached, None);
+                to.guard.end(SendOutcome::HostUnreachable, None);
                 self.reroute(Refusal::NoInstance)
             }
             Err(fault) => {
@@ -192,7 +192,7 @@
                 self.entry
                     .journal
                     .reply_lost(&self.id, &self.last_instance, &reason);
-                to.guard.end(SendOutcome::NotReached, None);
+                to.guard.end(SendOutcome::HostUnreachable, None);
                 self.target_attempts += 1;
                 self.retry_after_failure(Err(Refused::from(Refusal::Lost)), true)
                     .await
@@ -217,7 +217,9 @@
                 self.retry_after_failure(Ok(answer), true).await
             }
             Ok(answer) => {
-                let outcome = SendOutcome::Answered { relative: 1.0 };
+                let outcome = SendOutcome::Answered {
+                    relative_latency: 1.0,
+                };
                 guard.end(outcome, Some(report));
                 Step::Finish(Ok(answer))
             }
@@ -271,7 +273,7 @@
     /// Next step after a target failed: a retry if it is safe, allowed by the route and covered by the retry budget.
     async fn retry_after_failure(&self, result: AttemptResult, may_have_run: bool) -> Step {
         let route = self.admitted.config.route(self.admitted.route);
-        let safe = !may_have_run || route.repeat == Repeat::Idempotent;
+        let safe = !may_have_run || route.idempotency == Idempotency::Idempotent;
         if !safe || self.target_attempts >= route.max_attempts || self.body.is_none() {
             return Step::Finish(result);
         }
@@ -302,7 +304,7 @@
             began: self.began(),
             admitted_share: self.admitted.admitted_share,
             kind: route.kind(),
-            repeat: route.repeat,
+            repeat: route.idempotency,
             deadline: self.deadline,
             queue_timeout: self.queue_timeout(),
             origin: self.entry.service.borrow().clone(),
@@ -319,7 +321,9 @@
             latency_target: route.latency_target,
             deadline: self.deadline,
         };
-        self.entry.queue_timeout.of(&req, self.entry.clock.now())
+        self.entry
+            .queue_timeout
+            .timeout_for(&req, self.entry.clock.now())
     }
 
     /// Refusal returned to the caller when the deadline has passed.
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootport_core::mesh::{Dialect, Refusal, Repeat};
+use coltsfootport_core::mesh::{Dialect, Idempotency, Refusal};
 use coltsfootport_core::quarantine::{CrashId, SuspicionLevel};
 use http::StatusCode;
 use tokio::time::timeout;
@@ -81,8 +81,8 @@
             Err(refused) => return slot_refused(refused),
         };
         match req.repeat {
-            Repeat::Idempotent => self.run_in_slot(req, slot, Duration::ZERO).await,
-            Repeat::AtMostOnce => {
+            Idempotency::Idempotent => self.run_in_slot(req, slot, Duration::ZERO).await,
+            Idempotency::AtMostOnce => {
                 let host = self.clone();
                 let running =
                     tokio::spawn(
@@ -128,7 +128,7 @@
         req: &mut HostedRequest,
         grace: Duration,
     ) -> Result<Exchanged, ExchangeFailure> {
-        let at_most_once = req.repeat == Repeat::AtMostOnce;
+        let at_most_once = req.repeat == Idempotency::AtMostOnce;
         let pooled = self.pool.take(at_most_once);
         let conn = match pooled {
             Some(conn) => conn,
--- a/crates/node/src/mesh/policy.rs
+++ b/crates/node/src/mesh/policy.rs
@@ -48,8 +48,8 @@
             queue_timeout: QueueTimeoutConfig::default(),
             far_penalty: FleetConfig::default().far_penalty,
             shed_epoch: shedder.epoch,
-            back_soonest: shedder.back_soonest,
-            back_later: shedder.back_later,
+            back_soonest: shedder.min_retry_after,
+            back_later: shedder.extra_retry_after,
             no_repeat_level: 0.5,
             repeat_share: RetryBudgetConfig::default().used_share,
             lapse_hold: FleetConfig::default().lapse_hold,
@@ -62,24 +62,20 @@
     pub fn read(mut section: Section<'_, '_>) -> Self {
         let default = Self::default();
         let queue_timeout = QueueTimeoutConfig {
-            worthwhile_share: section.number(
+            latency_target_share: section.number(
                 "patience_share",
                 0.0..=1.0,
-                default.queue_timeout.worthwhile_share,
-            ),
-            least_share: section.number(
-                "least_patience",
-                0.0..=1.0,
-                default.queue_timeout.least_share,
+                default.queue_timeout.latency_target_share,
             ),
+            min_share: section.number("least_patience", 0.0..=1.0, default.queue_timeout.min_share),
         };
         let limits = TimeLimits {
             answer: Margin {
-                most: section.millis("answer_margin_ms", 0..=1000, default.limits.answer.most),
+                max: section.millis("answer_margin_ms", 0..=1000, default.limits.answer.max),
                 ..default.limits.answer
             },
             refusal: Margin {
-                most: section.millis("refusal_margin_ms", 0..=1000, default.limits.refusal.most),
+                max: section.millis("refusal_margin_ms", 0..=1000, default.limits.refusal.max),
                 ..default.limits.refusal
             },
         };
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -255,8 +255,8 @@
         },
         shedder: ShedderConfig {
             epoch: policy.shed_epoch,
-            back_soonest: policy.back_soonest,
-            back_later: policy.back_later,
+            min_retry_after: policy.back_soonest,
+            extra_retry_after: policy.back_later,
             ..Default::default()
         },
         gate: GateConfig {
@@ -271,7 +271,7 @@
             ..Default::default()
         },
         drain: DrainConfig {
-            grace: settings.grace,
+            grace_period: settings.grace,
             ..Default::default()
         },
         quotas: QuotaConfig {
