--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -38,7 +38,7 @@
 mod work;
 
 pub use authentication::{Claim, Presented, authenticate};
-pub use balance::Observed;
+pub use balance::InstanceStats;
 pub use caller_limits::CallerLimits;
 pub use config::{ConfigVersion, MeshConfig, MeshConfigError, RouteKey};
 pub use dialect::Dialect;
--- a/crates/core/src/mesh/balance.rs
+++ b/crates/core/src/mesh/balance.rs
@@ -1,238 +1,243 @@
-//! What an entry has seen of one instance, and the score that it gives it.
+//! Statistics that an entry node keeps about one instance, and the load balancing score derived from them.
 
 use std::time::{Duration, Instant};
 
-/// Running estimates about one instance, from answers that this entry got.
+/// Running estimates about one instance, from the requests that this node sent there.
 #[derive(Clone, Copy, Debug)]
-pub struct Observed {
-    /// Requests of this entry that are there now.
+pub struct InstanceStats {
+    /// Requests of this node that are in flight there.
     pub outstanding: u32,
-    /// Requests of all entries there, as its host said last, and sent since.
-    busy: f64,
-    busy_at: Option<Instant>,
-    /// Its time for a request over the usual time of that route, as a running mean.
-    slowness: f64,
-    /// Share of failed requests, as a running mean.
-    failures: f64,
-    /// When the two means were moved last.
-    judged_at: Option<Instant>,
-    /// Until when it gets requests only where nobody else can.
+    /// Requests of all nodes at the instance: the count last reported by its host, plus those sent since.
+    load: f64,
+    load_updated_at: Option<Instant>,
+    /// Response time relative to the usual time of the route, as an exponentially weighted moving average (EWMA).
+    latency_ratio: f64,
+    /// Share of failed requests, as an EWMA.
+    failure_rate: f64,
+    /// When the two averages were last updated.
+    rates_updated_at: Option<Instant>,
+    /// Until then the instance is chosen only if every other one is avoided as well.
     avoided_until: Option<Instant>,
-    /// Until when its host is believed to be about to stop.
+    /// Until then its host is assumed to be about to stop.
     stopping_until: Option<Instant>,
-    /// Failures in a row to reach its host.
-    unreachable: u32,
-    /// When a request went there last.
-    sent_at: Option<Instant>,
-    /// When its host said last that it is cut off from the publisher.
-    cut_off_at: Option<Instant>,
+    /// Consecutive failures to reach the host.
+    connect_failures: u32,
+    /// When the last request was sent there.
+    last_sent_at: Option<Instant>,
+    /// When its host last reported that it can't reach the publisher.
+    partitioned_at: Option<Instant>,
 }
 
-impl Default for Observed {
+impl Default for InstanceStats {
     fn default() -> Self {
         Self {
             outstanding: 0,
-            busy: 0.0,
-            busy_at: None,
-            slowness: 1.0,
-            failures: 0.0,
-            judged_at: None,
+            load: 0.0,
+            load_updated_at: None,
+            latency_ratio: 1.0,
+            failure_rate: 0.0,
+            rates_updated_at: None,
             avoided_until: None,
             stopping_until: None,
-            unreachable: 0,
-            sent_at: None,
-            cut_off_at: None,
+            connect_failures: 0,
+            last_sent_at: None,
+            partitioned_at: None,
         }
     }
 }
 
-/// Weight of the newest answer in running means: they settle within some ten answers.
-const NEWEST: f64 = 0.12;
+/// Weight of the newest sample in the moving averages; they settle after about ten answers.
+const EWMA_WEIGHT: f64 = 0.12;
 
-/// A host's own word about its load counts for half of its value after this time without a new one.
-const BUSY_HALF_LIFE: Duration = Duration::from_millis(800);
+/// Half-life of the load reported by a host while no new report arrives.
+const LOAD_HALF_LIFE: Duration = Duration::from_millis(800);
 
-/// A judgement about failures and slowness counts for half after this time without a new answer.
-const JUDGEMENT_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Half-life of the failure rate and latency ratio while no new answer arrives.
+const RATE_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Share of failures from which an instance is avoided.
-const FAILURES_TO_AVOID: f64 = 0.45;
+/// Failure rate above which an instance is avoided.
+const AVOID_FAILURE_RATE: f64 = 0.45;
 
-/// Share of failures from which an instance that has had no request for some time gets one to show if it works again.
-const FAILURES_TO_PROBE: f64 = 0.04;
+/// Failure rate above which an instance that has been idle for [`PROBE_DELAY`] is probed with one request.
+const PROBE_FAILURE_RATE: f64 = 0.04;
 
-/// Time without a request after which it gets one.
-const PROBE_AFTER: Duration = Duration::from_millis(1500);
+/// Time without a request after which such an instance is probed.
+const PROBE_DELAY: Duration = Duration::from_millis(1500);
 
-/// Score of an instance whose next request is a probe: better than any other. Its old failures would keep it from getting
-/// one for as long as the others have room, and it would stay out although it works.
+/// Score of an instance that is due for a probe; lower (better) than any other. With its regular score, past
+/// failures would keep a recovered instance without requests for as long as the others have capacity.
 const PROBE_SCORE: f64 = 0.3;
 
-/// How long an instance that fails is avoided before one request tries it again.
+/// How long a failing instance is avoided before one request tries it again.
 const AVOID_FAILING: Duration = Duration::from_millis(2500);
 
-/// First time for which a host that can't be reached is avoided; doubled each time up to eight times this.
+/// Initial backoff for an unreachable host; doubled on each further failure, up to eight times this value.
 const AVOID_UNREACHABLE: Duration = Duration::from_millis(250);
 
-/// How long a target that is gone is avoided: about the time until the published list tells.
-const AVOID_GONE: Duration = Duration::from_millis(1500);
+/// How long an instance whose target is gone is avoided: about the time until the published list reflects it.
+const AVOID_TARGET_GONE: Duration = Duration::from_millis(1500);
 
-/// How long a host that is about to stop is avoided: about what is left of its life.
+/// How long an instance whose host is about to stop is avoided: about the remaining lifetime of the host.
 const AVOID_STOPPING: Duration = Duration::from_millis(3000);
 
-/// How long the word of a host that it is cut off from the publisher holds: some replies' time in a small fleet under load.
-const CUT_OFF_FRESH: Duration = Duration::from_millis(2000);
+/// How long a host's report that it can't reach the publisher stays valid: the time for several replies in a small
+/// fleet under load.
+const PARTITION_REPORT_TTL: Duration = Duration::from_millis(2000);
 
-/// How far one answer may move the slowness, so that a single slow request says little.
-const SLOWNESS_RANGE: (f64, f64) = (0.2, 5.0);
+/// Clamps the latency ratio of a single answer, so that one slow request has little effect.
+const LATENCY_RATIO_RANGE: (f64, f64) = (0.2, 5.0);
 
-impl Observed {
-    /// A request goes there.
-    pub fn sent(&mut self, now: Instant) {
-        self.sent_at = Some(now);
+impl InstanceStats {
+    /// Records that a request was sent to the instance.
+    pub fn request_sent(&mut self, now: Instant) {
+        self.last_sent_at = Some(now);
         self.outstanding += 1;
-        self.busy = self.busy_now(now) + 1.0;
-        self.busy_at = Some(now);
+        self.load = self.current_load(now) + 1.0;
+        self.load_updated_at = Some(now);
     }
 
-    /// A request that went there has ended.
-    pub fn ended(&mut self) {
+    /// Records that a request to the instance has ended, with any outcome.
+    pub fn request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// The host's word about how many requests it has.
-    pub fn reported(&mut self, busy: u32, now: Instant) {
-        self.busy = f64::from(busy);
-        self.busy_at = Some(now);
-        self.unreachable = 0;
+    /// Records the number of requests at the instance as reported by its host.
+    pub fn load_reported(&mut self, load: u32, now: Instant) {
+        self.load = f64::from(load);
+        self.load_updated_at = Some(now);
+        self.connect_failures = 0;
     }
 
-    /// A whole answer after `relative` times the usual time of its route.
-    pub fn answered(&mut self, relative: f64, now: Instant) {
-        self.forget(now);
-        let relative = relative.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
-        self.slowness += NEWEST * (relative - self.slowness);
-        self.failures -= NEWEST * self.failures;
+    /// Records a complete answer that took `relative` times the usual time of its route.
+    pub fn request_succeeded(&mut self, relative: f64, now: Instant) {
+        self.decay_rates(now);
+        let relative = relative.clamp(LATENCY_RATIO_RANGE.0, LATENCY_RATIO_RANGE.1);
+        self.latency_ratio += EWMA_WEIGHT * (relative - self.latency_ratio);
+        self.failure_rate -= EWMA_WEIGHT * self.failure_rate;
     }
 
-    /// The target failed or refused a request.
-    pub fn failed(&mut self, now: Instant) {
-        self.forget(now);
-        self.failures += NEWEST * (1.0 - self.failures);
-        if self.failures > FAILURES_TO_AVOID {
+    /// Records that the target failed or refused a request.
+    pub fn request_failed(&mut self, now: Instant) {
+        self.decay_rates(now);
+        self.failure_rate += EWMA_WEIGHT * (1.0 - self.failure_rate);
+        if self.failure_rate > AVOID_FAILURE_RATE {
             self.avoid(now + AVOID_FAILING);
-            // One failure after the pause must be enough to avoid it again, and some successes to trust it.
-            self.failures = FAILURES_TO_AVOID;
+            // Capped at the threshold, so that one failure after the pause suffices to avoid the instance again, while
+            // it takes several successes to trust it.
+            self.failure_rate = AVOID_FAILURE_RATE;
         }
     }
 
-    /// The host could not be reached.
-    pub fn not_reached(&mut self, now: Instant) {
-        let doublings = self.unreachable.min(3);
+    /// Records that the host could not be reached.
+    pub fn connect_failed(&mut self, now: Instant) {
+        let doublings = self.connect_failures.min(3);
         self.avoid(now + AVOID_UNREACHABLE * (1 << doublings));
-        self.unreachable += 1;
+        self.connect_failures += 1;
     }
 
-    /// The target does not listen or is another instance. Requests come back from it at once, so it looks idle and would
-    /// draw more of them than all others until the published list tells that it is gone.
+    /// Records that the target does not listen or is another instance. Such requests are rejected immediately, so the
+    /// instance looks idle and would attract more of them than any other until it disappears from the published list.
     pub fn target_gone(&mut self, now: Instant) {
-        self.avoid(now + AVOID_GONE);
+        self.avoid(now + AVOID_TARGET_GONE);
     }
 
-    /// The host is about to stop and takes nothing more; see [`Observed::target_gone`] for why it must be avoided.
+    /// Records that the host is about to stop and rejects requests; avoided for the reason given at
+    /// [`InstanceStats::target_gone`].
     pub fn host_stopped(&mut self, now: Instant) {
         self.avoid(now + AVOID_STOPPING);
     }
 
-    /// The host is about to stop and still takes requests: it is for those that others have no room for.
+    /// Records that the host is about to stop but still accepts requests. It is used only for requests that the other
+    /// instances have no capacity for.
     pub fn host_stopping(&mut self, now: Instant) {
         self.stopping_until = Some(now + AVOID_STOPPING);
     }
 
-    /// Its host is cut off from the publisher.
-    pub fn host_cut_off(&mut self, now: Instant) {
-        self.cut_off_at = Some(now);
+    /// Records that the host reported that it can't reach the publisher.
+    pub fn mark_partitioned(&mut self, now: Instant) {
+        self.partitioned_at = Some(now);
     }
 
-    /// Whether its host has said of late that it is cut off from the publisher.
-    pub fn host_is_cut_off(&self, now: Instant) -> bool {
-        let is_fresh = |at| now.saturating_duration_since(at) < CUT_OFF_FRESH;
-        self.cut_off_at.is_some_and(is_fresh)
+    /// Whether the host has recently reported that it can't reach the publisher.
+    pub fn is_partitioned(&self, now: Instant) -> bool {
+        let is_fresh = |at| now.saturating_duration_since(at) < PARTITION_REPORT_TTL;
+        self.partitioned_at.is_some_and(is_fresh)
     }
 
-    /// Whether it is avoided now.
+    /// Whether the instance is currently avoided.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.avoided_until.is_some_and(|until| now < until)
     }
 
-    /// Expected time for a request there, in units of the usual time on an idle usual instance.
+    /// Expected cost of a request there, relative to the usual time on an idle instance; lower is better.
     pub fn score(&self, slots: u32, now: Instant) -> f64 {
-        if self.is_due_for_probe(now) {
+        if self.needs_probe(now) {
             return PROBE_SCORE;
         }
-        let load = self.busy_now(now).max(f64::from(self.outstanding));
-        let used = (load + 1.0) / f64::from(slots.max(1));
-        let queueing = (used - FREE_SHARE).max(0.0) * QUEUE_WEIGHT;
-        // Retries cost more than time, so failures weigh beyond the time of a second try.
-        let kept = self.kept(now);
-        let failing = 1.0 + FAILURE_WEIGHT * self.failures * kept;
-        let slowness = 1.0 + (self.slowness - 1.0) * kept;
+        let load = self.current_load(now).max(f64::from(self.outstanding));
+        let utilization = (load + 1.0) / f64::from(slots.max(1));
+        let queueing = (utilization - QUEUE_FREE_UTILIZATION).max(0.0) * QUEUE_WEIGHT;
+        // Retries cost more than time, so a failure weighs more than the time of a second attempt.
+        let decay_factor = self.decay_factor(now);
+        let failing = 1.0 + FAILURE_WEIGHT * self.failure_rate * decay_factor;
+        let latency_ratio = 1.0 + (self.latency_ratio - 1.0) * decay_factor;
         let stopping = match self.stopping_until.is_some_and(|until| now < until) {
-            true => STOPPING_FACTOR,
+            true => STOPPING_PENALTY,
             false => 1.0,
         };
-        slowness * failing * stopping * (1.0 + LOAD_WEIGHT * used + queueing)
+        latency_ratio * failing * stopping * (1.0 + LOAD_WEIGHT * utilization + queueing)
     }
 
-    fn is_due_for_probe(&self, now: Instant) -> bool {
-        let waited = |at: Instant| now.saturating_duration_since(at) >= PROBE_AFTER;
-        self.failures > FAILURES_TO_PROBE
+    /// Whether the instance has failed before and has been idle for long enough to be probed.
+    fn needs_probe(&self, now: Instant) -> bool {
+        let is_idle_since = |at: Instant| now.saturating_duration_since(at) >= PROBE_DELAY;
+        self.failure_rate > PROBE_FAILURE_RATE
             && self.outstanding == 0
-            && self.sent_at.is_some_and(waited)
+            && self.last_sent_at.is_some_and(is_idle_since)
     }
 
-    /// Moves the means to what is left of them.
-    fn forget(&mut self, now: Instant) {
-        let kept = self.kept(now);
-        self.failures *= kept;
-        self.slowness = 1.0 + (self.slowness - 1.0) * kept;
-        self.judged_at = Some(now);
+    /// Applies the decay since the last update to both averages.
+    fn decay_rates(&mut self, now: Instant) {
+        let decay_factor = self.decay_factor(now);
+        self.failure_rate *= decay_factor;
+        self.latency_ratio = 1.0 + (self.latency_ratio - 1.0) * decay_factor;
+        self.rates_updated_at = Some(now);
     }
 
-    /// How much an old judgement still counts. Without new requests nothing would correct it: an instance that failed or was
-    /// slow once would get nothing for as long as the others have room.
-    fn kept(&self, now: Instant) -> f64 {
-        let Some(at) = self.judged_at else {
+    /// Remaining weight of the averages. Without decay, an instance that failed or was slow once would receive no
+    /// requests, and so no chance to improve its rates, for as long as the others have capacity.
+    fn decay_factor(&self, now: Instant) -> f64 {
+        let Some(at) = self.rates_updated_at else {
             return 1.0;
         };
         let age = now.saturating_duration_since(at).as_secs_f64();
-        0.5_f64.powf(age / JUDGEMENT_HALF_LIFE.as_secs_f64())
+        0.5_f64.powf(age / RATE_HALF_LIFE.as_secs_f64())
     }
 
     fn avoid(&mut self, until: Instant) {
         self.avoided_until = self.avoided_until.max(Some(until));
     }
 
-    fn busy_now(&self, now: Instant) -> f64 {
-        let Some(at) = self.busy_at else {
+    fn current_load(&self, now: Instant) -> f64 {
+        let Some(at) = self.load_updated_at else {
             return 0.0;
         };
         let age = now.saturating_duration_since(at).as_secs_f64();
-        self.busy * 0.5_f64.powf(age / BUSY_HALF_LIFE.as_secs_f64())
+        self.load * 0.5_f64.powf(age / LOAD_HALF_LIFE.as_secs_f64())
     }
 }
 
-/// Share of its slots that an instance can use before requests are likely to wait there.
-const FREE_SHARE: f64 = 0.8;
+/// Utilization of the slots up to which requests are unlikely to queue at the instance.
+const QUEUE_FREE_UTILIZATION: f64 = 0.8;
 
-/// How much a request more than the slots hold adds, in usual times over the whole of the slots.
+/// Score added per unit of utilization above [`QUEUE_FREE_UTILIZATION`].
 const QUEUE_WEIGHT: f64 = 6.0;
 
-/// How much even load below the slots counts: spreads requests before queues form.
+/// Score added per unit of utilization at any load; spreads requests before queues form.
 const LOAD_WEIGHT: f64 = 0.5;
 
-/// What the score of an instance is multiplied by whose host is about to stop: as much as a long queue elsewhere.
-const STOPPING_FACTOR: f64 = 3.0;
+/// Factor on the score of an instance whose host is about to stop; equivalent to a long queue elsewhere.
+const STOPPING_PENALTY: f64 = 3.0;
 
-/// How much more an instance that fails always would cost.
+/// Additional cost of an instance with a failure rate of 1.
 const FAILURE_WEIGHT: f64 = 6.0;
--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -15,8 +15,8 @@
 use crate::collections::{FastHasher, Map, Set};
 use crate::id::{DomainName, ServiceName};
 use crate::mesh::{
-    FleetConfig, GoneEffect, Instance, MemberState, Observed, Position, PutEffect, ReadersConfig,
-    ReadersView, SendOutcome,
+    FleetConfig, GoneEffect, Instance, InstanceStats, MemberState, Position, PutEffect,
+    ReadersConfig, ReadersView, SendOutcome,
 };
 use crate::quarantine::Fingerprint;
 
@@ -41,13 +41,13 @@
     instance: Instance,
     member_state: MemberState,
     cold_until: Instant,
-    seen: Observed,
+    seen: InstanceStats,
 }
 
 impl Member {
     /// Its host is cut off from the publisher: where its entry has lapsed, it is held until then at least.
     fn host_cut_off(&mut self, until: Instant, now: Instant) {
-        self.seen.host_cut_off(now);
+        self.seen.mark_partitioned(now);
         if let MemberState::Missing { until: earlier } = self.member_state {
             let until = until.max(earlier);
             self.member_state = MemberState::Missing { until };
@@ -151,7 +151,7 @@
             .publisher
             .absence_counts(member.member_state, self.cfg.lapse_hold, now);
         let unannounced = member.member_state.takes_work();
-        let lapsed = unannounced && member.seen.host_is_cut_off(now);
+        let lapsed = unannounced && member.seen.is_partitioned(now);
         let counts = counts.or(lapsed.then_some(now + self.cfg.lapse_hold));
         if let Some(until) = counts {
             member.member_state = MemberState::Missing { until };
@@ -376,7 +376,7 @@
     /// A request goes to an instance.
     pub fn sent(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
-            member.seen.sent(now);
+            member.seen.request_sent(now);
         }
     }
 
@@ -399,14 +399,14 @@
         let Some(member) = self.members.get_mut(key) else {
             return;
         };
-        member.seen.ended();
+        member.seen.request_ended();
         if let Some(busy) = busy {
-            member.seen.reported(busy, now);
+            member.seen.load_reported(busy, now);
         }
         match outcome {
-            SendOutcome::Answered { relative } => member.seen.answered(relative, now),
-            SendOutcome::Failed => member.seen.failed(now),
-            SendOutcome::NotReached => member.seen.not_reached(now),
+            SendOutcome::Answered { relative } => member.seen.request_succeeded(relative, now),
+            SendOutcome::Failed => member.seen.request_failed(now),
+            SendOutcome::NotReached => member.seen.connect_failed(now),
             SendOutcome::TargetGone => member.seen.target_gone(now),
             SendOutcome::HostStopping => member.seen.host_stopped(now),
             SendOutcome::HostBusy | SendOutcome::Abandoned => {}
@@ -497,7 +497,7 @@
             instance,
             member_state,
             cold_until,
-            seen: Observed::default(),
+            seen: InstanceStats::default(),
         });
         self.by_id.insert(id, key);
         self.by_address.insert(address, key);
