--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -46,7 +46,7 @@
 pub use drain::{Drain, DrainConfig};
 pub use entry_effect::{GoneEffect, PutEffect};
 pub use entry_fault::EntryFault;
-pub use fleet::{Chosen, Fleet, InstanceKey};
+pub use fleet::{Fleet, InstanceKey, SelectedInstance};
 pub use fleet_config::FleetConfig;
 pub use instance::Instance;
 pub use level::{Backlog, LevelConfig, LevelControl};
--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -1,4 +1,4 @@
-//! The instances that a node knows, and the choice among them.
+//! The instances known to a node, and load balancing among them.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -25,14 +25,14 @@
     pub struct InstanceKey;
 }
 
-/// An instance that was chosen for a request.
+/// The instance selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
-    /// Its key.
+pub struct SelectedInstance {
+    /// Key of the instance within the fleet.
     pub key: InstanceKey,
-    /// Its id, which the target compares with its own.
+    /// Id of the instance; the target rejects requests addressed to another id.
     pub id: SmolStr,
-    /// Its address.
+    /// Address of the target.
     pub address: SocketAddr,
 }
 
@@ -41,13 +41,14 @@
     instance: Instance,
     member_state: MemberState,
     cold_until: Instant,
-    seen: InstanceStats,
+    stats: InstanceStats,
 }
 
 impl Member {
-    /// Its host is cut off from the publisher: where its entry has lapsed, it is held until then at least.
-    fn host_cut_off(&mut self, until: Instant, now: Instant) {
-        self.seen.mark_partitioned(now);
+    /// Records that the host can't reach the publisher. If the entry is missing already, the instance is kept until
+    /// `until` at least.
+    fn mark_partitioned(&mut self, until: Instant, now: Instant) {
+        self.stats.mark_partitioned(now);
         if let MemberState::Missing { until: earlier } = self.member_state {
             let until = until.max(earlier);
             self.member_state = MemberState::Missing { until };
@@ -55,7 +56,7 @@
     }
 }
 
-/// All instances by key, id, address and service.
+/// All known instances, indexed by key, id, address and service.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     cfg: FleetConfig,
@@ -69,7 +70,7 @@
 }
 
 impl Fleet {
-    /// A fleet without instances.
+    /// Creates a fleet without instances.
     pub fn new(cfg: FleetConfig) -> Self {
         Self {
             cfg,
@@ -83,11 +84,11 @@
         }
     }
 
-    /// Takes in an entry as it was written.
+    /// Inserts or updates an instance from its published entry.
     ///
-    /// An address belongs to one process at a time, so the older of two instances at an address has ended. Its entry stays
-    /// until its lease runs out: after a loss of power of all machines, seconds in which most requests would go to
-    /// instances that are gone, and come back refused by their successors.
+    /// An address belongs to one process at a time, so the older of two instances at an address has ended and is
+    /// removed. Its entry remains published until its lease expires: after a power failure of all machines, most
+    /// requests would be sent to ended instances for several seconds and rejected by their successors.
     pub fn put(&mut self, instance: Instance, now: Instant) -> PutEffect {
         let member_state = match instance.leaving {
             true => MemberState::Draining,
@@ -111,8 +112,8 @@
         if is_earlier_start(&instance, known) {
             return PutEffect::Same;
         }
-        if is_another_start(&instance, known) {
-            // What was learnt of the earlier start, its load, failures and coldness, says nothing of this one.
+        if is_different_start(&instance, known) {
+            // Load, failure rate and warm-up of the previous process do not apply to the new one.
             self.remove(key);
             self.insert(instance, member_state, cold_until);
             return PutEffect::Restarted;
@@ -132,51 +133,52 @@
         }
     }
 
-    /// Takes in that an entry was written which names no instance: who was known by its id is not used any more. The
-    /// instance writes its entry again if it lives.
-    pub fn unnamed(&mut self, id: &str) -> bool {
+    /// Removes the instance whose entry was overwritten with an invalid one; a running instance writes its entry again.
+    /// Returns whether the instance was known.
+    pub fn remove_invalid(&mut self, id: &str) -> bool {
         let key = self.by_id.get(id).copied();
         key.and_then(|key| self.remove(key)).is_some()
     }
 
-    /// Takes in that an entry was removed.
-    pub fn gone(&mut self, id: &str, now: Instant) -> GoneEffect {
+    /// Handles the removal of a published entry.
+    pub fn entry_removed(&mut self, id: &str, now: Instant) -> GoneEffect {
         self.restored.removed(id);
         let Some(key) = self.by_id.get(id).copied() else {
             self.restored.ended(SmolStr::new(id), now);
             return GoneEffect::Unknown;
         };
         let member = &mut self.members[key];
-        let counts = self
-            .publisher
-            .absence_counts(member.member_state, self.cfg.lapse_hold, now);
-        let unannounced = member.member_state.takes_work();
-        let lapsed = unannounced && member.seen.is_partitioned(now);
-        let counts = counts.or(lapsed.then_some(now + self.cfg.lapse_hold));
-        if let Some(until) = counts {
+        let held_until =
+            self.publisher
+                .absence_counts(member.member_state, self.cfg.lapse_hold, now);
+        let was_active = member.member_state.takes_work();
+        let partitioned = was_active && member.stats.is_partitioned(now);
+        let held_until = held_until.or(partitioned.then_some(now + self.cfg.lapse_hold));
+        if let Some(until) = held_until {
             member.member_state = MemberState::Missing { until };
             return GoneEffect::Held;
         }
         let instance = member.instance.clone();
         self.remove(key);
         self.restored.ended(SmolStr::new(id), now);
-        if unannounced {
+        if was_active {
             self.lapsed.add(instance, now);
         }
         GoneEffect::Gone
     }
 
-    /// The host of an instance has said that it is cut off from the publisher, so that the entry of its target lapses
-    /// although the target works. Returns whether the instance had been taken as gone and is used again.
+    /// Records that the host of an instance can't reach the publisher, so that the lease of its entry expires
+    /// although the target works. Returns whether the instance had been removed and is now used again.
     ///
-    /// Without this, a cut between a third of the machines and the publisher leaves the other nodes with what few instances
-    /// are still listed: one of four instances got the load of all, with 230 requests in its queue, while the other three
-    /// idled, and 0.4 of the requests were served (logs and answers of a surge over such a cut). An instance that leaves is not meant:
-    /// from a machine that is cut off neither its word nor the removal of its entry reaches the publisher.
-    pub fn host_cut_off(&mut self, id: &str, now: Instant) -> bool {
+    /// Without this, a network partition between a third of the machines and the publisher leaves the other nodes
+    /// with the few instances that are still listed: during a load surge, one of four instances received the load
+    /// of all, with 230 requests in its queue, while the other three idled, and only 0.4 of the requests were
+    /// served. Instances that are leaving are excluded: from a partitioned machine neither the leave announcement
+    /// nor the removal of the entry would reach the publisher.
+    pub fn mark_partitioned_by_id(&mut self, id: &str, now: Instant) -> bool {
         let until = now + self.cfg.lapse_hold;
         if let Some(key) = self.by_id.get(id) {
-            self.members[*key].host_cut_off(until, now);
+            self.members[*key].mark_partitioned(until, now);
             return false;
         }
         let Some(instance) = self.lapsed.take(id, now) else {
@@ -189,14 +191,16 @@
         true
     }
 
-    /// The host of an instance has said in a reply that it is cut off from the publisher; see [`Fleet::host_cut_off`].
-    pub fn host_of_cut_off(&mut self, key: InstanceKey, now: Instant) {
+    /// Records that the host of an instance reported in a reply that it can't reach the publisher; see
+    /// [`Fleet::mark_partitioned_by_id`].
+    pub fn mark_partitioned(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
-            member.host_cut_off(now + self.cfg.lapse_hold, now);
+            member.mark_partitioned(now + self.cfg.lapse_hold, now);
         }
     }
 
-    /// Takes in a whole list; instances that it lacks are treated as removed entries. Returns the ids of those that ended.
+    /// Applies a complete list; instances missing from it are treated as removed entries. Returns the ids of the
+    /// instances that ended.
     pub fn replace_all(&mut self, listed: Vec<Instance>, now: Instant) -> Vec<SmolStr> {
         let ids: Set<SmolStr> = listed.iter().map(|instance| instance.id.clone()).collect();
         let mut ended = Vec::new();
@@ -212,62 +216,64 @@
         let known = self.by_id.keys();
         let missing: Vec<SmolStr> = known.filter(|id| !ids.contains(*id)).cloned().collect();
         for id in missing {
-            if self.gone(&id, now) == GoneEffect::Gone {
+            if self.entry_removed(&id, now) == GoneEffect::Gone {
                 ended.push(id);
             }
         }
         ended
     }
 
-    /// Takes in the list of a publisher that has come back from an older copy. Returns the ids of instances that ended.
+    /// Applies the list of a publisher that was restored from an older copy. Returns the ids of the instances that
+    /// ended.
     ///
-    /// What the copy lacks, instances write again; who has said that it leaves, or has ended, does not come back by it.
+    /// Instances write again what the copy lacks. An outdated entry does not bring back an instance that is leaving
+    /// or has ended.
     pub fn restore(&mut self, listed: Vec<Instance>, now: Instant) -> Vec<SmolStr> {
-        self.absences_count_from(now);
-        let (doubted, believed): (Vec<Instance>, Vec<Instance>) = listed
+        self.restart_missing_timers(now);
+        let (outdated, current): (Vec<Instance>, Vec<Instance>) = listed
             .into_iter()
-            .partition(|instance| self.is_older_word(instance, now));
-        let leaving = doubted.iter().filter_map(|doubted| {
-            let key = self.by_id.get(&doubted.id)?;
+            .partition(|instance| self.is_outdated(instance, now));
+        let leaving = outdated.iter().filter_map(|outdated| {
+            let key = self.by_id.get(&outdated.id)?;
             let known = &self.members[*key].instance;
             known.leaving.then(|| known.clone())
         });
-        let listed = leaving.chain(believed).collect();
+        let listed = leaving.chain(current).collect();
         let ended = self.replace_all(listed, now);
         let until = now + self.cfg.copy_hold;
-        for instance in doubted {
+        for instance in outdated {
             self.restored.doubt(instance, until);
         }
         ended
     }
 
-    /// Whether an entry says less than what is known of its instance.
-    fn is_older_word(&self, instance: &Instance, now: Instant) -> bool {
+    /// Whether an entry predates the known state of its instance.
+    fn is_outdated(&self, instance: &Instance, now: Instant) -> bool {
         let known = self.by_id.get(&instance.id);
         match known.map(|key| &self.members[*key]) {
             Some(member) => {
                 member.member_state != MemberState::Ready
                     && !instance.leaving
-                    && !is_another_start(instance, &member.instance)
+                    && !is_different_start(instance, &member.instance)
             }
             None => self.restored.has_ended(&instance.id, now),
         }
     }
 
-    /// The publisher does not answer as it should.
-    pub fn publisher_lost(&mut self) {
+    /// Records that the publisher fails to answer.
+    pub fn publisher_failed(&mut self) {
         self.publisher = PublisherHealth::Troubled;
     }
 
-    /// The publisher answers again.
-    pub fn publisher_back(&mut self, now: Instant) {
+    /// Records that the publisher answers.
+    pub fn publisher_recovered(&mut self, now: Instant) {
         if self.publisher == PublisherHealth::Troubled {
-            self.absences_count_from(now);
+            self.restart_missing_timers(now);
         }
     }
 
-    /// Gives every entry that is missing its time to come back.
-    fn absences_count_from(&mut self, now: Instant) {
+    /// Restarts the hold time of every missing entry, so that instances can write their entries again.
+    fn restart_missing_timers(&mut self, now: Instant) {
         self.publisher = PublisherHealth::BackSince(now);
         let until = now + self.cfg.lapse_hold;
         for member in self.members.values_mut() {
@@ -277,7 +283,7 @@
         }
     }
 
-    /// Lets time pass: removes what had its time to come back, and returns the ids.
+    /// Advances the timers: removes instances whose hold time has expired, and returns their ids.
     pub fn tick(&mut self, now: Instant) -> Vec<SmolStr> {
         self.publisher.settle(self.cfg.lapse_hold, now);
         let over = |member: &Member| match member.member_state {
@@ -303,16 +309,16 @@
         ended
     }
 
-    /// The best instance of a service outside `tried`.
+    /// Selects the instance of a service with the best score, except those in `tried`.
     ///
-    /// Avoided instances are taken only where no other is left: an error of the judgement must not end the service.
-    pub fn choose<R>(
+    /// Avoided instances are used only as a last resort: misjudged instances must not make the service unavailable.
+    pub fn select<R>(
         &self,
         service: &ServiceName,
         tried: &[InstanceKey],
         now: Instant,
         rng: &mut R,
-    ) -> Option<Chosen>
+    ) -> Option<SelectedInstance>
     where
         R: Rng + ?Sized,
     {
@@ -322,7 +328,7 @@
             if !member.member_state.takes_work() || tried.contains(key) {
                 continue;
             }
-            let avoided = member.seen.is_avoided(now);
+            let avoided = member.stats.is_avoided(now);
             let score = self.score(member, now) * (1.0 + self.cfg.jitter * rng.random::<f64>());
             let better = best
                 .is_none_or(|(other_avoided, other, _)| (avoided, score) < (other_avoided, other));
@@ -330,17 +336,18 @@
                 best = Some((avoided, score, *key));
             }
         }
-        best.map(|(_, _, key)| self.chosen(key))
+        best.map(|(_, _, key)| self.selected(key))
     }
 
-    /// The instance outside `tried` that all nodes choose alike for a request, so that its copies meet at one host.
-    pub fn choose_same(
+    /// Selects an instance by rendezvous hashing, except those in `tried`. All nodes select the same one for a
+    /// fingerprint, so that copies of a request arrive at the same host.
+    pub fn select_by_hash(
         &self,
         service: &ServiceName,
         fingerprint: Fingerprint,
         tried: &[InstanceKey],
         now: Instant,
-    ) -> Option<Chosen> {
+    ) -> Option<SelectedInstance> {
         let keys = self.by_service.get(service)?.iter();
         let free = keys
             .filter(|key| self.members[**key].member_state.takes_work() && !tried.contains(key));
@@ -348,13 +355,13 @@
             let member = &self.members[**key];
             let mut hasher = FastHasher::default();
             (fingerprint, &member.instance.id).hash(&mut hasher);
-            (member.seen.is_avoided(now), hasher.finish())
+            (member.stats.is_avoided(now), hasher.finish())
         });
-        best.map(|key| self.chosen(*key))
+        best.map(|key| self.selected(*key))
     }
 
     fn score(&self, member: &Member, now: Instant) -> f64 {
-        let mut score = member.seen.score(member.instance.slots, now);
+        let mut score = member.stats.score(member.instance.slots, now);
         if member.instance.domain != self.cfg.domain {
             score += self.cfg.far_penalty;
         }
@@ -364,78 +371,78 @@
         score
     }
 
-    fn chosen(&self, key: InstanceKey) -> Chosen {
+    fn selected(&self, key: InstanceKey) -> SelectedInstance {
         let instance = &self.members[key].instance;
-        Chosen {
+        SelectedInstance {
             key,
             id: instance.id.clone(),
             address: instance.address,
         }
     }
 
-    /// A request goes to an instance.
-    pub fn sent(&mut self, key: InstanceKey, now: Instant) {
+    /// Records that a request was sent to an instance.
+    pub fn request_sent(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
-            member.seen.request_sent(now);
+            member.stats.request_sent(now);
         }
     }
 
-    /// A host has said that it is about to stop, although it took the request.
+    /// Records that a host reported that it is about to stop, although it accepted the request.
     pub fn host_stopping(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
-            member.seen.host_stopping(now);
+            member.stats.host_stopping(now);
         }
     }
 
-    /// A request has ended at an instance; `busy` is its host's word about its load, where it gave one.
-    pub fn ended(
+    /// Records the end of a request at an instance; `busy` is the load reported by its host, if any.
+    pub fn request_ended(
         &mut self,
         key: InstanceKey,
         outcome: SendOutcome,
         busy: Option<u32>,
         now: Instant,
     ) {
-        // It may have left the list meanwhile.
+        // The instance may have been removed in the meantime.
         let Some(member) = self.members.get_mut(key) else {
             return;
         };
-        member.seen.request_ended();
+        member.stats.request_ended();
         if let Some(busy) = busy {
-            member.seen.load_reported(busy, now);
+            member.stats.load_reported(busy, now);
         }
         match outcome {
-            SendOutcome::Answered { relative } => member.seen.request_succeeded(relative, now),
-            SendOutcome::Failed => member.seen.request_failed(now),
-            SendOutcome::NotReached => member.seen.connect_failed(now),
-            SendOutcome::TargetGone => member.seen.target_gone(now),
-            SendOutcome::HostStopping => member.seen.host_stopped(now),
+            SendOutcome::Answered { relative } => member.stats.request_succeeded(relative, now),
+            SendOutcome::Failed => member.stats.request_failed(now),
+            SendOutcome::NotReached => member.stats.connect_failed(now),
+            SendOutcome::TargetGone => member.stats.target_gone(now),
+            SendOutcome::HostStopping => member.stats.host_stopped(now),
             SendOutcome::HostBusy | SendOutcome::Abandoned => {}
         }
     }
 
-    /// The instance with this address.
+    /// Returns the instance at an address.
     pub fn at_address(&self, address: SocketAddr) -> Option<&Instance> {
         let key = self.by_address.get(&address)?;
         Some(&self.members[*key].instance)
     }
 
-    /// Whether a newer instance has its address.
+    /// Whether a newer instance is known at the same address.
     fn is_superseded(&self, instance: &Instance) -> bool {
         self.at_address(instance.address)
             .is_some_and(|other| other.id != instance.id && other.created > instance.created)
     }
 
-    /// What is believed about an instance; `None` where it is not known.
+    /// Returns the state of an instance, or `None` if it is unknown.
     pub fn member_state(&self, id: &str) -> Option<MemberState> {
         let key = self.by_id.get(id)?;
         Some(self.members[*key].member_state)
     }
 
-    /// The fleet as the node at `own` sees it when it decides who reads the publisher.
+    /// Summarizes the fleet for the decision of the node at `own` whether to poll the publisher.
     ///
-    /// In each failure domain the oldest instances that are not leaving are those that read. All nodes have nearly the same
-    /// list, so they agree without a word; where they don't, one more node reads for a moment. In a small fleet everyone
-    /// reads, and nobody is sought out.
+    /// In each failure domain, the nodes of the oldest instances that are not leaving are appointed to poll. All
+    /// nodes have nearly the same list, so they agree without coordination; where their lists differ, an additional
+    /// node polls for a moment. In a small fleet every node polls and the candidates are not used.
     pub fn readers_view(&self, own: IpAddr, cfg: &ReadersConfig) -> ReadersView {
         let mut view = ReadersView {
             instances: self.members.len(),
@@ -472,19 +479,19 @@
         view
     }
 
-    /// Every instance and what is believed about it.
+    /// Iterates over all instances and their states.
     pub fn iter(&self) -> impl Iterator<Item = (&Instance, MemberState)> {
         self.members
             .values()
             .map(|member| (&member.instance, member.member_state))
     }
 
-    /// Number of instances.
+    /// Number of known instances.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no instance is known.
+    /// Whether the fleet has no instances.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -497,7 +504,7 @@
             instance,
             member_state,
             cold_until,
-            seen: InstanceStats::default(),
+            stats: InstanceStats::default(),
         });
         self.by_id.insert(id, key);
         self.by_address.insert(address, key);
@@ -517,11 +524,13 @@
     }
 }
 
-/// Whether an entry is of a start of the target before the known one; reads of the publisher can be stale.
+/// Whether an entry belongs to an earlier start of the target than the known one; reads from the publisher can be
+/// stale.
 fn is_earlier_start(instance: &Instance, known: &Instance) -> bool {
     matches!((instance.born, known.born), (Some(new), Some(old)) if new < old)
 }
 
-fn is_another_start(instance: &Instance, known: &Instance) -> bool {
+/// Whether an entry belongs to another start of the target than the known one.
+fn is_different_start(instance: &Instance, known: &Instance) -> bool {
     instance.born.is_some() && instance.born != known.born
 }
--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -7,8 +7,8 @@
 use rand::rngs::SmallRng;
 
 use coltsfootport_core::mesh::{
-    Chosen, Fleet, FleetConfig, GoneEffect, Instance, InstanceKey, MemberState, PutEffect,
-    SendOutcome,
+    Fleet, FleetConfig, GoneEffect, Instance, InstanceKey, MemberState, PutEffect,
+    SelectedInstance, SendOutcome,
 };
 
 fn ms(n: u64) -> Duration {
@@ -53,21 +53,21 @@
         bench
     }
 
-    fn choose(&mut self, tried: &[InstanceKey]) -> Option<Chosen> {
+    fn choose(&mut self, tried: &[InstanceKey]) -> Option<SelectedInstance> {
         self.fleet
-            .choose(&"svc".into(), tried, self.now, &mut self.rng)
+            .select(&"svc".into(), tried, self.now, &mut self.rng)
     }
 
     /// How many of a hundred requests go to an instance, each ended at once with `outcome`.
-    fn share(&mut self, id: &str, outcome: fn(&Chosen) -> SendOutcome) -> usize {
+    fn share(&mut self, id: &str, outcome: fn(&SelectedInstance) -> SendOutcome) -> usize {
         let mut count = 0;
         for _ in 0..100 {
             let Some(chosen) = self.choose(&[]) else {
                 continue;
             };
-            self.fleet.sent(chosen.key, self.now);
+            self.fleet.request_sent(chosen.key, self.now);
             self.fleet
-                .ended(chosen.key, outcome(&chosen), Some(1), self.now);
+                .request_ended(chosen.key, outcome(&chosen), Some(1), self.now);
             self.now += ms(50);
             count += usize::from(chosen.id == id);
         }
@@ -104,10 +104,10 @@
     let mut bench = Bench::new(&["i-a", "i-b"]);
     for _ in 0..2 {
         let chosen = bench.choose(&[]).expect("an instance");
-        bench.fleet.sent(chosen.key, bench.now);
+        bench.fleet.request_sent(chosen.key, bench.now);
         bench
             .fleet
-            .ended(chosen.key, SendOutcome::HostStopping, None, bench.now);
+            .request_ended(chosen.key, SendOutcome::HostStopping, None, bench.now);
     }
     assert!(bench.choose(&[]).is_some());
 }
@@ -130,7 +130,7 @@
 #[test]
 fn failing_instances_are_left_and_tried_again() {
     let mut bench = Bench::new(&["i-a", "i-b", "i-c"]);
-    let failing = |chosen: &Chosen| match chosen.id.as_str() {
+    let failing = |chosen: &SelectedInstance| match chosen.id.as_str() {
         "i-a" => SendOutcome::Failed,
         _ => WELL,
     };
@@ -157,7 +157,7 @@
     assert_eq!(bench.share("i-a", |_| WELL), 100);
     for _ in 0..9 {
         let near = bench.choose(&[]).expect("an instance");
-        bench.fleet.sent(near.key, bench.now);
+        bench.fleet.request_sent(near.key, bench.now);
     }
     let next = bench.choose(&[]).expect("an instance");
     assert_eq!(next.id, "i-b", "the near one has no free slot");
@@ -238,10 +238,10 @@
         let mut bench = Bench::new(&["i-a"]);
         for event in case.events {
             match event {
-                Lost => bench.fleet.publisher_lost(),
-                Back => bench.fleet.publisher_back(bench.now),
+                Lost => bench.fleet.publisher_failed(),
+                Back => bench.fleet.publisher_recovered(bench.now),
                 Gone => {
-                    bench.fleet.gone("i-a", bench.now);
+                    bench.fleet.entry_removed("i-a", bench.now);
                 }
                 Relisted => {
                     bench.fleet.put(instance("i-a"), bench.now);
@@ -314,10 +314,16 @@
         bench.fleet.put(successor.clone(), bench.now),
         PutEffect::Same
     );
-    assert_eq!(bench.fleet.gone("i-a", bench.now), GoneEffect::Unknown);
+    assert_eq!(
+        bench.fleet.entry_removed("i-a", bench.now),
+        GoneEffect::Unknown
+    );
     let ended = bench.fleet.replace_all(vec![successor], bench.now);
     assert_eq!(ended, ["i-b"]);
-    assert_eq!(bench.fleet.gone("i-z", bench.now), GoneEffect::Gone);
+    assert_eq!(
+        bench.fleet.entry_removed("i-z", bench.now),
+        GoneEffect::Gone
+    );
     assert!(bench.fleet.at_address(instance("i-a").address).is_none());
 }
 
@@ -421,8 +427,8 @@
         let mut bench = Bench::new(&["i-a"]);
         for event in case.events {
             match event {
-                CutOff => drop(bench.fleet.host_cut_off("i-a", bench.now)),
-                Gone => drop(bench.fleet.gone("i-a", bench.now)),
+                CutOff => drop(bench.fleet.mark_partitioned_by_id("i-a", bench.now)),
+                Gone => drop(bench.fleet.entry_removed("i-a", bench.now)),
                 Listed => drop(bench.fleet.put(instance("i-a"), bench.now)),
                 ListedWithout => drop(bench.fleet.replace_all(Vec::new(), bench.now)),
                 Leaving => {
@@ -490,8 +496,8 @@
 #[test]
 fn an_entry_that_turns_bad_names_nobody() {
     let mut bench = Bench::new(&["i-a", "i-b"]);
-    assert!(bench.fleet.unnamed("i-a"));
-    assert!(!bench.fleet.unnamed("i-a"));
+    assert!(bench.fleet.remove_invalid("i-a"));
+    assert!(!bench.fleet.remove_invalid("i-a"));
     assert!(bench.fleet.member_state("i-a").is_none());
     assert_eq!(
         bench.choose(&[]).map(|chosen| chosen.id),
--- a/crates/core/tests/mesh_restored.rs
+++ b/crates/core/tests/mesh_restored.rs
@@ -91,7 +91,7 @@
     fn remove(&mut self, n: u8) {
         if self.entries.remove(&n).is_some() {
             self.position.revision += 1;
-            self.fleet.gone(&format!("i-{n}"), self.now);
+            self.fleet.entry_removed(&format!("i-{n}"), self.now);
         }
     }
 
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -291,7 +291,7 @@
         let service = self.deployment.kinds[kind].service;
         let name = format!("s{service}").as_str().into();
         let fleet = &mut self.nodes[entry].fleet;
-        let chosen = fleet.choose(&name, &[], now, &mut self.rng);
+        let chosen = fleet.select(&name, &[], now, &mut self.rng);
         let Some(chosen) = chosen else {
             match parent {
                 Some(parent) => self.end(parent, false),
@@ -299,7 +299,7 @@
             }
             return None;
         };
-        fleet.sent(chosen.key, now);
+        fleet.request_sent(chosen.key, now);
         let run = self.runs.len();
         self.runs.push(Run {
             kind,
@@ -444,7 +444,7 @@
                 let Run { entry, key, .. } = self.runs[other];
                 let now = self.instant(self.now);
                 let fleet = &mut self.nodes[entry].fleet;
-                fleet.ended(key, SendOutcome::Abandoned, None, now);
+                fleet.request_ended(key, SendOutcome::Abandoned, None, now);
             }
         }
         self.finish(request, false);
@@ -531,7 +531,9 @@
         let busy = self.nodes[host].gate.busy();
         let level = self.nodes[host].gate.level();
         let service = self.nodes[host].service;
-        self.nodes[entry].fleet.ended(key, outcome, Some(busy), now);
+        self.nodes[entry]
+            .fleet
+            .request_ended(key, outcome, Some(busy), now);
         let met = std::mem::take(&mut self.runs[run].levels);
         let Some(parent) = parent else {
             let below = met.values().map(|(sum, count)| sum / f64::from(*count));
@@ -628,10 +630,10 @@
                 let listed = self.nodes[host].fleet.at_address(address(host)).cloned();
                 let fleet = &mut self.nodes[other].fleet;
                 if (from - 1.0..to).contains(&self.now) {
-                    fleet.host_cut_off(&id, now);
+                    fleet.mark_partitioned_by_id(&id, now);
                 }
                 if lapse {
-                    fleet.gone(&id, now);
+                    fleet.entry_removed(&id, now);
                 }
                 if let Some(instance) = listed.filter(|_| relist) {
                     fleet.put(instance, now);
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -148,15 +148,15 @@
             }
             Standing::Isolated => {
                 self.fleet
-                    .choose_same(&ask.service, ask.fingerprint, &ask.tried, now)
+                    .select_by_hash(&ask.service, ask.fingerprint, &ask.tried, now)
             }
             Standing::Suspected | Standing::Unsuspected => {
                 self.fleet
-                    .choose(&ask.service, &ask.tried, now, &mut self.rng)
+                    .select(&ask.service, &ask.tried, now, &mut self.rng)
             }
         };
         let chosen = chosen.ok_or(Refusal::NoInstance)?;
-        self.fleet.sent(chosen.key, now);
+        self.fleet.request_sent(chosen.key, now);
         if ask.tried.is_empty() {
             self.earn(&ask, now);
         }
@@ -224,11 +224,11 @@
                 self.fleet.host_stopping(key, now);
             }
             if report.cut_off {
-                self.fleet.host_of_cut_off(key, now);
+                self.fleet.mark_partitioned(key, now);
             }
         }
         let busy = ended.report.as_ref().map(|report| report.busy);
-        self.fleet.ended(key, outcome, busy, now);
+        self.fleet.request_ended(key, outcome, busy, now);
         if let Some(outer) = &ended.outer {
             self.runs
                 .caused(outer, &ended.service, ended.report.as_ref());
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -5,8 +5,8 @@
 
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
-    Chosen, InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
-    SendOutcome, Ticket, UpdateBatch,
+    InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
+    SelectedInstance, SendOutcome, Ticket, UpdateBatch,
 };
 use coltsfootport_core::quarantine::{Finding, Fingerprint, Standing};
 use coltsfootport_core::workspace::{QuotaNotice, QuotaUsage, RoutedClaim, Verdict};
@@ -184,7 +184,7 @@
 #[derive(Debug)]
 pub struct SendTo {
     /// The instance.
-    pub chosen: Chosen,
+    pub chosen: SelectedInstance,
     /// Whether it is the target beside this node.
     pub own: bool,
     /// The own instance, where this node is cut off from the publisher.
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -61,7 +61,7 @@
         }
         self.publisher_sound = true;
         self.publisher_answered = Some(now);
-        self.fleet.publisher_back(now);
+        self.fleet.publisher_recovered(now);
     }
 
     /// The publisher does not answer as it should.
@@ -70,7 +70,7 @@
             warn!(self.journal.log(), "publisher lost"; "age_ms" => self.publisher_age_ms(self.clock.now()));
         }
         self.publisher_sound = false;
-        self.fleet.publisher_lost();
+        self.fleet.publisher_failed();
     }
 
     /// The fleet as far as the reading of the publisher is concerned.
@@ -106,7 +106,7 @@
 
     /// Another node has said that it is cut off from the publisher; `id` is the instance beside it.
     pub(super) fn hear_cut_off(&mut self, id: &SmolStr, now: Instant) {
-        if self.fleet.host_cut_off(id, now) {
+        if self.fleet.mark_partitioned_by_id(id, now) {
             info!(self.journal.log(), "instance used again"; "instance" => id.as_str(),
                 "reason" => "its node is cut off from the publisher");
         }
@@ -150,7 +150,7 @@
             return;
         }
         self.metrics.entry_fault(fault);
-        let was_used = self.fleet.unnamed(id);
+        let was_used = self.fleet.remove_invalid(id);
         warn!(self.journal.log(), "entry names no instance"; "entry" => id.as_str(),
             "reason" => fault.as_str(), "detail" => detail, "was_used" => was_used);
     }
@@ -213,7 +213,7 @@
     }
 
     fn apply_gone(&mut self, id: SmolStr) {
-        match self.fleet.gone(&id, self.clock.now()) {
+        match self.fleet.entry_removed(&id, self.clock.now()) {
             GoneEffect::Gone => self.ended(id, "removed"),
             GoneEffect::Held => {
                 info!(self.journal.log(), "instance lapsed"; "instance" => id.as_str());
