--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -54,7 +54,7 @@
 pub use position::{Era, Position};
 pub use publisher::{Publisher, PublisherError};
 pub use queue_timeout::{QueueTimeoutConfig, QueueTimeoutRequest};
-pub use readers::{Readers, ReadersConfig, ReadersView, ReadingPlan};
+pub use readers::{ReadPlan, ReadPlanner, ReadersConfig, ReadersView};
 pub use refusal::{Refusal, RefusalRule};
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use route::{Part, Repeat, Route};
--- a/crates/core/src/mesh/readers.rs
+++ b/crates/core/src/mesh/readers.rs
@@ -1,26 +1,26 @@
-//! Which nodes poll the publisher, and which of them the other nodes subscribe to.
+//! Decides which nodes poll the publisher, and which of them the other nodes follow.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
 use crate::collections::Map;
 
-/// How the reading of the publisher is shared out.
+/// Settings for sharing reads of the publisher among the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadersConfig {
-    /// Nodes of each failure domain that read where the news are shared. With as many as a node has sources, news cross
-    /// from one domain to another only where a source is lost: with one of each, a day with a large configuration had
-    /// 0.196 GB between domains instead of 0.102 in a fleet of 95.
+    /// Nodes per failure domain that poll the publisher on behalf of the others. With at least `sources` of them,
+    /// updates cross domains only when a source is lost: with one of each, a simulated day with a large
+    /// configuration caused 0.196 GB of traffic between domains instead of 0.102 GB in a fleet of 95.
     pub appointed: usize,
-    /// Instances for each reader up to which every node reads for itself: nothing stands between it and the publisher
-    /// then, and sharing would save little.
+    /// Instances per appointed node up to which every node polls directly. Below this, sharing would save little, and
+    /// direct polling does not depend on other nodes.
     pub direct_ratio: usize,
-    /// Nodes that one which does not read hears the news from at the same time. With two, the news still come in time when
-    /// one of them is lost or cut off from the publisher, before anybody has noticed.
+    /// Nodes that a node which does not poll follows at the same time. With two, updates still arrive in time when
+    /// one of them fails or loses the publisher and this has not been detected yet.
     pub sources: usize,
-    /// How long all sources must have been sound before a node stops reading for itself.
+    /// How long all sources must have been healthy before a node stops polling, once it has lost a source.
     pub settle: Duration,
-    /// How long a source that was lost is left alone.
+    /// How long a lost source is not tried again.
     pub avoid: Duration,
 }
 
@@ -36,168 +36,178 @@
     }
 }
 
-/// The fleet, as far as the reading of the publisher is concerned.
+/// Summary of the fleet for the decision who polls the publisher.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadersView {
-    /// Instances known.
+    /// Number of known instances.
     pub instances: usize,
-    /// Nodes that read where the news are shared.
+    /// Number of nodes appointed to poll in the whole fleet.
     pub readers: usize,
-    /// Whether this node is one of those that read.
+    /// Whether this node is appointed.
     pub appointed: bool,
-    /// Nodes that may be followed, best first.
+    /// Other appointed nodes, which can be followed; nodes of the own failure domain come first.
     pub candidates: Vec<IpAddr>,
 }
 
-/// What a node should do.
+/// How a node should receive updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadingPlan {
-    /// Whether it reads the publisher itself.
+pub struct ReadPlan {
+    /// Whether it polls the publisher itself.
     pub read: bool,
-    /// The nodes that it hears the news from.
+    /// The nodes whose updates it follows.
     pub follow: Vec<IpAddr>,
 }
 
-/// Decides who reads. One change wakes every waiting read, so with each node reading the number of reads grows with the
-/// square of the fleet: in a fleet of 85 nodes reads were the largest of all costs. A fleet of 95 asked 1,085 times in the
-/// ten seconds of its start while every node read up to 32 instances and waited for a second before it stopped.
+/// Decides whether this node polls the publisher and which nodes it follows.
+///
+/// One change completes every pending long poll, so if all nodes poll, the number of reads grows with the square of
+/// the fleet size: with 85 nodes, reads were the largest of all costs. A fleet of 95 sent 1,085 reads in the ten
+/// seconds of its start when every node polled in fleets of up to 32 instances and waited for a second before it
+/// stopped.
 #[derive(Clone, Debug)]
-pub struct Readers {
+pub struct ReadPlanner {
     cfg: ReadersConfig,
-    /// The nodes that are followed.
+    /// The followed nodes.
     sources: Map<IpAddr, SourceState>,
     avoided: Map<IpAddr, Instant>,
-    covered_since: Option<Instant>,
-    /// Whether a source was lost, or did not hear the publisher any more, since the start.
-    has_lost: bool,
+    healthy_since: Option<Instant>,
+    /// Whether any source has been lost, or has lost the publisher, since the start.
+    has_lost_source: bool,
 }
 
-/// What a source has told of itself.
+/// Health of a followed node, as reported by that node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SourceState {
-    /// Nothing yet.
-    Asked,
-    /// It hears the publisher.
-    Sound,
-    /// It does not hear the publisher.
-    Unsound,
+    /// No report yet.
+    Pending,
+    /// It receives updates from the publisher.
+    Healthy,
+    /// It can't reach the publisher.
+    Unhealthy,
 }
 
-impl Readers {
-    /// Follows nobody yet.
+impl ReadPlanner {
+    /// Creates a planner without sources.
     pub fn new(cfg: ReadersConfig) -> Self {
         Self {
             cfg,
             sources: Map::default(),
             avoided: Map::default(),
-            covered_since: None,
-            has_lost: false,
+            healthy_since: None,
+            has_lost_source: false,
         }
     }
 
-    /// A source has told whether it hears the publisher.
-    pub fn heard(&mut self, from: IpAddr, sound: bool) {
+    /// Records a report of a source about whether it receives updates from the publisher.
+    pub fn source_reported(&mut self, from: IpAddr, healthy: bool) {
         let Some(known) = self.sources.get_mut(&from) else {
             return;
         };
-        let state = match sound {
-            true => SourceState::Sound,
-            false => SourceState::Unsound,
+        let state = match healthy {
+            true => SourceState::Healthy,
+            false => SourceState::Unhealthy,
         };
-        self.has_lost |= *known == SourceState::Sound && !sound;
+        self.has_lost_source |= *known == SourceState::Healthy && !healthy;
         *known = state;
     }
 
-    /// A source does not answer.
-    pub fn lost(&mut self, from: IpAddr, now: Instant) {
+    /// Records that a source does not answer; it is avoided for a while.
+    pub fn source_lost(&mut self, from: IpAddr, now: Instant) {
         self.sources.remove(&from);
-        self.has_lost = true;
+        self.has_lost_source = true;
         self.avoided.insert(from, now + self.cfg.avoid);
     }
 
-    /// Whether any source hears the publisher.
-    pub fn any_sound(&self) -> bool {
-        self.sound() > 0
+    /// Whether any source receives updates from the publisher.
+    pub fn any_healthy(&self) -> bool {
+        self.healthy_count() > 0
     }
 
-    /// Whether any source tells whether it hears the publisher, so that it will tell of the publisher's return.
-    pub fn is_told(&self) -> bool {
+    /// Whether any source has reported its health, so that it will also report the recovery of the publisher.
+    pub fn has_report(&self) -> bool {
         let mut states = self.sources.values();
-        states.any(|state| *state != SourceState::Asked)
+        states.any(|state| *state != SourceState::Pending)
     }
 
-    /// What to do now; `followers` are the nodes that hear the news from this one.
-    pub fn plan(&mut self, view: &ReadersView, followers: usize, now: Instant) -> ReadingPlan {
+    /// Returns the current plan; `followers` is the number of nodes that follow this one.
+    pub fn plan(&mut self, view: &ReadersView, followers: usize, now: Instant) -> ReadPlan {
         if view.appointed || view.instances <= view.readers * self.cfg.direct_ratio {
             self.sources.clear();
-            self.covered_since = None;
-            return ReadingPlan {
+            self.healthy_since = None;
+            return ReadPlan {
                 read: true,
                 follow: Vec::new(),
             };
         }
         self.choose_sources(&view.candidates, now);
-        match self.sound() >= self.cfg.sources {
-            true => drop(self.covered_since.get_or_insert(now)),
-            false => self.covered_since = None,
+        match self.healthy_count() >= self.cfg.sources {
+            true => drop(self.healthy_since.get_or_insert(now)),
+            false => self.healthy_since = None,
         }
-        // Where no source was ever lost there is nothing to wait for: a fleet that starts writes its entries within
-        // seconds, and each of them answers the read of every node that still reads.
-        let settle = match self.has_lost {
+        // No delay unless a source has been lost: while a fleet starts, all entries are written within seconds, and
+        // each write completes the pending read of every node that still polls.
+        let settle = match self.has_lost_source {
             true => self.cfg.settle,
             false => Duration::ZERO,
         };
         let settled = self
-            .covered_since
+            .healthy_since
             .is_some_and(|since| now.saturating_duration_since(since) >= settle);
-        ReadingPlan {
-            // Whoever follows this node counts on it, whether it was appointed or not.
+        ReadPlan {
+            // Followers depend on this node, even if it is no longer appointed.
             read: followers > 0 || !settled,
             follow: self.sources.keys().copied().collect(),
         }
     }
 
-    fn sound(&self) -> usize {
+    fn healthy_count(&self) -> usize {
         let states = self.sources.values();
-        states.filter(|state| **state == SourceState::Sound).count()
+        states
+            .filter(|state| **state == SourceState::Healthy)
+            .count()
     }
 
-    /// Leaves sources that do not hear the publisher while there are others to try.
+    /// Drops unhealthy sources while there are other candidates to try.
     ///
-    /// Kept, they would have everyone who follows them read for itself for as long as they are cut off. On a day on which the
-    /// publisher turned away a third of 95 nodes the fleet asked it 2,876 times, and 2,124 times with this and with longer
-    /// pauses of nodes that follow others (one play each).
-    fn leave_unsound(&mut self, candidates: &[IpAddr], now: Instant) {
+    /// If they were kept, each of their followers would poll for as long as the source can't reach the publisher.
+    /// In a simulated day on which the publisher rejected a third of 95 nodes, the fleet sent 2,876 reads without
+    /// this rule, and 2,124 with it and with longer pauses between reads of nodes that follow others (one run
+    /// each).
+    fn drop_unhealthy(&mut self, candidates: &[IpAddr], now: Instant) {
         let is_new = |candidate: &&IpAddr| {
             !self.sources.contains_key(*candidate) && !self.avoided.contains_key(*candidate)
         };
         let mut others = candidates.iter().filter(is_new).count();
         let avoid = now + self.cfg.avoid;
         self.sources.retain(|source, state| {
-            let leaves = *state == SourceState::Unsound && others > 0;
-            if leaves {
+            let dropped = *state == SourceState::Unhealthy && others > 0;
+            if dropped {
                 others -= 1;
                 self.avoided.insert(*source, avoid);
             }
-            !leaves
+            !dropped
         });
     }
 
-    /// Keeps the sources that hear the publisher or are still candidates, and adds the best others that are not avoided.
+    /// Keeps the sources that are healthy or still candidates, and fills up with the best candidates that are not
+    /// avoided.
     ///
-    /// A sound source is kept when others are appointed in its place: it goes on reading for as long as it is followed.
-    /// Left at once, every node of a domain would read for itself whenever its oldest instance changes.
+    /// A healthy source is kept even when other nodes are appointed in its place; it polls for as long as it is
+    /// followed. Otherwise every node of a domain would start polling whenever the oldest instance of the domain
+    /// changes.
     fn choose_sources(&mut self, candidates: &[IpAddr], now: Instant) {
         self.avoided.retain(|_, until| *until > now);
         self.sources
-            .retain(|source, state| *state == SourceState::Sound || candidates.contains(source));
-        self.leave_unsound(candidates, now);
+            .retain(|source, state| *state == SourceState::Healthy || candidates.contains(source));
+        self.drop_unhealthy(candidates, now);
         for candidate in candidates {
             if self.sources.len() >= self.cfg.sources {
                 return;
             }
             if !self.avoided.contains_key(candidate) {
-                self.sources.entry(*candidate).or_insert(SourceState::Asked);
+                self.sources
+                    .entry(*candidate)
+                    .or_insert(SourceState::Pending);
             }
         }
     }
--- a/crates/core/tests/mesh_readers.rs
+++ b/crates/core/tests/mesh_readers.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::mesh::{
-    Fleet, FleetConfig, Instance, Readers, ReadersConfig, ReadersView, ReadingPlan,
+    Fleet, FleetConfig, Instance, ReadPlan, ReadPlanner, ReadersConfig, ReadersView,
 };
 
 fn ip(n: u8) -> IpAddr {
@@ -20,25 +20,25 @@
     }
 }
 
-fn sorted(mut plan: ReadingPlan) -> ReadingPlan {
+fn sorted(mut plan: ReadPlan) -> ReadPlan {
     plan.follow.sort();
     plan
 }
 
 struct Bench {
-    readers: Readers,
+    readers: ReadPlanner,
     now: Instant,
 }
 
 impl Bench {
     fn new() -> Self {
         Self {
-            readers: Readers::new(ReadersConfig::default()),
+            readers: ReadPlanner::new(ReadersConfig::default()),
             now: Instant::now(),
         }
     }
 
-    fn plan(&mut self, view: &ReadersView, followers: usize) -> ReadingPlan {
+    fn plan(&mut self, view: &ReadersView, followers: usize) -> ReadPlan {
         sorted(self.readers.plan(view, followers, self.now))
     }
 
@@ -50,7 +50,7 @@
     fn settle(&mut self, view: &ReadersView) {
         let plan = self.plan(view, 0);
         for source in plan.follow {
-            self.readers.heard(source, true);
+            self.readers.source_reported(source, true);
         }
         self.plan(view, 0);
         self.pass(1500);
@@ -126,17 +126,17 @@
     assert!(bench.plan(&all, 0).read, "nothing was heard yet");
     bench.settle(&all);
     assert!(!bench.plan(&all, 0).read);
-    bench.readers.lost(ip(1), bench.now);
+    bench.readers.source_lost(ip(1), bench.now);
     let plan = bench.plan(&all, 0);
     assert!(plan.read, "one source is left");
     assert_eq!(plan.follow, [ip(2), ip(3)], "the next one takes its place");
-    bench.readers.heard(ip(3), true);
+    bench.readers.source_reported(ip(3), true);
     bench.plan(&all, 0);
     bench.pass(1500);
     assert!(!bench.plan(&all, 0).read);
-    bench.readers.heard(ip(2), false);
+    bench.readers.source_reported(ip(2), false);
     assert!(bench.plan(&all, 0).read, "a source does not hear the store");
-    assert!(bench.readers.any_sound());
+    assert!(bench.readers.any_healthy());
 }
 
 #[test]
@@ -144,7 +144,7 @@
     let all = view(&[1, 2]);
     let mut bench = Bench::new();
     bench.settle(&all);
-    bench.readers.lost(ip(1), bench.now);
+    bench.readers.source_lost(ip(1), bench.now);
     assert_eq!(bench.plan(&all, 0).follow, [ip(2)]);
     bench.pass(3500);
     assert_eq!(bench.plan(&all, 0).follow, [ip(1), ip(2)]);
@@ -159,7 +159,7 @@
     let plan = bench.plan(&later, 0);
     assert_eq!(plan.follow, [ip(1), ip(2)]);
     assert!(!plan.read);
-    bench.readers.lost(ip(1), bench.now);
+    bench.readers.source_lost(ip(1), bench.now);
     assert_eq!(bench.plan(&later, 0).follow, [ip(2), ip(3)]);
 }
 
@@ -222,14 +222,14 @@
     let all = view(&[1, 2]);
     let mut bench = Bench::new();
     assert!(bench.plan(&all, 0).read, "nothing was heard yet");
-    bench.readers.heard(ip(1), true);
+    bench.readers.source_reported(ip(1), true);
     assert!(bench.plan(&all, 0).read, "one source is not enough");
-    bench.readers.heard(ip(2), true);
+    bench.readers.source_reported(ip(2), true);
     assert!(!bench.plan(&all, 0).read);
     // After a loss it waits, so that a source that comes and goes does not make it come and go.
-    bench.readers.heard(ip(2), false);
+    bench.readers.source_reported(ip(2), false);
     assert!(bench.plan(&all, 0).read);
-    bench.readers.heard(ip(2), true);
+    bench.readers.source_reported(ip(2), true);
     assert!(bench.plan(&all, 0).read, "not yet settled");
     bench.pass(1500);
     assert!(!bench.plan(&all, 0).read);
@@ -282,7 +282,7 @@
         // The youngest is not among the two oldest of its domain.
         let own = ip(case.domains * case.of_each);
         let view = fleet.readers_view(own, &cfg);
-        let mut readers = Readers::new(cfg);
+        let mut readers = ReadPlanner::new(cfg);
         let plan = readers.plan(&view, 0, now);
         assert_eq!(plan.follow.is_empty(), case.direct, "{}", case.name);
     }
@@ -294,17 +294,17 @@
     let all = view(&[1, 2, 3]);
     let mut bench = Bench::new();
     bench.settle(&all);
-    bench.readers.heard(ip(1), false);
+    bench.readers.source_reported(ip(1), false);
     let plan = bench.plan(&all, 0);
     assert_eq!(plan.follow, [ip(2), ip(3)]);
-    bench.readers.heard(ip(3), true);
+    bench.readers.source_reported(ip(3), true);
     bench.plan(&all, 0);
     bench.pass(1500);
     assert!(!bench.plan(&all, 0).read, "covered again");
-    assert!(bench.readers.is_told());
+    assert!(bench.readers.has_report());
     // With nobody else to try it is kept: it will tell when it hears the store again.
     let few = view(&[2, 3]);
     bench.pass(3500);
-    bench.readers.heard(ip(3), false);
+    bench.readers.source_reported(ip(3), false);
     assert_eq!(bench.plan(&few, 0).follow, [ip(2), ip(3)]);
 }
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coltsfootport_core::collections::Map;
-use coltsfootport_core::mesh::{Position, Publisher, Readers, ReadingPlan, UpdateBatch};
+use coltsfootport_core::mesh::{Position, Publisher, ReadPlan, ReadPlanner, UpdateBatch};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::time::interval;
@@ -51,7 +51,7 @@
 
 struct Running {
     news: News,
-    readers: Readers,
+    readers: ReadPlanner,
     /// The position up to which everything is known.
     position: Option<Position>,
     reader: Option<Listening>,
@@ -68,7 +68,7 @@
     pub async fn run(self) {
         let (tx, mut rx) = mpsc::unbounded_channel();
         let mut running = Running {
-            readers: Readers::new(self.cfg.readers),
+            readers: ReadPlanner::new(self.cfg.readers),
             news: self,
             position: None,
             reader: None,
@@ -110,7 +110,7 @@
             ) => {
                 // It hears a publisher that has since come back from a copy.
                 let sound = sound && self.position.is_none_or(|known| era >= known.era);
-                self.readers.heard(node, sound);
+                self.readers.source_reported(node, sound);
                 match sound {
                     true if answered => self
                         .news
@@ -202,7 +202,7 @@
     }
 
     fn tell_if_lost(&self) {
-        if !self.sound && !self.readers.any_sound() {
+        if !self.sound && !self.readers.any_healthy() {
             self.news.controller.tell(ControllerEvent::PublisherFailed);
         }
     }
@@ -210,7 +210,7 @@
     fn lose(&mut self, node: IpAddr, reason: &str) {
         info!(self.news.log, "news source lost"; "peer" => node.to_string(), "reason" => reason);
         self.following.remove(&node);
-        self.readers.lost(node, self.news.clock.now());
+        self.readers.source_lost(node, self.news.clock.now());
     }
 
     /// Looks at who should read, and begins or ends to do so.
@@ -230,7 +230,7 @@
 
     fn read(&mut self, wanted: bool) {
         self.longest_pause
-            .send_replace(match self.readers.is_told() {
+            .send_replace(match self.readers.has_report() {
                 true => FOLLOWING_PAUSE,
                 false => ALONE_PAUSE,
             });
@@ -259,7 +259,7 @@
         }
     }
 
-    fn follow(&mut self, plan: &ReadingPlan) {
+    fn follow(&mut self, plan: &ReadPlan) {
         self.following.retain(|node, _| plan.follow.contains(node));
         let Some(position) = self.position else {
             return;
