--- a/crates/core/src/mesh/config.rs
+++ b/crates/core/src/mesh/config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration of a mesh, as published in one version.
+//! The complete configuration of a mesh, published as one version.
 
 use std::collections::BTreeSet;
 
@@ -9,20 +9,21 @@
 use crate::mesh::{CallerLimits, Route, RouteTable};
 use crate::workspace::{Directory, Workspace};
 
-/// Version of a configuration; versions compare as their numbers do.
+/// Version of a configuration; a higher number is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
-/// Place of a route within its configuration.
+/// Index of a route within its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouteKey(u32);
 
-/// A configuration that was checked as a whole.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct MeshConfig {
     version: ConfigVersion,
     routes: Vec<Route>,
     table: RouteTable,
+    /// Distinct request ranks, least urgent first.
     ranks: Vec<u8>,
     services: Set<ServiceName>,
     limits: CallerLimits,
@@ -31,7 +32,7 @@
     public_rank: u8,
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MeshConfigError {
     /// Two routes have the same name.
@@ -40,20 +41,20 @@
     /// A prefix does not begin and end with a slash.
     #[error("route `{0}`: the prefix must begin and end with a slash")]
     Prefix(SmolStr),
-    /// A route has no part with a positive weight, or a weight that is no number.
+    /// A route has no part with a positive weight, or a weight is negative or NaN.
     #[error("route `{0}`: no service with a positive weight")]
     Weights(SmolStr),
-    /// A route may be tried nowhere.
+    /// A route allows no attempts.
     #[error("route `{0}`: at least one attempt must be allowed")]
     Attempts(SmolStr),
 }
 
 impl MeshConfig {
-    /// Checks the routes and builds their table.
+    /// Validates the routes and builds the routing table.
     ///
     /// # Errors
     ///
-    /// The first fault found; nothing of a faulty configuration is used.
+    /// Returns the first error found; an invalid configuration is rejected as a whole.
     pub fn new(
         version: ConfigVersion,
         routes: Vec<Route>,
@@ -61,7 +62,7 @@
     ) -> Result<Self, MeshConfigError> {
         let mut names = Set::default();
         for route in &routes {
-            check(route)?;
+            validate_route(route)?;
             if !names.insert(route.name.clone()) {
                 return Err(MeshConfigError::DuplicateName(route.name.clone()));
             }
@@ -80,24 +81,24 @@
             directory: None,
             public_rank: 0,
         };
-        Ok(config.ranked())
+        Ok(config.with_computed_ranks())
     }
 
-    /// Adds the workspaces whose requests may enter. Without a directory no keys are asked for.
+    /// Sets the workspaces that may send requests. Without a directory, no keys are required.
     #[must_use]
     pub fn with_directory(mut self, directory: Directory) -> Self {
         let ranks = directory.workspaces().iter().map(|known| known.rank);
         self.public_rank = ranks.max().unwrap_or_default();
         self.directory = Some(directory);
-        self.ranked()
+        self.with_computed_ranks()
     }
 
-    /// The workspaces; `None` where no keys are asked for.
+    /// The workspaces; `None` if no keys are required.
     pub fn directory(&self) -> Option<&Directory> {
         self.directory.as_ref()
     }
 
-    /// Adds services that it names beside those of its routes.
+    /// Adds services that the configuration names in addition to those of its routes.
     #[must_use]
     pub fn with_services<I>(mut self, services: I) -> Self
     where
@@ -107,12 +108,12 @@
         self
     }
 
-    /// Whether it names this service.
-    pub fn names(&self, service: &ServiceName) -> bool {
+    /// Whether the configuration names this service.
+    pub fn has_service(&self, service: &ServiceName) -> bool {
         self.services.contains(service)
     }
 
-    /// The version.
+    /// Version of this configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
@@ -122,39 +123,40 @@
         &self.routes
     }
 
-    /// The route of a request.
+    /// Finds the route for a host and path.
     pub fn find(&self, host: &str, path: &str) -> Option<(RouteKey, &Route)> {
         let key = self.table.find(host, path)?;
         Some((key, self.route(key)))
     }
 
-    /// A route of this configuration.
+    /// Returns the route with a key obtained from this configuration.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0 as usize]
     }
 
-    /// Urgency of a request, 0 for what is shed last: its workspace's rank goes before its route's. Requests without a
-    /// workspace, on public routes, go with the least urgent one: anyone can send them.
+    /// Rank of a request; requests of rank 0 are shed last. The rank of the workspace takes precedence over that of
+    /// the route. Requests without a workspace, on public routes, get the rank of the least urgent workspace,
+    /// because anyone can send them.
     pub fn rank(&self, route: &Route, workspace: Option<&Workspace>) -> u8 {
         let outer = workspace.map_or(self.public_rank, |workspace| workspace.rank);
-        outer.min(RANKS - 1) * RANKS + route.rank.min(RANKS - 1)
+        outer.min(RANK_LEVELS - 1) * RANK_LEVELS + route.rank.min(RANK_LEVELS - 1)
     }
 
-    /// How many less urgent ranks this configuration has; 0 for the rank that is shed first.
+    /// Number of less urgent ranks in this configuration; 0 for the rank that is shed first.
     pub fn shed_order(&self, rank: u8) -> usize {
         self.ranks.iter().take_while(|other| **other > rank).count()
     }
 
-    /// The highest order that [`MeshConfig::shed_order`] gives.
+    /// The highest value that [`MeshConfig::shed_order`] returns for a rank of this configuration.
     pub fn last_shed_order(&self) -> usize {
         self.ranks.len().saturating_sub(1)
     }
 
-    /// Lists the ranks that requests can have.
-    fn ranked(mut self) -> Self {
+    /// Computes the ranks that requests can have.
+    fn with_computed_ranks(mut self) -> Self {
         let workspaces = self.directory.iter().flat_map(Directory::workspaces);
         let mut owners: Vec<Option<&Workspace>> = workspaces.map(Some).collect();
-        // Requests on public routes belong to no workspace.
+        // Requests on public routes have no workspace.
         if owners.is_empty() || self.routes.iter().any(|route| route.public) {
             owners.push(None);
         }
@@ -166,16 +168,16 @@
         self
     }
 
-    /// Bounds for callers.
+    /// Limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 }
 
-/// Ranks of workspaces, and of routes, that are told apart; both together fill a byte.
-const RANKS: u8 = 16;
+/// Number of distinct ranks of workspaces, and of routes; a pair of both fits into a byte.
+const RANK_LEVELS: u8 = 16;
 
-fn check(route: &Route) -> Result<(), MeshConfigError> {
+fn validate_route(route: &Route) -> Result<(), MeshConfigError> {
     let name = || route.name.clone();
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
         return Err(MeshConfigError::Prefix(name()));
--- a/crates/node/src/mesh/controller/entries.rs
+++ b/crates/node/src/mesh/controller/entries.rs
@@ -34,7 +34,7 @@
         let kept = std::mem::take(&mut self.unnamed);
         let (named, unnamed): (Map<_, _>, Map<_, _>) = kept
             .into_iter()
-            .partition(|(_, instance)| config.names(&instance.service));
+            .partition(|(_, instance)| config.has_service(&instance.service));
         self.unnamed = unnamed;
         self.bad.retain(|id, _| !named.contains_key(id));
         named.into_values().collect()
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -133,7 +133,7 @@
     /// instance from it.
     fn named(&mut self, instance: Instance) -> Option<Instance> {
         let config = self.config.as_ref();
-        if config.is_none_or(|config| config.names(&instance.service)) {
+        if config.is_none_or(|config| config.has_service(&instance.service)) {
             self.entries.forget(&instance.id);
             return Some(instance);
         }
