--- a/crates/core/src/mesh/fleet_config.rs
+++ b/crates/core/src/mesh/fleet_config.rs
@@ -1,24 +1,27 @@
-//! Settings of the choice among instances.
+//! Settings for load balancing among instances.
 
 use std::time::Duration;
 
 use crate::id::DomainName;
 
-/// How a node chooses among instances.
+/// Settings of a node's load balancing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
     /// The failure domain of this node.
     pub domain: DomainName,
-    /// How long an entry that vanished while the publisher was in trouble is given to come back, from its return on.
+    /// How long an instance whose entry disappeared during a publisher outage is kept after the publisher's
+    /// recovery, so that it can write its entry again. Also applies after a report that the host of the instance
+    /// can't reach the publisher.
     pub lapse_hold: Duration,
-    /// How long an entry that the publisher has from an older copy of itself, and that is known to be outdated, is given to be
-    /// written again or removed. Then it is believed.
+    /// How long an outdated entry, from an older copy that the publisher was restored from, is ignored so that it
+    /// can be rewritten or removed. After that it is accepted.
     pub copy_hold: Duration,
-    /// What another failure domain adds to a score of about 1: its latency, and the price of bytes between domains.
+    /// Added to the score, which is about 1, of an instance in another failure domain; accounts for the latency and the
+    /// cost of traffic between domains.
     pub far_penalty: f64,
-    /// Random part of a score, so that nodes with the same view do not all choose the same instance.
+    /// Relative random part of a score; prevents nodes with the same view from all selecting the same instance.
     pub jitter: f64,
-    /// What a cold instance's score is multiplied by.
+    /// Factor on the score of an instance that is warming up.
     pub cold_factor: f64,
 }
 
