--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -40,7 +40,7 @@
 struct Member {
     instance: Instance,
     member_state: MemberState,
-    cold_until: Instant,
+    warm_up_until: Instant,
     stats: InstanceStats,
 }
 
@@ -94,7 +94,7 @@
             true => MemberState::Draining,
             false => MemberState::Ready,
         };
-        let cold_until = now + instance.cold;
+        let warm_up_until = now + instance.warm_up;
         if self.is_superseded(&instance) {
             return PutEffect::Same;
         }
@@ -105,7 +105,7 @@
             if let Some(id) = &ended {
                 self.restored.ended(id.clone(), now);
             }
-            self.insert(instance, member_state, cold_until);
+            self.insert(instance, member_state, warm_up_until);
             return ended.map_or(PutEffect::Changed, PutEffect::Superseded);
         };
         let known = &self.members[key].instance;
@@ -115,12 +115,12 @@
         if is_different_start(&instance, known) {
             // Load, failure rate and warm-up of the previous process do not apply to the new one.
             self.remove(key);
-            self.insert(instance, member_state, cold_until);
+            self.insert(instance, member_state, warm_up_until);
             return PutEffect::Restarted;
         }
         if known.service != instance.service || known.address != instance.address {
             self.remove(key);
-            self.insert(instance, member_state, cold_until);
+            self.insert(instance, member_state, warm_up_until);
             return PutEffect::Changed;
         }
         let member = &mut self.members[key];
@@ -365,7 +365,7 @@
         if member.instance.domain != self.cfg.domain {
             score += self.cfg.far_penalty;
         }
-        if now < member.cold_until {
+        if now < member.warm_up_until {
             score *= self.cfg.cold_factor;
         }
         score
@@ -496,14 +496,14 @@
         self.members.is_empty()
     }
 
-    fn insert(&mut self, instance: Instance, member_state: MemberState, cold_until: Instant) {
+    fn insert(&mut self, instance: Instance, member_state: MemberState, warm_up_until: Instant) {
         let id = instance.id.clone();
         let service = instance.service.clone();
         let address = instance.address;
         let key = self.members.insert(Member {
             instance,
             member_state,
-            cold_until,
+            warm_up_until,
             stats: InstanceStats::default(),
         });
         self.by_id.insert(id, key);
@@ -527,10 +527,10 @@
 /// Whether an entry belongs to an earlier start of the target than the known one; reads from the publisher can be
 /// stale.
 fn is_earlier_start(instance: &Instance, known: &Instance) -> bool {
-    matches!((instance.born, known.born), (Some(new), Some(old)) if new < old)
+    matches!((instance.started_at_ms, known.started_at_ms), (Some(new), Some(old)) if new < old)
 }
 
 /// Whether an entry belongs to another start of the target than the known one.
 fn is_different_start(instance: &Instance, known: &Instance) -> bool {
-    instance.born.is_some() && instance.born != known.born
+    instance.started_at_ms.is_some() && instance.started_at_ms != known.started_at_ms
 }
--- a/crates/core/src/mesh/instance.rs
+++ b/crates/core/src/mesh/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of the published list.
+//! An instance in the published list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,26 +8,26 @@
 use crate::id::{DomainName, ServiceName};
 use crate::mesh::Position;
 
-/// One start of a target, as its entry in the published list tells.
+/// One start of a target, as described by its entry in the published list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Id. A target may start again under the id that it had.
+    /// Id of the instance. A target may reuse its id after a restart.
     pub id: SmolStr,
-    /// Its start in milliseconds of the Unix epoch by its own clock, where it tells; with the id it names one start of the
-    /// target, which knows nothing of what an earlier one was sent.
-    pub born: Option<u64>,
-    /// The service that it runs.
+    /// Start time in milliseconds of the Unix epoch by the target's own clock, if published. Together with the id it
+    /// identifies one start of the target; a restarted target has no knowledge of requests sent to an earlier start.
+    pub started_at_ms: Option<u64>,
+    /// The service that the instance runs.
     pub service: ServiceName,
-    /// Where the node beside it reaches it; other nodes use only its IP number.
+    /// Address at which the node next to the target reaches it; other nodes use only the IP address.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Requests that it works on at a time.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it has said that it is about to end.
+    /// Whether the instance has announced that it is about to end.
     pub leaving: bool,
-    /// When its entry was first written; tells which of two instances at an address is newer.
+    /// When the entry was first written; determines which of two instances at the same address is newer.
     pub created: Position,
-    /// How long it stays slow after its start, from when the entry was written.
-    pub cold: Duration,
+    /// How long the instance remains slow after its start, measured from the time at which the entry was written.
+    pub warm_up: Duration,
 }
--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -19,14 +19,14 @@
     let host = id.bytes().map(u32::from).sum::<u32>() % 250;
     Instance {
         id: id.into(),
-        born: None,
+        started_at_ms: None,
         service: "svc".into(),
         address: SocketAddr::from(([10, 0, 0, host as u8], 8000)),
         domain: "a".into(),
         slots: 10,
         leaving: false,
         created: 1.into(),
-        cold: Duration::ZERO,
+        warm_up: Duration::ZERO,
     }
 }
 
@@ -462,7 +462,7 @@
 #[test]
 fn a_new_start_under_an_old_id_is_a_new_instance() {
     let born = |at: u64| Instance {
-        born: Some(at),
+        started_at_ms: Some(at),
         ..instance("i-a")
     };
     let mut bench = Bench::new(&["i-b"]);
--- a/crates/core/tests/mesh_readers.rs
+++ b/crates/core/tests/mesh_readers.rs
@@ -166,14 +166,14 @@
 fn instance(n: u8, domain: &str, created: u64) -> Instance {
     Instance {
         id: format!("i-{n}").into(),
-        born: None,
+        started_at_ms: None,
         service: "svc".into(),
         address: SocketAddr::from(([10, 0, 0, n], 8000)),
         domain: domain.into(),
         slots: 10,
         leaving: false,
         created: created.into(),
-        cold: Duration::ZERO,
+        warm_up: Duration::ZERO,
     }
 }
 
--- a/crates/core/tests/mesh_restored.rs
+++ b/crates/core/tests/mesh_restored.rs
@@ -16,14 +16,14 @@
 fn instance(n: u8, leaving: bool, created: Position) -> Instance {
     Instance {
         id: format!("i-{n}").into(),
-        born: None,
+        started_at_ms: None,
         service: "svc".into(),
         address: SocketAddr::from(([10, 0, 0, n + 1], 8080)),
         domain: "a".into(),
         slots: 4,
         leaving,
         created,
-        cold: Duration::ZERO,
+        warm_up: Duration::ZERO,
     }
 }
 
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -136,14 +136,14 @@
         }
         let instance = |host: usize| Instance {
             id: format!("i-{host}").into(),
-            born: None,
+            started_at_ms: None,
             service: format!("s{}", hosts[host]).as_str().into(),
             address: address(host),
             domain: format!("d{}", host % 3).as_str().into(),
             slots: deployment.services[hosts[host]].slots,
             leaving: false,
             created: 1.into(),
-            cold: Duration::ZERO,
+            warm_up: Duration::ZERO,
         };
         let node = |host: usize| {
             let mut fleet = Fleet::new(FleetConfig {
