--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -9,7 +9,7 @@
 use slotmap::{SlotMap, new_key_type};
 use smol_str::SmolStr;
 
-use super::lapsed::Lapsed;
+use super::lapsed::LapsedInstances;
 use super::publisher_health::PublisherHealth;
 use super::restored::Restored;
 use crate::collections::{FastHasher, Map, Set};
@@ -65,7 +65,7 @@
     by_address: Map<SocketAddr, InstanceKey>,
     by_service: Map<ServiceName, Vec<InstanceKey>>,
     publisher: PublisherHealth,
-    lapsed: Lapsed,
+    lapsed: LapsedInstances,
     restored: Restored,
 }
 
@@ -79,7 +79,7 @@
             by_address: Map::default(),
             by_service: Map::default(),
             publisher: PublisherHealth::Sound,
-            lapsed: Lapsed::default(),
+            lapsed: LapsedInstances::default(),
             restored: Restored::default(),
         }
     }
