--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -78,7 +78,7 @@
             by_id: Map::default(),
             by_address: Map::default(),
             by_service: Map::default(),
-            publisher: PublisherHealth::Sound,
+            publisher: PublisherHealth::Healthy,
             lapsed: LapsedInstances::default(),
             restored: Restored::default(),
         }
@@ -150,7 +150,7 @@
         let member = &mut self.members[key];
         let held_until =
             self.publisher
-                .absence_counts(member.member_state, self.cfg.lapse_hold, now);
+                .removal_deadline(member.member_state, self.cfg.lapse_hold, now);
         let was_active = member.member_state.takes_work();
         let partitioned = was_active && member.stats.is_partitioned(now);
         let held_until = held_until.or(partitioned.then_some(now + self.cfg.lapse_hold));
@@ -262,19 +262,19 @@
 
     /// Records that the publisher fails to answer.
     pub fn publisher_failed(&mut self) {
-        self.publisher = PublisherHealth::Troubled;
+        self.publisher = PublisherHealth::Unhealthy;
     }
 
     /// Records that the publisher answers.
     pub fn publisher_recovered(&mut self, now: Instant) {
-        if self.publisher == PublisherHealth::Troubled {
+        if self.publisher == PublisherHealth::Unhealthy {
             self.restart_missing_timers(now);
         }
     }
 
     /// Restarts the hold time of every missing entry, so that instances can write their entries again.
     fn restart_missing_timers(&mut self, now: Instant) {
-        self.publisher = PublisherHealth::BackSince(now);
+        self.publisher = PublisherHealth::RecoveredAt(now);
         let until = now + self.cfg.lapse_hold;
         for member in self.members.values_mut() {
             if matches!(member.member_state, MemberState::Missing { .. }) {
--- a/crates/core/src/mesh/publisher_health.rs
+++ b/crates/core/src/mesh/publisher_health.rs
@@ -1,49 +1,50 @@
-//! What is known about the publisher's health, and so about entries that vanish.
+//! Health of the publisher, which determines how removed entries are interpreted.
 
 use std::time::{Duration, Instant};
 
 use crate::mesh::MemberState;
 
-/// Whether the publisher answers as it should.
+/// Whether the publisher answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PublisherHealth {
-    /// It does.
-    Sound,
-    /// It does not.
-    Troubled,
-    /// It does again, since this moment; entries that lapsed meanwhile have had no time to come back yet.
-    BackSince(Instant),
+    /// It answers.
+    Healthy,
+    /// It fails to answer.
+    Unhealthy,
+    /// It answers again since this time; instances whose leases expired in the meantime may not have had time to write
+    /// their entries again.
+    RecoveredAt(Instant),
 }
 
-/// Stands for the unknown end of the publisher's trouble; replaced when it returns.
-const UNTIL_RETURN: Duration = Duration::from_secs(3600);
+/// Hold time during an outage, whose end is unknown; replaced when the publisher recovers.
+const OUTAGE_HOLD: Duration = Duration::from_secs(3600);
 
 impl PublisherHealth {
-    /// When the absence of an instance's entry counts; `None` for at once.
+    /// When an instance whose entry was removed is to be removed as well; `None` for immediately.
     ///
-    /// Leases run out during an outage although their instances live. Taken as gone, a whole service would have no
-    /// instance left for seconds after each outage.
-    pub(super) fn absence_counts(
+    /// Leases expire during an outage although the instances are alive. Without a hold time, a whole service would
+    /// have no instances for several seconds after each outage.
+    pub(super) fn removal_deadline(
         self,
         member_state: MemberState,
         hold: Duration,
         now: Instant,
     ) -> Option<Instant> {
         let until = match (member_state, self) {
-            (MemberState::Draining, _) | (_, Self::Sound) => return None,
+            (MemberState::Draining, _) | (_, Self::Healthy) => return None,
             (MemberState::Missing { until }, _) => until,
-            (_, Self::Troubled) => now + UNTIL_RETURN,
-            (_, Self::BackSince(back)) => back + hold,
+            (_, Self::Unhealthy) => now + OUTAGE_HOLD,
+            (_, Self::RecoveredAt(recovered)) => recovered + hold,
         };
         (until > now).then_some(until)
     }
 
-    /// Lets time pass: an outage is over when all entries have had their time to come back.
+    /// Advances the timer: an outage is over once all instances have had time to write their entries again.
     pub(super) fn settle(&mut self, hold: Duration, now: Instant) {
-        if let Self::BackSince(back) = *self
-            && now >= back + hold
+        if let Self::RecoveredAt(recovered) = *self
+            && now >= recovered + hold
         {
-            *self = Self::Sound;
+            *self = Self::Healthy;
         }
     }
 }
