--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -11,7 +11,7 @@
 
 use super::lapsed::LapsedInstances;
 use super::publisher_health::PublisherHealth;
-use super::restored::Restored;
+use super::restored::RestoredEntries;
 use crate::collections::{FastHasher, Map, Set};
 use crate::id::{DomainName, ServiceName};
 use crate::mesh::{
@@ -66,7 +66,7 @@
     by_service: Map<ServiceName, Vec<InstanceKey>>,
     publisher: PublisherHealth,
     lapsed: LapsedInstances,
-    restored: Restored,
+    restored: RestoredEntries,
 }
 
 impl Fleet {
@@ -80,7 +80,7 @@
             by_service: Map::default(),
             publisher: PublisherHealth::Healthy,
             lapsed: LapsedInstances::default(),
-            restored: Restored::default(),
+            restored: RestoredEntries::default(),
         }
     }
 
@@ -98,12 +98,12 @@
         if self.is_superseded(&instance) {
             return PutEffect::Same;
         }
-        self.restored.written(&instance.id);
+        self.restored.entry_written(&instance.id);
         let Some(key) = self.by_id.get(&instance.id).copied() else {
             let older = self.by_address.get(&instance.address).copied();
             let ended = older.and_then(|key| self.remove(key));
             if let Some(id) = &ended {
-                self.restored.ended(id.clone(), now);
+                self.restored.instance_ended(id.clone(), now);
             }
             self.insert(instance, member_state, warm_up_until);
             return ended.map_or(PutEffect::Changed, PutEffect::Superseded);
@@ -142,9 +142,9 @@
 
     /// Handles the removal of a published entry.
     pub fn entry_removed(&mut self, id: &str, now: Instant) -> GoneEffect {
-        self.restored.removed(id);
+        self.restored.entry_removed(id);
         let Some(key) = self.by_id.get(id).copied() else {
-            self.restored.ended(SmolStr::new(id), now);
+            self.restored.instance_ended(SmolStr::new(id), now);
             return GoneEffect::Unknown;
         };
         let member = &mut self.members[key];
@@ -160,7 +160,7 @@
         }
         let instance = member.instance.clone();
         self.remove(key);
-        self.restored.ended(SmolStr::new(id), now);
+        self.restored.instance_ended(SmolStr::new(id), now);
         if was_active {
             self.lapsed.add(instance, now);
         }
@@ -204,9 +204,9 @@
     pub fn replace_all(&mut self, listed: Vec<Instance>, now: Instant) -> Vec<SmolStr> {
         let ids: Set<SmolStr> = listed.iter().map(|instance| instance.id.clone()).collect();
         let mut ended = Vec::new();
-        self.restored.keep_doubts_of(&ids);
+        self.restored.retain_listed(&ids);
         for instance in listed {
-            if self.restored.is_doubted(&instance) {
+            if self.restored.is_ignored(&instance) {
                 continue;
             }
             if let PutEffect::Superseded(older) = self.put(instance, now) {
@@ -242,7 +242,7 @@
         let ended = self.replace_all(listed, now);
         let until = now + self.cfg.copy_hold;
         for instance in outdated {
-            self.restored.doubt(instance, until);
+            self.restored.ignore_until(instance, until);
         }
         ended
     }
@@ -301,7 +301,7 @@
             .filter_map(|key| self.remove(key))
             .collect();
         for id in &ended {
-            self.restored.ended(id.clone(), now);
+            self.restored.instance_ended(id.clone(), now);
         }
         for instance in self.restored.tick(now) {
             self.put(instance, now);
--- a/crates/core/src/mesh/restored.rs
+++ b/crates/core/src/mesh/restored.rs
@@ -1,4 +1,4 @@
-//! What an older copy of the publisher's list says against what is known.
+//! Detects outdated entries in the list of a publisher that was restored from an older copy.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,24 @@
 use crate::collections::{Map, Set};
 use crate::mesh::Instance;
 
-/// How long the end of an instance is remembered; longer than a copy is old.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// How long the end of an instance is remembered; must exceed the age of a copy.
+const RETENTION: Duration = Duration::from_secs(30);
 
-/// Ends remembered at most; bounds memory where a fleet is replaced as a whole.
-const MOST_ENDS: usize = 2048;
+/// Maximum number of remembered ends; bounds memory when a whole fleet is replaced.
+const MAX_ENDED: usize = 2048;
 
-/// Ends of instances, and entries of a copy that are not believed yet.
+/// Ended instances, and entries of a copy that are not accepted yet.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Restored {
+pub(super) struct RestoredEntries {
     ended: Map<SmolStr, Instant>,
-    doubted: Map<SmolStr, (Instance, Instant)>,
+    /// Entries that contradict the known state, with the time from which they are accepted nevertheless.
+    outdated: Map<SmolStr, (Instance, Instant)>,
 }
 
-impl Restored {
-    /// An instance has ended.
-    pub(super) fn ended(&mut self, id: SmolStr, now: Instant) {
-        if self.ended.len() >= MOST_ENDS {
+impl RestoredEntries {
+    /// Records that an instance has ended.
+    pub(super) fn instance_ended(&mut self, id: SmolStr, now: Instant) {
+        if self.ended.len() >= MAX_ENDED {
             let oldest = self.ended.iter().min_by_key(|(_, at)| **at);
             let oldest = oldest.map(|(id, _)| id.clone());
             oldest.and_then(|id| self.ended.remove(&id));
@@ -31,44 +32,44 @@
         self.ended.insert(id, now);
     }
 
-    /// Whether an instance has ended of late.
+    /// Whether an instance has ended recently.
     pub(super) fn has_ended(&self, id: &str, now: Instant) -> bool {
         let ended = self.ended.get(id);
-        ended.is_some_and(|at| now.saturating_duration_since(*at) < REMEMBERED)
+        ended.is_some_and(|at| now.saturating_duration_since(*at) < RETENTION)
     }
 
-    /// Keeps an entry of a copy until it is written again, removed, or has stood long enough to be believed.
-    pub(super) fn doubt(&mut self, instance: Instance, until: Instant) {
-        self.doubted.insert(instance.id.clone(), (instance, until));
+    /// Ignores an entry of a copy until it is written again, removed, or `until` has passed.
+    pub(super) fn ignore_until(&mut self, instance: Instance, until: Instant) {
+        self.outdated.insert(instance.id.clone(), (instance, until));
     }
 
-    /// Whether this very entry of a copy is not believed yet.
-    pub(super) fn is_doubted(&self, instance: &Instance) -> bool {
-        let doubted = self.doubted.get(&instance.id);
-        doubted.is_some_and(|(known, _)| known == instance)
+    /// Whether exactly this entry of a copy is still ignored.
+    pub(super) fn is_ignored(&self, instance: &Instance) -> bool {
+        let outdated = self.outdated.get(&instance.id);
+        outdated.is_some_and(|(known, _)| known == instance)
     }
 
-    /// Forgets entries of a copy that are not listed any more.
-    pub(super) fn keep_doubts_of(&mut self, listed: &Set<SmolStr>) {
-        self.doubted.retain(|id, _| listed.contains(id));
+    /// Drops outdated entries that are no longer listed.
+    pub(super) fn retain_listed(&mut self, listed: &Set<SmolStr>) {
+        self.outdated.retain(|id, _| listed.contains(id));
     }
 
-    /// An entry was removed: what a copy said of it does not count any more.
-    pub(super) fn removed(&mut self, id: &str) {
-        self.doubted.remove(id);
+    /// Handles the removal of an entry: the outdated one no longer applies.
+    pub(super) fn entry_removed(&mut self, id: &str) {
+        self.outdated.remove(id);
     }
 
-    /// An entry was written: neither its end nor what a copy said of it counts any more.
-    pub(super) fn written(&mut self, id: &str) {
-        self.doubted.remove(id);
+    /// Handles the writing of an entry: neither the recorded end nor the outdated entry applies any longer.
+    pub(super) fn entry_written(&mut self, id: &str) {
+        self.outdated.remove(id);
         self.ended.remove(id);
     }
 
-    /// Lets time pass; returns entries that are to be believed now.
+    /// Advances the timers; returns the entries that are to be accepted now.
     pub(super) fn tick(&mut self, now: Instant) -> Vec<Instance> {
-        let is_fresh = |at: Instant| now.saturating_duration_since(at) < REMEMBERED;
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < RETENTION;
         self.ended.retain(|_, at| is_fresh(*at));
-        let over = self.doubted.extract_if(|_, (_, until)| *until <= now);
-        over.map(|(_, (instance, _))| instance).collect()
+        let expired = self.outdated.extract_if(|_, (_, until)| *until <= now);
+        expired.map(|(_, (instance, _))| instance).collect()
     }
 }
