--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -151,7 +151,7 @@
         let held_until =
             self.publisher
                 .removal_deadline(member.member_state, self.cfg.lapse_hold, now);
-        let was_active = member.member_state.takes_work();
+        let was_active = member.member_state.accepts_requests();
         let partitioned = was_active && member.stats.is_partitioned(now);
         let held_until = held_until.or(partitioned.then_some(now + self.cfg.lapse_hold));
         if let Some(until) = held_until {
@@ -325,7 +325,7 @@
         let mut best: Option<(bool, f64, InstanceKey)> = None;
         for key in self.by_service.get(service)? {
             let member = &self.members[*key];
-            if !member.member_state.takes_work() || tried.contains(key) {
+            if !member.member_state.accepts_requests() || tried.contains(key) {
                 continue;
             }
             let avoided = member.stats.is_avoided(now);
@@ -349,8 +349,9 @@
         now: Instant,
     ) -> Option<SelectedInstance> {
         let keys = self.by_service.get(service)?.iter();
-        let free = keys
-            .filter(|key| self.members[**key].member_state.takes_work() && !tried.contains(key));
+        let free = keys.filter(|key| {
+            self.members[**key].member_state.accepts_requests() && !tried.contains(key)
+        });
         let best = free.min_by_key(|key| {
             let member = &self.members[**key];
             let mut hasher = FastHasher::default();
@@ -452,7 +453,7 @@
         for member in self
             .members
             .values()
-            .filter(|m| m.member_state.takes_work())
+            .filter(|m| m.member_state.accepts_requests())
         {
             let Instance {
                 created,
--- a/crates/core/src/mesh/member_state.rs
+++ b/crates/core/src/mesh/member_state.rs
@@ -1,25 +1,26 @@
-//! What a node believes about an instance.
+//! State of a known instance.
 
 use std::time::Instant;
 
-/// Whether an instance may get new requests.
+/// Whether an instance may receive new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
     /// Listed and ready.
     Ready,
-    /// It has said that it is about to end; nothing new goes there.
+    /// The instance has announced that it is about to end; it receives no new requests.
     Draining,
-    /// Its entry vanished while the publisher was in trouble, or while its own host was cut off from the publisher. Entries
-    /// lapse then although their instances live, so it goes on being used until the entry has had time to come back.
+    /// Its entry disappeared while the publisher failed, or while its own host could not reach the publisher.
+    /// Leases expire then although the instances are alive, so the instance remains in use until the entry has had
+    /// time to be written again.
     Missing {
-        /// When its absence counts.
+        /// When the instance is removed unless its entry has been written again.
         until: Instant,
     },
 }
 
 impl MemberState {
-    /// Whether new requests may go there.
-    pub fn takes_work(self) -> bool {
+    /// Whether the instance may receive new requests.
+    pub fn accepts_requests(self) -> bool {
         !matches!(self, Self::Draining)
     }
 }
--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -263,7 +263,7 @@
         assert_eq!(bench.choose(&[]).is_some(), case.usable, "{}", case.name);
         let member_state = bench.fleet.member_state("i-a");
         assert_eq!(
-            member_state.is_some_and(MemberState::takes_work),
+            member_state.is_some_and(MemberState::accepts_requests),
             case.usable,
             "{}",
             case.name
@@ -453,7 +453,7 @@
             }
         }
         let member_state = bench.fleet.member_state("i-a");
-        let usable = member_state.is_some_and(MemberState::takes_work);
+        let usable = member_state.is_some_and(MemberState::accepts_requests);
         assert_eq!(usable, case.usable, "{}", case.name);
     }
 }
--- a/crates/core/tests/mesh_restored.rs
+++ b/crates/core/tests/mesh_restored.rs
@@ -177,7 +177,7 @@
                     && world.now < world.back + FleetConfig::default().lapse_hold;
                 let may_take_work = is_held || world.said.get(&n) == Some(&false);
                 prop_assert!(
-                    may_take_work || !state.takes_work(),
+                    may_take_work || !state.accepts_requests(),
                     "{} takes work, {:?}", instance.id, world.said.get(&n)
                 );
             }
