--- a/crates/core/src/mesh/publisher.rs
+++ b/crates/core/src/mesh/publisher.rs
@@ -1,39 +1,41 @@
-//! Where configuration and instances are published: what to ask, and how to read the answer.
+//! Protocol of the service that publishes configuration and instances.
 
 use std::fmt::Debug;
 use std::time::Duration;
 
 use crate::mesh::UpdateBatch;
 
-/// An HTTP service that publishes configuration and instances; it can only be read.
+/// An HTTP service that publishes configuration and instances; it is read-only for nodes.
 ///
-/// An implementation knows paths and formats. When to ask, and what to believe of the answers, is decided by the caller.
+/// An implementation knows the paths and formats. The caller decides when to send requests and which responses to
+/// trust.
 pub trait Publisher: Debug + Send + Sync {
-    /// Name of the header in which every answer tells its era; without it the publisher has had only one.
+    /// Name of the response header that carries the publisher's era. A publisher that does not send it is in its
+    /// first era.
     fn era_header(&self) -> &'static str;
 
-    /// Path and query of a page of everything published, from the key `after` on.
+    /// Path and query that request a page of all published entries, starting after the key `after`.
     fn list_path(&self, after: Option<&str>) -> String;
 
-    /// Reads a page.
+    /// Parses a page.
     ///
     /// # Errors
     ///
-    /// The page as a whole can't be read. Single entries that can't are told in the batch.
-    fn read_list(&self, body: &[u8]) -> Result<UpdateBatch, PublisherError>;
+    /// Fails if the page as a whole is malformed. Single malformed entries are reported in the batch.
+    fn parse_list(&self, body: &[u8]) -> Result<UpdateBatch, PublisherError>;
 
-    /// Path and query that wait up to `wait` for changes after a revision.
+    /// Path and query of a long poll that waits up to `wait` for changes after a revision.
     fn watch_path(&self, revision: u64, wait: Duration) -> String;
 
-    /// Reads what has changed.
+    /// Parses the changes returned by a long poll.
     ///
     /// # Errors
     ///
-    /// As for [`Publisher::read_list`].
-    fn read_watch(&self, body: &[u8]) -> Result<UpdateBatch, PublisherError>;
+    /// As for [`Publisher::parse_list`].
+    fn parse_watch(&self, body: &[u8]) -> Result<UpdateBatch, PublisherError>;
 }
 
-/// An answer of the publisher that can't be read.
+/// A response of the publisher that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the publisher's answer is malformed: {0}")]
 pub struct PublisherError(pub String);
--- a/crates/node/src/mesh/news/follow.rs
+++ b/crates/node/src/mesh/news/follow.rs
@@ -103,7 +103,7 @@
                 length,
             } => {
                 let body = read_body(conn, length).await?;
-                let read = self.publisher.read_watch(&body);
+                let read = self.publisher.parse_watch(&body);
                 let batch = read.map_err(|e| FollowError::Malformed(e.to_string()))?;
                 let changes = Changes { after, until, body };
                 Ok(What::Changes(changes, batch.in_era(until.era)))
--- a/crates/node/src/mesh/news/listing.rs
+++ b/crates/node/src/mesh/news/listing.rs
@@ -15,7 +15,7 @@
 {
     let mut all = UpdateBatch::default();
     for page in &listing.pages {
-        let mut page = publisher.read_list(page)?;
+        let mut page = publisher.parse_list(page)?;
         all.updates.append(&mut page.updates);
         all.faults.append(&mut page.faults);
     }
