--- a/crates/core/src/mesh/update.rs
+++ b/crates/core/src/mesh/update.rs
@@ -1,4 +1,4 @@
-//! News from the published list and configuration.
+//! Updates of the published instance list and configuration.
 
 use std::sync::Arc;
 
@@ -6,42 +6,43 @@
 
 use crate::mesh::{EntryFault, Era, Instance, MeshConfig, Position};
 
-/// One thing that has changed.
+/// A single published change.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// A configuration was published.
     Config(Arc<MeshConfig>),
-    /// An entry of an instance was written.
+    /// The entry of an instance was written.
     Instance(Instance),
-    /// An entry of an instance was removed.
-    InstanceGone(SmolStr),
-    /// An entry was written that names no instance.
-    BadEntry {
-        /// The id under which it stands.
+    /// The entry of an instance was removed.
+    InstanceRemoved(SmolStr),
+    /// An entry was written that does not describe a usable instance.
+    InvalidEntry {
+        /// Id of the entry.
         id: SmolStr,
-        /// Why.
+        /// Category of the error.
         fault: EntryFault,
-        /// The fault in detail, for the log.
+        /// Details of the error, for the log.
         detail: String,
     },
 }
 
-/// What one read of the publisher brought.
+/// The result of one read from the publisher.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateBatch {
-    /// Where the publisher stands after these updates.
+    /// Position of the publisher after these updates.
     pub position: Position,
-    /// The updates in their order.
+    /// The updates in the order in which they were published.
     pub updates: Vec<Update>,
-    /// Configurations that could not be decoded, with the reason; they change nothing.
+    /// Decoding errors of published configurations; such configurations have no effect.
     pub faults: Vec<String>,
-    /// Key after which the next page begins; `None` where this was the last one.
+    /// Key after which the next page begins; `None` for the last page.
     pub next_page: Option<String>,
 }
 
 impl UpdateBatch {
-    /// These updates as those of an era. Bodies name revisions only, and stand for what they meant when they were read.
-    pub fn in_era(mut self, era: Era) -> Self {
+    /// Assigns the updates to an era. Response bodies contain only revisions, which refer to the era at the time of the
+    /// read.
+    pub fn with_era(mut self, era: Era) -> Self {
         self.position.era = era;
         for update in &mut self.updates {
             if let Update::Instance(instance) = update {
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -120,11 +120,11 @@
                     self.apply_instance(instance);
                 }
             }
-            Update::InstanceGone(id) => {
+            Update::InstanceRemoved(id) => {
                 self.entries.forget(&id);
                 self.apply_gone(id);
             }
-            Update::BadEntry { id, fault, detail } => self.bad_entry(&id, fault, &detail),
+            Update::InvalidEntry { id, fault, detail } => self.bad_entry(&id, fault, &detail),
         }
     }
 
--- a/crates/node/src/mesh/news/follow.rs
+++ b/crates/node/src/mesh/news/follow.rs
@@ -106,7 +106,7 @@
                 let read = self.publisher.parse_watch(&body);
                 let batch = read.map_err(|e| FollowError::Malformed(e.to_string()))?;
                 let changes = Changes { after, until, body };
-                Ok(What::Changes(changes, batch.in_era(until.era)))
+                Ok(What::Changes(changes, batch.with_era(until.era)))
             }
         }
     }
--- a/crates/node/src/mesh/news/listing.rs
+++ b/crates/node/src/mesh/news/listing.rs
@@ -24,5 +24,5 @@
         position: listing.position,
         ..all
     }
-    .in_era(era))
+    .with_era(era))
 }
--- a/crates/node/src/mesh/news/store_reader.rs
+++ b/crates/node/src/mesh/news/store_reader.rs
@@ -173,7 +173,7 @@
             if *era != after.era {
                 return Err(FeedError::CameBack);
             }
-            let batch = self.publisher.parse_watch(&body)?.in_era(*era);
+            let batch = self.publisher.parse_watch(&body)?.with_era(*era);
             let until = batch.position.max(after);
             *position = Some(until);
             *failures = 0;
@@ -195,7 +195,7 @@
         for _ in 0..MOST_PAGES {
             let path = self.publisher.list_path(after.as_deref());
             let body = self.fetch(tx, path, Duration::ZERO, era).await?;
-            let page = self.publisher.parse_list(&body)?.in_era(*era);
+            let page = self.publisher.parse_list(&body)?.with_era(*era);
             let listing = listing.get_or_insert_with(|| Listing {
                 position: page.position,
                 pages: Vec::new(),
