--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -37,7 +37,7 @@
 mod update;
 mod work;
 
-pub use authentication::{Claim, Presented, authenticate};
+pub use authentication::{AuthenticationRequest, PresentedKey, authenticate};
 pub use balance::InstanceStats;
 pub use caller_limits::CallerLimits;
 pub use config::{ConfigVersion, MeshConfig, MeshConfigError, RouteKey};
--- a/crates/core/src/mesh/authentication.rs
+++ b/crates/core/src/mesh/authentication.rs
@@ -1,59 +1,59 @@
-//! Whose request it is that enters the mesh, and whether it may.
+//! Authentication of requests that enter the mesh.
 
 use crate::mesh::Refusal;
 use crate::workspace::{Directory, Workspace};
 
-/// What a request bears to show its workspace.
+/// The workspace key sent with a request.
 #[derive(Clone, Copy)]
-pub enum Presented<'k> {
-    /// No key.
+pub enum PresentedKey<'k> {
+    /// The request has no key.
     Nothing,
-    /// One key.
+    /// The request has one key.
     Key(&'k [u8]),
-    /// Several; which of them counts would be a matter of who reads them.
+    /// The request has several keys. They are rejected because which of them applies would depend on the reader.
     Several,
 }
 
-/// A request from outside as far as its workspace is concerned.
+/// The properties of an external request that determine its workspace.
 #[derive(Clone, Copy)]
-pub struct Claim<'k> {
-    /// What it bears.
-    pub presented: Presented<'k>,
-    /// Whether its route needs no key.
+pub struct AuthenticationRequest<'k> {
+    /// The key sent with the request.
+    pub presented: PresentedKey<'k>,
+    /// Whether the route requires no key.
     pub public: bool,
-    /// Whether its id says that it is a call of a run, although no such run is known here: the node has started anew since, or
-    /// the run has been given up. Targets have no keys to send.
-    pub of_unknown_run: bool,
-    /// Whether the directory is fresh, so that a key which it lacks does not exist.
-    pub fresh: bool,
+    /// Whether the request id marks it as a call made during a run that is unknown to this node, because the node has
+    /// restarted or the run was abandoned. Targets have no keys to send.
+    pub from_unknown_run: bool,
+    /// Whether the directory is up to date, so that a key missing from it does not exist.
+    pub directory_fresh: bool,
 }
 
-/// The workspace of a request; `None` where none is needed.
+/// Returns the workspace of a request, or `None` if none is required.
 ///
 /// # Errors
 ///
-/// It must not run. "Unknown" is only said of a key by a fresh directory: callers don't repeat a request after it, and a node
-/// that has missed a change would turn away a workspace that has just got its key.
+/// Returns the reason why the request is refused. [`Refusal::UnknownKey`] requires an up-to-date directory: callers
+/// don't retry after it, and a node that missed an update would reject a workspace whose key was just created.
 pub fn authenticate<'d>(
     directory: Option<&'d Directory>,
-    claim: &Claim<'_>,
+    request: &AuthenticationRequest<'_>,
 ) -> Result<Option<&'d Workspace>, Refusal> {
-    let Some(directory) = directory.filter(|_| !claim.public) else {
+    let Some(directory) = directory.filter(|_| !request.public) else {
         return Ok(None);
     };
-    let found = match claim.presented {
-        Presented::Key(key) => directory.find(key),
-        Presented::Nothing if claim.of_unknown_run => return Err(Refusal::UnknownRun),
-        Presented::Nothing | Presented::Several => None,
+    let found = match request.presented {
+        PresentedKey::Key(key) => directory.find(key),
+        PresentedKey::Nothing if request.from_unknown_run => return Err(Refusal::UnknownRun),
+        PresentedKey::Nothing | PresentedKey::Several => None,
     };
-    match (found, claim.fresh) {
+    match (found, request.directory_fresh) {
         (Some(workspace), _) => Ok(Some(workspace)),
         (None, true) => Err(Refusal::UnknownKey),
         (None, false) => Err(Refusal::UnverifiedKey),
     }
 }
 
-impl std::fmt::Debug for Presented<'_> {
+impl std::fmt::Debug for PresentedKey<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Nothing => "Nothing",
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfootport_core::mesh::{
-    CallerLimits, Claim, ConfigVersion, MeshConfig, Part, Presented, Refusal, Repeat, Route,
-    authenticate,
+    AuthenticationRequest, CallerLimits, ConfigVersion, MeshConfig, Part, PresentedKey, Refusal,
+    Repeat, Route, authenticate,
 };
 use coltsfootport_core::workspace::{
     Directory, DirectoryError, DirectorySecret, MAX_KEY_BYTES, Quota, Workspace, WorkspaceSpec,
@@ -111,7 +111,7 @@
     let key = b"secret-of-a-broker";
     let spec = spec("w", 0, &[key]);
     let mut texts = vec![format!("{spec:?}"), format!("{SECRET:?}")];
-    texts.push(format!("{:?}", Presented::Key(key)));
+    texts.push(format!("{:?}", PresentedKey::Key(key)));
     texts.push(format!("{:?}", directory(vec![spec])));
     for text in texts {
         assert!(!text.contains("secret-of"), "{text}");
@@ -123,7 +123,7 @@
 fn who_may_enter() {
     struct Case {
         what: &'static str,
-        presented: Presented<'static>,
+        presented: PresentedKey<'static>,
         public: bool,
         of_unknown_run: bool,
         fresh: bool,
@@ -132,7 +132,7 @@
     let known = directory(vec![spec("w", 0, &[b"key"])]).expect("valid");
     let base = Case {
         what: "",
-        presented: Presented::Nothing,
+        presented: PresentedKey::Nothing,
         public: false,
         of_unknown_run: false,
         fresh: true,
@@ -141,13 +141,13 @@
     let cases = [
         Case {
             what: "its key",
-            presented: Presented::Key(b"key"),
+            presented: PresentedKey::Key(b"key"),
             verdict: Ok(Some("w")),
             ..base
         },
         Case {
             what: "its key, while the directory may be outdated",
-            presented: Presented::Key(b"key"),
+            presented: PresentedKey::Key(b"key"),
             fresh: false,
             verdict: Ok(Some("w")),
             ..base
@@ -158,19 +158,19 @@
         },
         Case {
             what: "another key",
-            presented: Presented::Key(b"Key"),
+            presented: PresentedKey::Key(b"Key"),
             ..base
         },
         Case {
             what: "another key, which an outdated directory may lack",
-            presented: Presented::Key(b"new"),
+            presented: PresentedKey::Key(b"new"),
             fresh: false,
             verdict: Err(Refusal::UnverifiedKey),
             ..base
         },
         Case {
             what: "two keys",
-            presented: Presented::Several,
+            presented: PresentedKey::Several,
             ..base
         },
         Case {
@@ -181,7 +181,7 @@
         },
         Case {
             what: "a key on a public route, whose workspace is nobody's business there",
-            presented: Presented::Key(b"key"),
+            presented: PresentedKey::Key(b"key"),
             public: true,
             verdict: Ok(None),
             ..base
@@ -194,17 +194,17 @@
         },
         Case {
             what: "a caller that makes its id look like a call's",
-            presented: Presented::Key(b"other"),
+            presented: PresentedKey::Key(b"other"),
             of_unknown_run: true,
             ..base
         },
     ];
     for case in cases {
-        let claim = Claim {
+        let claim = AuthenticationRequest {
             presented: case.presented,
             public: case.public,
-            of_unknown_run: case.of_unknown_run,
-            fresh: case.fresh,
+            from_unknown_run: case.of_unknown_run,
+            directory_fresh: case.fresh,
         };
         let verdict = authenticate(Some(&known), &claim);
         let verdict = verdict.map(|known| known.map(|workspace| workspace.name.as_str()));
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use coltsfootport_core::mesh::{self, Claim, MeshConfig, Presented, Route};
+use coltsfootport_core::mesh::{self, AuthenticationRequest, MeshConfig, PresentedKey, Route};
 use coltsfootport_core::workspace::Workspace;
 use http::HeaderValue;
 
@@ -20,15 +20,15 @@
         now: Instant,
     ) -> Result<Option<&'c Workspace>, Denied> {
         let presented = match &ask.credential {
-            Credential::Missing => Presented::Nothing,
-            Credential::Key(key) => Presented::Key(key.as_bytes()),
-            Credential::Doubled => Presented::Several,
+            Credential::Missing => PresentedKey::Nothing,
+            Credential::Key(key) => PresentedKey::Key(key.as_bytes()),
+            Credential::Doubled => PresentedKey::Several,
         };
-        let claim = Claim {
+        let claim = AuthenticationRequest {
             presented,
             public: route.public,
-            of_unknown_run: Runs::is_id_of_call(&ask.id),
-            fresh: self.is_fresh(now),
+            from_unknown_run: Runs::is_id_of_call(&ask.id),
+            directory_fresh: self.is_fresh(now),
         };
         mesh::authenticate(config.directory(), &claim).map_err(|refusal| {
             let back = refusal.rule().retry_after.then_some(BACK_NOT_READY);
