--- a/crates/core/src/mesh/caller_limits.rs
+++ b/crates/core/src/mesh/caller_limits.rs
@@ -1,17 +1,17 @@
-//! What callers may send.
+//! Limits on requests of callers.
 
 use std::time::Duration;
 
-/// Bounds on what a caller may send and how long it may take; part of a configuration.
+/// Limits on the size and duration of requests; part of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest time for a head that has begun to arrive whole.
+    /// Maximum time from the first byte of a request head until the head is complete.
     pub header_timeout: Duration,
-    /// Time after which a connection without a request is closed.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
