--- a/crates/core/src/mesh/dialect.rs
+++ b/crates/core/src/mesh/dialect.rs
@@ -1,31 +1,31 @@
-//! Names by which a mesh's callers, targets and nodes know what is said in headers.
+//! Header names and paths used between callers, targets and nodes of a mesh.
 
-/// Header names and paths of one deployment; names are in lower case.
+/// Header names, in lower case, and paths of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// Request and answer: id of the request, new for each attempt of a caller.
+    /// Request and response: id of the request, new for each attempt of a caller.
     pub request_id: &'static str,
-    /// Request: milliseconds that the sender will wait.
+    /// Request: time in milliseconds that the sender will wait for the response.
     pub time_left_ms: &'static str,
-    /// Request to a target: id of the only instance that may run it.
+    /// Request to a target: id of the only instance that may execute it.
     pub only_instance: &'static str,
-    /// Request to a target: service of the machine where the request began.
+    /// Request to a target: service of the machine on which the request originated.
     pub origin_service: &'static str,
-    /// Request: the sender's key, which never leaves the node where the request enters.
+    /// Request: key of the sender's workspace; removed by the entry node and never forwarded.
     pub workspace_key: &'static str,
     /// Request to a target: name of the workspace that the request belongs to.
     pub workspace: &'static str,
-    /// Answer of a target: it has not run the request.
+    /// Response of a target: the request was not executed.
     pub not_run: &'static str,
-    /// Answer of a target: shows that the answer is the target's own.
+    /// Response of a target: proves that the response was produced by the target.
     pub signature: &'static str,
-    /// Path at which the node is asked whether it is ready.
+    /// Path of the node's readiness endpoint.
     pub ready_path: &'static str,
 }
 
 impl Dialect {
-    /// The project's own names.
-    pub const OWN: Self = Self {
+    /// The names defined by this project.
+    pub const DEFAULT: Self = Self {
         request_id: "coltsfootport-request",
         time_left_ms: "coltsfootport-time-left-ms",
         only_instance: "coltsfootport-only-instance",
