--- a/crates/core/src/mesh/entry_fault.rs
+++ b/crates/core/src/mesh/entry_fault.rs
@@ -1,25 +1,25 @@
-//! Why a published entry names no instance.
+//! Reasons to reject a published entry.
 
-/// Why a published entry names no instance to use.
+/// Why a published entry does not describe a usable instance.
 ///
-/// Entries may come from another writer than an instance. One that can't be understood tells nothing, and the other entries
-/// hold.
+/// Entries may be written by something other than an instance. An invalid entry describes no instance and does not affect
+/// the other entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EntryFault {
-    /// Its bytes are not encoded as they should be.
+    /// The value is not encoded correctly.
     Encoding,
-    /// Its bytes can't be read as fields.
+    /// The value can't be parsed.
     Syntax,
-    /// A field is missing, of another type or out of its range.
+    /// A field is missing, has the wrong type or is out of range.
     Field,
-    /// Its state is none that is known.
+    /// The state is not a known one.
     State,
-    /// No configuration in force names its service.
+    /// The configuration in force does not name the service.
     Service,
 }
 
 impl EntryFault {
-    /// Word for logs and metrics.
+    /// Identifier for logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Encoding => "encoding",
