--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -44,7 +44,7 @@
 pub use dialect::Dialect;
 pub use downstream::Downstream;
 pub use drain::{Drain, DrainConfig};
-pub use entry_effect::{GoneEffect, PutEffect};
+pub use entry_effect::{PutEffect, RemoveEffect};
 pub use entry_fault::EntryFault;
 pub use fleet::{Fleet, InstanceKey, SelectedInstance};
 pub use fleet_config::FleetConfig;
--- a/crates/core/src/mesh/entry_effect.rs
+++ b/crates/core/src/mesh/entry_effect.rs
@@ -1,27 +1,28 @@
-//! What an entry of the published list changed in a node's beliefs.
+//! Effects of changes in the published list on the known instances.
 
 use smol_str::SmolStr;
 
-/// After an entry was written.
+/// Effect of a written entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutEffect {
-    /// Nothing that matters.
-    Same,
-    /// The instance is new, or its state or address is.
+    /// No relevant change.
+    Unchanged,
+    /// The instance is new, or its state, service or address has changed.
     Changed,
-    /// Its target has started again under the id that it had.
+    /// The target was restarted with the same id.
     Restarted,
-    /// It is new, and an older instance that had its address has ended.
+    /// The instance is new and replaces an older one at the same address, whose id is given and which has ended.
     Superseded(SmolStr),
 }
 
-/// After an entry was removed.
+/// Effect of a removed entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GoneEffect {
-    /// The instance is taken as gone.
-    Gone,
-    /// It goes on being used: its entry has had no time to come back after the publisher's trouble.
+pub enum RemoveEffect {
+    /// The instance was removed.
+    Removed,
+    /// The instance remains in use for now, because its entry may have lapsed although the instance is alive: during or
+    /// shortly after an outage of the publisher, or while its host can't reach the publisher.
     Held,
-    /// It was not known.
+    /// The instance was not known.
     Unknown,
 }
--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -15,8 +15,8 @@
 use crate::collections::{FastHasher, Map, Set};
 use crate::id::{DomainName, ServiceName};
 use crate::mesh::{
-    FleetConfig, GoneEffect, Instance, InstanceStats, MemberState, Position, PutEffect,
-    ReadersConfig, ReadersView, SendOutcome,
+    FleetConfig, Instance, InstanceStats, MemberState, Position, PutEffect, ReadersConfig,
+    ReadersView, RemoveEffect, SendOutcome,
 };
 use crate::quarantine::Fingerprint;
 
@@ -96,7 +96,7 @@
         };
         let warm_up_until = now + instance.warm_up;
         if self.is_superseded(&instance) {
-            return PutEffect::Same;
+            return PutEffect::Unchanged;
         }
         self.restored.entry_written(&instance.id);
         let Some(key) = self.by_id.get(&instance.id).copied() else {
@@ -110,7 +110,7 @@
         };
         let known = &self.members[key].instance;
         if is_earlier_start(&instance, known) {
-            return PutEffect::Same;
+            return PutEffect::Unchanged;
         }
         if is_different_start(&instance, known) {
             // Load, failure rate and warm-up of the previous process do not apply to the new one.
@@ -129,7 +129,7 @@
         member.member_state = member_state;
         match changed {
             true => PutEffect::Changed,
-            false => PutEffect::Same,
+            false => PutEffect::Unchanged,
         }
     }
 
@@ -141,11 +141,11 @@
     }
 
     /// Handles the removal of a published entry.
-    pub fn entry_removed(&mut self, id: &str, now: Instant) -> GoneEffect {
+    pub fn entry_removed(&mut self, id: &str, now: Instant) -> RemoveEffect {
         self.restored.entry_removed(id);
         let Some(key) = self.by_id.get(id).copied() else {
             self.restored.instance_ended(SmolStr::new(id), now);
-            return GoneEffect::Unknown;
+            return RemoveEffect::Unknown;
         };
         let member = &mut self.members[key];
         let held_until =
@@ -156,7 +156,7 @@
         let held_until = held_until.or(partitioned.then_some(now + self.cfg.lapse_hold));
         if let Some(until) = held_until {
             member.member_state = MemberState::Missing { until };
-            return GoneEffect::Held;
+            return RemoveEffect::Held;
         }
         let instance = member.instance.clone();
         self.remove(key);
@@ -164,7 +164,7 @@
         if was_active {
             self.lapsed.add(instance, now);
         }
-        GoneEffect::Gone
+        RemoveEffect::Removed
     }
 
     /// Records that the host of an instance can't reach the publisher, so that the lease of its entry expires
@@ -216,7 +216,7 @@
         let known = self.by_id.keys();
         let missing: Vec<SmolStr> = known.filter(|id| !ids.contains(*id)).cloned().collect();
         for id in missing {
-            if self.entry_removed(&id, now) == GoneEffect::Gone {
+            if self.entry_removed(&id, now) == RemoveEffect::Removed {
                 ended.push(id);
             }
         }
--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 
 use coltsfootport_core::mesh::{
-    Fleet, FleetConfig, GoneEffect, Instance, InstanceKey, MemberState, PutEffect,
+    Fleet, FleetConfig, Instance, InstanceKey, MemberState, PutEffect, RemoveEffect,
     SelectedInstance, SendOutcome,
 };
 
@@ -312,17 +312,17 @@
     assert_eq!(effect, PutEffect::Superseded("i-a".into()));
     assert_eq!(
         bench.fleet.put(successor.clone(), bench.now),
-        PutEffect::Same
+        PutEffect::Unchanged
     );
     assert_eq!(
         bench.fleet.entry_removed("i-a", bench.now),
-        GoneEffect::Unknown
+        RemoveEffect::Unknown
     );
     let ended = bench.fleet.replace_all(vec![successor], bench.now);
     assert_eq!(ended, ["i-b"]);
     assert_eq!(
         bench.fleet.entry_removed("i-z", bench.now),
-        GoneEffect::Gone
+        RemoveEffect::Removed
     );
     assert!(bench.fleet.at_address(instance("i-a").address).is_none());
 }
@@ -479,13 +479,13 @@
     bench.fleet.put(leaving, bench.now);
     assert_eq!(bench.fleet.put(born(2000), bench.now), PutEffect::Restarted);
     assert_eq!(bench.fleet.member_state("i-a"), Some(MemberState::Ready));
-    assert_eq!(bench.fleet.put(born(2000), bench.now), PutEffect::Same);
+    assert_eq!(bench.fleet.put(born(2000), bench.now), PutEffect::Unchanged);
     // A stale read of the earlier start changes nothing.
     let stale = Instance {
         leaving: true,
         ..born(1000)
     };
-    assert_eq!(bench.fleet.put(stale, bench.now), PutEffect::Same);
+    assert_eq!(bench.fleet.put(stale, bench.now), PutEffect::Unchanged);
     assert_eq!(bench.fleet.member_state("i-a"), Some(MemberState::Ready));
     let went = bench.share("i-a", |_| WELL);
     assert!(went > 25, "{went} of 100 went to the new start");
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -5,7 +5,7 @@
 
 use coltsfootport_core::collections::Set;
 use coltsfootport_core::mesh::{
-    EntryFault, GoneEffect, Instance, MeshConfig, PutEffect, ReadersConfig, ReadersView, Update,
+    EntryFault, Instance, MeshConfig, PutEffect, ReadersConfig, ReadersView, RemoveEffect, Update,
     UpdateBatch,
 };
 use coltsfootport_core::workspace::Directory;
@@ -202,7 +202,7 @@
         let service = instance.service.clone();
         let leaving = instance.leaving;
         let effect = self.fleet.put(instance, now);
-        if effect == PutEffect::Same {
+        if effect == PutEffect::Unchanged {
             return;
         }
         info!(self.journal.log(), "instance seen"; "instance" => id.as_str(),
@@ -214,12 +214,12 @@
 
     fn apply_gone(&mut self, id: SmolStr) {
         match self.fleet.entry_removed(&id, self.clock.now()) {
-            GoneEffect::Gone => self.ended(id, "removed"),
-            GoneEffect::Held => {
+            RemoveEffect::Removed => self.ended(id, "removed"),
+            RemoveEffect::Held => {
                 info!(self.journal.log(), "instance lapsed"; "instance" => id.as_str());
             }
             // Its end is known already: its successor has its address.
-            GoneEffect::Unknown => {}
+            RemoveEffect::Unknown => {}
         }
     }
 
