--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -1,7 +1,8 @@
-//! Decisions of a node that routes requests of a service mesh by host and path.
+//! Decision logic of a service mesh node, which routes requests by host and path.
 //!
-//! A mesh has one configuration for all services and a published list of instances. Every node beside a target is both an
-//! entry, which takes requests that begin on its machine, and a host, which runs requests of others at its target.
+//! A mesh has one configuration for all services and a published list of instances. Every node runs next to a
+//! target and acts in two roles: as an entry it accepts requests that originate on its machine, and as a host it
+//! executes requests of other nodes at its target.
 
 mod authentication;
 mod balance;
