--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -87,8 +87,8 @@
     /// Inserts or updates an instance from its published entry.
     ///
     /// An address belongs to one process at a time, so the older of two instances at an address has ended and is
-    /// removed. Its entry remains published until its lease expires: after a power failure of all machines, most
-    /// requests would be sent to ended instances for several seconds and rejected by their successors.
+    /// removed. Its entry remains published until its lease expires; without this rule, most requests after a power
+    /// failure of all machines would be sent to ended instances for several seconds and rejected by their successors.
     pub fn put(&mut self, instance: Instance, now: Instant) -> PutEffect {
         let member_state = match instance.leaving {
             true => MemberState::Draining,
