--- a/crates/core/tests/mesh_fleet.rs
+++ b/crates/core/tests/mesh_fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of what a mesh node believes about instances, and of its choice among them.
+//! Tests of the instance states that a mesh node tracks, and of its load balancing.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -30,141 +30,154 @@
     }
 }
 
-struct Bench {
+struct Harness {
     fleet: Fleet,
     rng: SmallRng,
     now: Instant,
 }
 
-impl Bench {
+impl Harness {
     fn new(ids: &[&str]) -> Self {
         let cfg = FleetConfig {
             domain: "a".into(),
             ..Default::default()
         };
-        let mut bench = Self {
+        let mut harness = Self {
             fleet: Fleet::new(cfg),
             rng: SmallRng::seed_from_u64(7),
             now: Instant::now(),
         };
         for id in ids {
-            bench.fleet.put(instance(id), bench.now);
+            harness.fleet.put(instance(id), harness.now);
         }
-        bench
+        harness
     }
 
-    fn choose(&mut self, tried: &[InstanceKey]) -> Option<SelectedInstance> {
+    fn select(&mut self, tried: &[InstanceKey]) -> Option<SelectedInstance> {
         self.fleet
             .select(&"svc".into(), tried, self.now, &mut self.rng)
     }
 
-    /// How many of a hundred requests go to an instance, each ended at once with `outcome`.
+    /// Sends a hundred requests, each of which ends immediately with `outcome`, and returns how many of them went to an
+    /// instance.
     fn share(&mut self, id: &str, outcome: fn(&SelectedInstance) -> SendOutcome) -> usize {
         let mut count = 0;
         for _ in 0..100 {
-            let Some(chosen) = self.choose(&[]) else {
+            let Some(selected) = self.select(&[]) else {
                 continue;
             };
-            self.fleet.request_sent(chosen.key, self.now);
+            self.fleet.request_sent(selected.key, self.now);
             self.fleet
-                .request_ended(chosen.key, outcome(&chosen), Some(1), self.now);
+                .request_ended(selected.key, outcome(&selected), Some(1), self.now);
             self.now += ms(50);
-            count += usize::from(chosen.id == id);
+            count += usize::from(selected.id == id);
         }
         count
     }
 }
 
-const WELL: SendOutcome = SendOutcome::Answered { relative: 1.0 };
+const SUCCESS: SendOutcome = SendOutcome::Answered { relative: 1.0 };
 
-/// A host that stops refuses at once and looks idle: it drew most requests of its service.
+/// A stopping host rejects requests immediately, so it looked idle and attracted most requests of its service.
 #[test]
 fn a_stopping_host_draws_no_requests() {
-    let mut bench = Bench::new(&["i-a", "i-b", "i-c"]);
-    let went = bench.share("i-a", |chosen| match chosen.id.as_str() {
+    let mut harness = Harness::new(&["i-a", "i-b", "i-c"]);
+    let count = harness.share("i-a", |selected| match selected.id.as_str() {
         "i-a" => SendOutcome::HostStopping,
-        _ => WELL,
+        _ => SUCCESS,
     });
-    assert!(went <= 5, "{went} of 100 went to the stopping host");
+    assert!(
+        count <= 5,
+        "{count} of 100 requests went to the stopping host"
+    );
 }
 
-/// An address that belongs to another service answers at once that it is wrong: it drew requests for a second.
+/// An address that was reused by another service rejects requests immediately, so it attracted requests for a second.
 #[test]
 fn an_instance_that_is_gone_draws_no_requests() {
-    let mut bench = Bench::new(&["i-a", "i-b", "i-c"]);
-    let went = bench.share("i-a", |chosen| match chosen.id.as_str() {
+    let mut harness = Harness::new(&["i-a", "i-b", "i-c"]);
+    let count = harness.share("i-a", |selected| match selected.id.as_str() {
         "i-a" => SendOutcome::TargetGone,
-        _ => WELL,
+        _ => SUCCESS,
     });
-    assert!(went <= 5, "{went} of 100 went to the instance that is gone");
+    assert!(
+        count <= 5,
+        "{count} of 100 requests went to the instance that has ended"
+    );
 }
 
 #[test]
 fn avoided_instances_serve_where_no_other_is_left() {
-    let mut bench = Bench::new(&["i-a", "i-b"]);
+    let mut harness = Harness::new(&["i-a", "i-b"]);
     for _ in 0..2 {
-        let chosen = bench.choose(&[]).expect("an instance");
-        bench.fleet.request_sent(chosen.key, bench.now);
-        bench
+        let selected = harness.select(&[]).expect("an instance");
+        harness.fleet.request_sent(selected.key, harness.now);
+        harness
             .fleet
-            .request_ended(chosen.key, SendOutcome::HostStopping, None, bench.now);
+            .request_ended(selected.key, SendOutcome::HostStopping, None, harness.now);
     }
-    assert!(bench.choose(&[]).is_some());
+    assert!(harness.select(&[]).is_some());
 }
 
 #[test]
-fn tried_and_leaving_instances_get_nothing() {
-    let mut bench = Bench::new(&["i-a", "i-b"]);
-    let first = bench.choose(&[]).expect("an instance");
-    let second = bench.choose(&[first.key]).expect("the other one");
+fn tried_and_leaving_instances_are_not_selected() {
+    let mut harness = Harness::new(&["i-a", "i-b"]);
+    let first = harness.select(&[]).expect("an instance");
+    let second = harness.select(&[first.key]).expect("the other instance");
     assert_ne!(first.id, second.id);
-    assert!(bench.choose(&[first.key, second.key]).is_none());
+    assert!(harness.select(&[first.key, second.key]).is_none());
     let leaving = Instance {
         leaving: true,
         ..instance(&second.id)
     };
-    bench.fleet.put(leaving, bench.now);
-    assert!(bench.choose(&[first.key]).is_none());
+    harness.fleet.put(leaving, harness.now);
+    assert!(harness.select(&[first.key]).is_none());
 }
 
 #[test]
-fn failing_instances_are_left_and_tried_again() {
-    let mut bench = Bench::new(&["i-a", "i-b", "i-c"]);
-    let failing = |chosen: &SelectedInstance| match chosen.id.as_str() {
+fn failing_instances_are_avoided_and_retried() {
+    let mut harness = Harness::new(&["i-a", "i-b", "i-c"]);
+    let failing = |selected: &SelectedInstance| match selected.id.as_str() {
         "i-a" => SendOutcome::Failed,
-        _ => WELL,
+        _ => SUCCESS,
     };
-    bench.share("i-a", failing);
-    let went = bench.share("i-a", failing);
-    assert!(went <= 5, "{went} of 100 went to the failing instance");
-    bench.now += ms(5000);
-    bench.share("i-a", |_| WELL);
-    let went = bench.share("i-a", |_| WELL);
+    harness.share("i-a", failing);
+    let count = harness.share("i-a", failing);
     assert!(
-        went > 5,
-        "{went} of 100 went to the instance that works again"
+        count <= 5,
+        "{count} of 100 requests went to the failing instance"
+    );
+    harness.now += ms(5000);
+    harness.share("i-a", |_| SUCCESS);
+    let count = harness.share("i-a", |_| SUCCESS);
+    assert!(
+        count > 5,
+        "{count} of 100 requests went to the recovered instance"
     );
 }
 
 #[test]
-fn the_own_failure_domain_goes_first_until_it_is_full() {
-    let mut bench = Bench::new(&["i-a"]);
+fn the_own_failure_domain_is_preferred_until_it_is_full() {
+    let mut harness = Harness::new(&["i-a"]);
     let far = Instance {
         domain: "b".into(),
         ..instance("i-b")
     };
-    bench.fleet.put(far, bench.now);
-    assert_eq!(bench.share("i-a", |_| WELL), 100);
+    harness.fleet.put(far, harness.now);
+    assert_eq!(harness.share("i-a", |_| SUCCESS), 100);
     for _ in 0..9 {
-        let near = bench.choose(&[]).expect("an instance");
-        bench.fleet.request_sent(near.key, bench.now);
+        let near = harness.select(&[]).expect("an instance");
+        harness.fleet.request_sent(near.key, harness.now);
     }
-    let next = bench.choose(&[]).expect("an instance");
-    assert_eq!(next.id, "i-b", "the near one has no free slot");
+    let next = harness.select(&[]).expect("an instance");
+    assert_eq!(
+        next.id, "i-b",
+        "the instance in the own domain has no free slot"
+    );
 }
 
-/// What the publisher and the list do, and whether the instance may still be used.
-struct Lapse {
+/// A sequence of events, and whether the instance may be used after it.
+struct OutageCase {
     name: &'static str,
     events: &'static [Event],
     usable: bool,
@@ -177,91 +190,91 @@
     Gone,
     Relisted,
     Leaving,
-    /// Milliseconds pass.
+    /// The given number of milliseconds passes.
     Pass(u64),
-    /// A list without the instance.
+    /// A complete list without the instance is applied.
     ListedWithout,
 }
 
-/// Leases that run out during an outage of the publisher: living instances were taken as gone at its return.
+/// Leases expire during an outage of the publisher: live instances were removed when it recovered.
 #[test]
 fn entries_that_lapse_during_an_outage_are_held() {
     use Event::{Back, Gone, Leaving, ListedWithout, Lost, Pass, Relisted};
     let cases = [
-        Lapse {
-            name: "removed in calm",
+        OutageCase {
+            name: "removed without an outage",
             events: &[Gone],
             usable: false,
         },
-        Lapse {
-            name: "lapsed",
+        OutageCase {
+            name: "lapsed during an outage",
             events: &[Lost, Pass(3000), Back, Gone],
             usable: true,
         },
-        Lapse {
-            name: "lapsed and not back",
+        OutageCase {
+            name: "lapsed and not written again",
             events: &[Lost, Back, Gone, Pass(2300)],
             usable: false,
         },
-        Lapse {
-            name: "lapsed before the return",
+        OutageCase {
+            name: "lapsed before the recovery",
             events: &[Lost, Gone, Pass(9000), Back, Pass(2000)],
             usable: true,
         },
-        Lapse {
-            name: "missing in the list",
+        OutageCase {
+            name: "missing from the list",
             events: &[Lost, Back, ListedWithout, Pass(1000)],
             usable: true,
         },
-        Lapse {
-            name: "missing for good",
+        OutageCase {
+            name: "missing from the list permanently",
             events: &[Lost, Back, ListedWithout, Pass(2300)],
             usable: false,
         },
-        Lapse {
-            name: "back in time",
+        OutageCase {
+            name: "written again in time",
             events: &[Lost, Back, Gone, Pass(1000), Relisted, Pass(5000)],
             usable: true,
         },
-        Lapse {
-            name: "leaving before",
+        OutageCase {
+            name: "leaving before the outage",
             events: &[Leaving, Lost, Back, Gone],
             usable: false,
         },
-        Lapse {
+        OutageCase {
             name: "long after an outage",
             events: &[Lost, Back, Pass(3000), Gone],
             usable: false,
         },
     ];
     for case in cases {
-        let mut bench = Bench::new(&["i-a"]);
+        let mut harness = Harness::new(&["i-a"]);
         for event in case.events {
             match event {
-                Lost => bench.fleet.publisher_failed(),
-                Back => bench.fleet.publisher_recovered(bench.now),
+                Lost => harness.fleet.publisher_failed(),
+                Back => harness.fleet.publisher_recovered(harness.now),
                 Gone => {
-                    bench.fleet.entry_removed("i-a", bench.now);
+                    harness.fleet.entry_removed("i-a", harness.now);
                 }
                 Relisted => {
-                    bench.fleet.put(instance("i-a"), bench.now);
+                    harness.fleet.put(instance("i-a"), harness.now);
                 }
-                ListedWithout => drop(bench.fleet.replace_all(Vec::new(), bench.now)),
+                ListedWithout => drop(harness.fleet.replace_all(Vec::new(), harness.now)),
                 Leaving => {
                     let leaving = Instance {
                         leaving: true,
                         ..instance("i-a")
                     };
-                    bench.fleet.put(leaving, bench.now);
+                    harness.fleet.put(leaving, harness.now);
                 }
                 Pass(passed) => {
-                    bench.now += ms(*passed);
-                    bench.fleet.tick(bench.now);
+                    harness.now += ms(*passed);
+                    harness.fleet.tick(harness.now);
                 }
             }
         }
-        assert_eq!(bench.choose(&[]).is_some(), case.usable, "{}", case.name);
-        let member_state = bench.fleet.member_state("i-a");
+        assert_eq!(harness.select(&[]).is_some(), case.usable, "{}", case.name);
+        let member_state = harness.fleet.member_state("i-a");
         assert_eq!(
             member_state.is_some_and(MemberState::accepts_requests),
             case.usable,
@@ -271,7 +284,7 @@
     }
 }
 
-/// Targets that start again under new ids while their old entries still stand: requests went to the old ids.
+/// Targets restart with new ids while their old entries are still published: requests were sent to the old ids.
 #[test]
 fn an_address_belongs_to_its_newest_instance() {
     let address = instance("i-a").address;
@@ -283,68 +296,69 @@
         ..instance("i-a")
     };
     for service in ["svc", "other"] {
-        let mut bench = Bench::new(&["i-a"]);
-        bench.fleet.put(successor(service), bench.now);
-        let own = bench.fleet.at_address(address).expect("an instance");
+        let mut harness = Harness::new(&["i-a"]);
+        harness.fleet.put(successor(service), harness.now);
+        let own = harness.fleet.at_address(address).expect("an instance");
         assert_eq!(own.id, "i-z");
-        // The old entry may be written or listed once more, after its successor's.
-        bench.fleet.put(instance("i-a"), bench.now);
-        assert!(bench.fleet.member_state("i-a").is_none());
+        // The old entry may be written or listed again after that of its successor.
+        harness.fleet.put(instance("i-a"), harness.now);
+        assert!(harness.fleet.member_state("i-a").is_none());
         let listed = vec![successor(service), instance("i-a")];
-        bench.fleet.replace_all(listed, bench.now);
-        assert_eq!(bench.fleet.len(), 1);
-        let chosen = bench.choose(&[]).map(|chosen| chosen.id);
+        harness.fleet.replace_all(listed, harness.now);
+        assert_eq!(harness.fleet.len(), 1);
+        let selected = harness.select(&[]).map(|selected| selected.id);
         let expected = (service == "svc").then(|| "i-z".into());
-        assert_eq!(chosen, expected);
+        assert_eq!(selected, expected);
     }
 }
 
-/// An instance whose address was given to another one: its end was never noted, and late requests went to its successor.
+/// An instance whose address was reused: its end was never recorded, and late requests were sent to its successor.
 #[test]
-fn the_end_of_a_superseded_instance_is_told_once() {
-    let mut bench = Bench::new(&["i-a", "i-b"]);
+fn the_end_of_a_superseded_instance_is_reported_once() {
+    let mut harness = Harness::new(&["i-a", "i-b"]);
     let successor = Instance {
         id: "i-z".into(),
         created: 5.into(),
         ..instance("i-a")
     };
-    let effect = bench.fleet.put(successor.clone(), bench.now);
+    let effect = harness.fleet.put(successor.clone(), harness.now);
     assert_eq!(effect, PutEffect::Superseded("i-a".into()));
     assert_eq!(
-        bench.fleet.put(successor.clone(), bench.now),
+        harness.fleet.put(successor.clone(), harness.now),
         PutEffect::Unchanged
     );
     assert_eq!(
-        bench.fleet.entry_removed("i-a", bench.now),
+        harness.fleet.entry_removed("i-a", harness.now),
         RemoveEffect::Unknown
     );
-    let ended = bench.fleet.replace_all(vec![successor], bench.now);
+    let ended = harness.fleet.replace_all(vec![successor], harness.now);
     assert_eq!(ended, ["i-b"]);
     assert_eq!(
-        bench.fleet.entry_removed("i-z", bench.now),
+        harness.fleet.entry_removed("i-z", harness.now),
         RemoveEffect::Removed
     );
-    assert!(bench.fleet.at_address(instance("i-a").address).is_none());
+    assert!(harness.fleet.at_address(instance("i-a").address).is_none());
 }
 
 #[test]
-fn a_list_tells_whom_it_supersedes() {
-    let mut bench = Bench::new(&["i-a"]);
+fn replace_all_returns_superseded_instances() {
+    let mut harness = Harness::new(&["i-a"]);
     let successor = Instance {
         id: "i-z".into(),
         created: 5.into(),
         ..instance("i-a")
     };
-    let ended = bench.fleet.replace_all(vec![successor], bench.now);
+    let ended = harness.fleet.replace_all(vec![successor], harness.now);
     assert_eq!(ended, ["i-a"]);
 }
 
-/// Machines that are cut off from the publisher only: their targets were taken as ended, and the rest got all the load.
+/// Machines that are partitioned only from the publisher: their targets were treated as ended, and the remaining
+/// instances received all the load.
 #[test]
-fn an_instance_whose_node_is_cut_off_is_used_without_its_entry() {
+fn an_instance_whose_host_is_partitioned_is_used_without_its_entry() {
     enum Event {
-        /// Its node says that it is cut off.
-        CutOff,
+        /// Its host reports that it can't reach the publisher.
+        Partitioned,
         Gone,
         Listed,
         ListedWithout,
@@ -352,7 +366,7 @@
         Successor,
         Pass(u64),
     }
-    use Event::{CutOff, Gone, Leaving, Listed, ListedWithout, Pass, Successor};
+    use Event::{Gone, Leaving, Listed, ListedWithout, Partitioned, Pass, Successor};
     struct Case {
         name: &'static str,
         events: &'static [Event],
@@ -360,83 +374,83 @@
     }
     let cases = [
         Case {
-            name: "told before the entry lapses",
-            events: &[CutOff, Pass(500), Gone],
+            name: "reported before the entry lapses",
+            events: &[Partitioned, Pass(500), Gone],
             usable: true,
         },
         Case {
-            name: "told after it",
-            events: &[Gone, Pass(2000), CutOff],
+            name: "reported after the entry lapsed",
+            events: &[Gone, Pass(2000), Partitioned],
             usable: true,
         },
         Case {
-            name: "told and listed without it",
-            events: &[CutOff, Gone, Pass(100), ListedWithout],
+            name: "reported, then missing from the list",
+            events: &[Partitioned, Gone, Pass(100), ListedWithout],
             usable: true,
         },
         Case {
-            name: "told again and again",
+            name: "reported repeatedly",
             events: &[
-                CutOff,
+                Partitioned,
                 Gone,
                 Pass(2000),
-                CutOff,
+                Partitioned,
                 Pass(2000),
-                CutOff,
+                Partitioned,
                 Pass(2000),
             ],
             usable: true,
         },
         Case {
-            name: "back in the list",
-            events: &[CutOff, Gone, Pass(1000), Listed, Pass(10_000)],
+            name: "listed again",
+            events: &[Partitioned, Gone, Pass(1000), Listed, Pass(10_000)],
             usable: true,
         },
         Case {
-            name: "not back in the list",
-            events: &[CutOff, Gone, Pass(2500)],
+            name: "not listed again",
+            events: &[Partitioned, Gone, Pass(2500)],
             usable: false,
         },
         Case {
-            name: "never told",
+            name: "never reported",
             events: &[Gone],
             usable: false,
         },
         Case {
-            name: "told long before",
-            events: &[CutOff, Pass(4000), Gone],
+            name: "reported long before",
+            events: &[Partitioned, Pass(4000), Gone],
             usable: false,
         },
         Case {
-            name: "told long after",
-            events: &[Gone, Pass(11_000), CutOff],
+            name: "reported long after",
+            events: &[Gone, Pass(11_000), Partitioned],
             usable: false,
         },
         Case {
-            name: "it had said that it leaves",
-            events: &[CutOff, Leaving, Gone, CutOff],
+            name: "leaving before the entry was removed",
+            events: &[Partitioned, Leaving, Gone, Partitioned],
             usable: false,
         },
         Case {
-            name: "another one has its address",
-            events: &[Gone, Successor, CutOff],
+            name: "address reused by a successor",
+            events: &[Gone, Successor, Partitioned],
             usable: false,
         },
     ];
     for case in cases {
-        let mut bench = Bench::new(&["i-a"]);
+        let mut harness = Harness::new(&["i-a"]);
         for event in case.events {
             match event {
-                CutOff => drop(bench.fleet.mark_partitioned_by_id("i-a", bench.now)),
-                Gone => drop(bench.fleet.entry_removed("i-a", bench.now)),
-                Listed => drop(bench.fleet.put(instance("i-a"), bench.now)),
-                ListedWithout => drop(bench.fleet.replace_all(Vec::new(), bench.now)),
+                Partitioned => drop(harness.fleet.mark_partitioned_by_id("i-a", harness.now)),
+                Gone => drop(harness.fleet.entry_removed("i-a", harness.now)),
+                Listed => drop(harness.fleet.put(instance("i-a"), harness.now)),
+                ListedWithout => drop(harness.fleet.replace_all(Vec::new(), harness.now)),
                 Leaving => {
                     let leaving = Instance {
                         leaving: true,
                         ..instance("i-a")
                     };
-                    bench.fleet.put(leaving, bench.now);
+                    harness.fleet.put(leaving, harness.now);
                 }
                 Successor => {
                     let successor = Instance {
@@ -444,65 +458,71 @@
                         created: 5.into(),
                         ..instance("i-a")
                     };
-                    bench.fleet.put(successor, bench.now);
+                    harness.fleet.put(successor, harness.now);
                 }
                 Pass(passed) => {
-                    bench.now += ms(*passed);
-                    bench.fleet.tick(bench.now);
+                    harness.now += ms(*passed);
+                    harness.fleet.tick(harness.now);
                 }
             }
         }
-        let member_state = bench.fleet.member_state("i-a");
+        let member_state = harness.fleet.member_state("i-a");
         let usable = member_state.is_some_and(MemberState::accepts_requests);
         assert_eq!(usable, case.usable, "{}", case.name);
     }
 }
 
-/// A target that starts again under its id: load and failures of its earlier start counted against it.
+/// A target restarts with the same id: load and failures of the previous process counted against it.
 #[test]
-fn a_new_start_under_an_old_id_is_a_new_instance() {
-    let born = |at: u64| Instance {
+fn a_restart_under_the_same_id_is_a_new_instance() {
+    let started_at = |at: u64| Instance {
         started_at_ms: Some(at),
         ..instance("i-a")
     };
-    let mut bench = Bench::new(&["i-b"]);
-    bench.fleet.put(born(1000), bench.now);
-    let before = bench.choose(&[]).expect("an instance");
-    bench.share("i-a", |chosen| match chosen.id.as_str() {
+    let mut harness = Harness::new(&["i-b"]);
+    harness.fleet.put(started_at(1000), harness.now);
+    let before = harness.select(&[]).expect("an instance");
+    harness.share("i-a", |selected| match selected.id.as_str() {
         "i-a" => SendOutcome::Failed,
-        _ => WELL,
+        _ => SUCCESS,
     });
     let leaving = Instance {
         leaving: true,
-        ..born(1000)
+        ..started_at(1000)
     };
-    bench.fleet.put(leaving, bench.now);
-    assert_eq!(bench.fleet.put(born(2000), bench.now), PutEffect::Restarted);
-    assert_eq!(bench.fleet.member_state("i-a"), Some(MemberState::Ready));
-    assert_eq!(bench.fleet.put(born(2000), bench.now), PutEffect::Unchanged);
-    // A stale read of the earlier start changes nothing.
+    harness.fleet.put(leaving, harness.now);
+    assert_eq!(
+        harness.fleet.put(started_at(2000), harness.now),
+        PutEffect::Restarted
+    );
+    assert_eq!(harness.fleet.member_state("i-a"), Some(MemberState::Ready));
+    assert_eq!(
+        harness.fleet.put(started_at(2000), harness.now),
+        PutEffect::Unchanged
+    );
+    // A stale read of the earlier start has no effect.
     let stale = Instance {
         leaving: true,
-        ..born(1000)
+        ..started_at(1000)
     };
-    assert_eq!(bench.fleet.put(stale, bench.now), PutEffect::Unchanged);
-    assert_eq!(bench.fleet.member_state("i-a"), Some(MemberState::Ready));
-    let went = bench.share("i-a", |_| WELL);
-    assert!(went > 25, "{went} of 100 went to the new start");
-    let after = bench.choose(&[]).expect("an instance");
+    assert_eq!(harness.fleet.put(stale, harness.now), PutEffect::Unchanged);
+    assert_eq!(harness.fleet.member_state("i-a"), Some(MemberState::Ready));
+    let count = harness.share("i-a", |_| SUCCESS);
+    assert!(count > 25, "{count} of 100 requests went to the new start");
+    let after = harness.select(&[]).expect("an instance");
     assert!(after.id != before.id || after.key != before.key || after.id == "i-b");
 }
 
 #[test]
-fn an_entry_that_turns_bad_names_nobody() {
-    let mut bench = Bench::new(&["i-a", "i-b"]);
-    assert!(bench.fleet.remove_invalid("i-a"));
-    assert!(!bench.fleet.remove_invalid("i-a"));
-    assert!(bench.fleet.member_state("i-a").is_none());
+fn an_invalid_entry_removes_its_instance() {
+    let mut harness = Harness::new(&["i-a", "i-b"]);
+    assert!(harness.fleet.remove_invalid("i-a"));
+    assert!(!harness.fleet.remove_invalid("i-a"));
+    assert!(harness.fleet.member_state("i-a").is_none());
     assert_eq!(
-        bench.choose(&[]).map(|chosen| chosen.id),
+        harness.select(&[]).map(|selected| selected.id),
         Some("i-b".into())
     );
-    bench.fleet.put(instance("i-a"), bench.now);
-    assert_eq!(bench.fleet.member_state("i-a"), Some(MemberState::Ready));
+    harness.fleet.put(instance("i-a"), harness.now);
+    assert_eq!(harness.fleet.member_state("i-a"), Some(MemberState::Ready));
 }
