--- a/crates/core/tests/mesh_readers.rs
+++ b/crates/core/tests/mesh_readers.rs
@@ -1,4 +1,4 @@
-//! Tests of who reads the publisher and who hears its news from others.
+//! Tests of which nodes poll the publisher and which follow other nodes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -25,12 +25,12 @@
     plan
 }
 
-struct Bench {
+struct Harness {
     readers: ReadPlanner,
     now: Instant,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         Self {
             readers: ReadPlanner::new(ReadersConfig::default()),
@@ -46,7 +46,7 @@
         self.now += Duration::from_millis(ms);
     }
 
-    /// Both sources of a view are sound for long enough.
+    /// Reports both sources of a view as healthy for longer than the settle time.
     fn settle(&mut self, view: &ReadersView) {
         let plan = self.plan(view, 0);
         for source in plan.follow {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_reads() {
+fn which_nodes_poll() {
     struct Case {
         name: &'static str,
         view: ReadersView,
@@ -110,57 +110,64 @@
         },
     ];
     for case in cases {
-        let mut bench = Bench::new();
-        bench.settle(&case.view);
-        let plan = bench.plan(&case.view, case.followers);
+        let mut harness = Harness::new();
+        harness.settle(&case.view);
+        let plan = harness.plan(&case.view, case.followers);
         assert_eq!(plan.read, case.read, "{}", case.name);
         assert_eq!(plan.follow.len(), case.follow, "{}", case.name);
     }
 }
 
-/// A single source that is lost or cut off just before a change: its follower heard nothing of the change.
+/// With a single source that fails or loses the publisher just before a change, its follower missed the change.
 #[test]
-fn a_node_reads_for_itself_while_a_source_is_missing() {
+fn a_node_polls_while_a_source_is_missing() {
     let all = view(&[1, 2, 3]);
-    let mut bench = Bench::new();
-    assert!(bench.plan(&all, 0).read, "nothing was heard yet");
-    bench.settle(&all);
-    assert!(!bench.plan(&all, 0).read);
-    bench.readers.source_lost(ip(1), bench.now);
-    let plan = bench.plan(&all, 0);
+    let mut harness = Harness::new();
+    assert!(harness.plan(&all, 0).read, "no source has reported yet");
+    harness.settle(&all);
+    assert!(!harness.plan(&all, 0).read);
+    harness.readers.source_lost(ip(1), harness.now);
+    let plan = harness.plan(&all, 0);
     assert!(plan.read, "one source is left");
-    assert_eq!(plan.follow, [ip(2), ip(3)], "the next one takes its place");
-    bench.readers.source_reported(ip(3), true);
-    bench.plan(&all, 0);
-    bench.pass(1500);
-    assert!(!bench.plan(&all, 0).read);
-    bench.readers.source_reported(ip(2), false);
-    assert!(bench.plan(&all, 0).read, "a source does not hear the store");
-    assert!(bench.readers.any_healthy());
+    assert_eq!(
+        plan.follow,
+        [ip(2), ip(3)],
+        "the next candidate replaces it"
+    );
+    harness.readers.source_reported(ip(3), true);
+    harness.plan(&all, 0);
+    harness.pass(1500);
+    assert!(!harness.plan(&all, 0).read);
+    harness.readers.source_reported(ip(2), false);
+    assert!(
+        harness.plan(&all, 0).read,
+        "a source can't reach the publisher"
+    );
+    assert!(harness.readers.any_healthy());
 }
 
 #[test]
 fn a_lost_source_is_tried_again_later() {
     let all = view(&[1, 2]);
-    let mut bench = Bench::new();
-    bench.settle(&all);
-    bench.readers.source_lost(ip(1), bench.now);
-    assert_eq!(bench.plan(&all, 0).follow, [ip(2)]);
-    bench.pass(3500);
-    assert_eq!(bench.plan(&all, 0).follow, [ip(1), ip(2)]);
+    let mut harness = Harness::new();
+    harness.settle(&all);
+    harness.readers.source_lost(ip(1), harness.now);
+    assert_eq!(harness.plan(&all, 0).follow, [ip(2)]);
+    harness.pass(3500);
+    assert_eq!(harness.plan(&all, 0).follow, [ip(1), ip(2)]);
 }
 
-/// A source that is not appointed any more but still reads: all its followers left it and read for themselves.
+/// A source is no longer appointed but still polls: all its followers dropped it and polled themselves.
 #[test]
 fn a_sound_source_is_kept_when_others_are_appointed() {
-    let mut bench = Bench::new();
-    bench.settle(&view(&[1, 2]));
+    let mut harness = Harness::new();
+    harness.settle(&view(&[1, 2]));
     let later = view(&[2, 3]);
-    let plan = bench.plan(&later, 0);
+    let plan = harness.plan(&later, 0);
     assert_eq!(plan.follow, [ip(1), ip(2)]);
     assert!(!plan.read);
-    bench.readers.source_lost(ip(1), bench.now);
-    assert_eq!(bench.plan(&later, 0).follow, [ip(2), ip(3)]);
+    harness.readers.source_lost(ip(1), harness.now);
+    assert_eq!(harness.plan(&later, 0).follow, [ip(2), ip(3)]);
 }
 
 fn instance(n: u8, domain: &str, created: u64) -> Instance {
@@ -203,84 +210,90 @@
     assert!(!of_other.appointed);
     assert_eq!(of_other.instances, 6);
     let expected = [ip(2), ip(3), ip(4), ip(5)];
-    assert_eq!(of_other.candidates, expected, "the own domain first");
+    assert_eq!(of_other.candidates, expected, "the own domain comes first");
     let of_appointed = fleet.readers_view(ip(3), &large);
     assert!(of_appointed.appointed);
-    assert!(!of_appointed.candidates.contains(&ip(3)), "not itself");
+    assert!(
+        !of_appointed.candidates.contains(&ip(3)),
+        "a node is not its own candidate"
+    );
     let leaving = Instance {
         leaving: true,
         ..instance(2, "a", 4)
     };
     fleet.put(leaving, now);
-    assert!(fleet.readers_view(ip(1), &large).appointed, "next in age");
+    assert!(
+        fleet.readers_view(ip(1), &large).appointed,
+        "the next oldest is appointed"
+    );
 }
 
-/// A starting fleet whose nodes went on reading beside sources that had never been lost.
+/// In a starting fleet, nodes kept polling although they had sources that had never been lost.
 #[test]
-fn a_starting_node_stops_reading_as_soon_as_it_is_covered() {
-    // Nobody else can be followed.
+fn a_starting_node_stops_polling_once_covered() {
+    // There are no other candidates.
     let all = view(&[1, 2]);
-    let mut bench = Bench::new();
-    assert!(bench.plan(&all, 0).read, "nothing was heard yet");
-    bench.readers.source_reported(ip(1), true);
-    assert!(bench.plan(&all, 0).read, "one source is not enough");
-    bench.readers.source_reported(ip(2), true);
-    assert!(!bench.plan(&all, 0).read);
-    // After a loss it waits, so that a source that comes and goes does not make it come and go.
-    bench.readers.source_reported(ip(2), false);
-    assert!(bench.plan(&all, 0).read);
-    bench.readers.source_reported(ip(2), true);
-    assert!(bench.plan(&all, 0).read, "not yet settled");
-    bench.pass(1500);
-    assert!(!bench.plan(&all, 0).read);
+    let mut harness = Harness::new();
+    assert!(harness.plan(&all, 0).read, "no source has reported yet");
+    harness.readers.source_reported(ip(1), true);
+    assert!(harness.plan(&all, 0).read, "one source is not enough");
+    harness.readers.source_reported(ip(2), true);
+    assert!(!harness.plan(&all, 0).read);
+    // After a loss it waits for the settle time, so that a flapping source does not make it start and stop polling.
+    harness.readers.source_reported(ip(2), false);
+    assert!(harness.plan(&all, 0).read);
+    harness.readers.source_reported(ip(2), true);
+    assert!(harness.plan(&all, 0).read, "the settle time has not passed");
+    harness.pass(1500);
+    assert!(!harness.plan(&all, 0).read);
 }
 
-/// How much a fleet asks the store must not jump with one more instance: the number of readers follows from its domains, and
-/// every node reads only while there are few instances for each reader.
+/// One more instance must not cause a jump in the number of reads: the number of appointed nodes depends on the
+/// number of domains, and all nodes poll only while there are few instances per appointed node.
 #[test]
-fn every_node_reads_only_in_a_small_fleet() {
+fn every_node_polls_only_in_a_small_fleet() {
     struct Case {
         name: &'static str,
         domains: u8,
-        of_each: u8,
+        instances_each: u8,
         direct: bool,
     }
     let cases = [
         Case {
             name: "three domains of six",
             domains: 3,
-            of_each: 6,
+            instances_each: 6,
             direct: true,
         },
         Case {
             name: "three domains of seven",
             domains: 3,
-            of_each: 7,
+            instances_each: 7,
             direct: false,
         },
         Case {
             name: "five domains of six",
             domains: 5,
-            of_each: 6,
+            instances_each: 6,
             direct: true,
         },
         Case {
             name: "one domain of seven",
             domains: 1,
-            of_each: 7,
+            instances_each: 7,
             direct: false,
         },
     ];
     for case in cases {
         let now = Instant::now();
         let mut fleet = Fleet::new(FleetConfig::default());
-        for n in 0..case.domains * case.of_each {
+        for n in 0..case.domains * case.instances_each {
             let domain = format!("d{}", n % case.domains);
             fleet.put(instance(n + 1, &domain, u64::from(n)), now);
         }
         let cfg = ReadersConfig::default();
-        // The youngest is not among the two oldest of its domain.
-        let own = ip(case.domains * case.of_each);
+        // The newest instance is not among the two oldest of its domain.
+        let own = ip(case.domains * case.instances_each);
         let view = fleet.readers_view(own, &cfg);
         let mut readers = ReadPlanner::new(cfg);
         let plan = readers.plan(&view, 0, now);
@@ -288,23 +301,23 @@
     }
 }
 
-/// A source that does not hear the store was kept, and its followers read beside it.
+/// A source that could not reach the publisher was kept, and its followers polled as well.
 #[test]
-fn a_source_that_does_not_hear_the_store_is_left_for_one_that_may() {
+fn an_unhealthy_source_is_replaced_by_another_candidate() {
     let all = view(&[1, 2, 3]);
-    let mut bench = Bench::new();
-    bench.settle(&all);
-    bench.readers.source_reported(ip(1), false);
-    let plan = bench.plan(&all, 0);
+    let mut harness = Harness::new();
+    harness.settle(&all);
+    harness.readers.source_reported(ip(1), false);
+    let plan = harness.plan(&all, 0);
     assert_eq!(plan.follow, [ip(2), ip(3)]);
-    bench.readers.source_reported(ip(3), true);
-    bench.plan(&all, 0);
-    bench.pass(1500);
-    assert!(!bench.plan(&all, 0).read, "covered again");
-    assert!(bench.readers.has_report());
-    // With nobody else to try it is kept: it will tell when it hears the store again.
+    harness.readers.source_reported(ip(3), true);
+    harness.plan(&all, 0);
+    harness.pass(1500);
+    assert!(!harness.plan(&all, 0).read, "covered again");
+    assert!(harness.readers.has_report());
+    // Without other candidates it is kept: it will report when it reaches the publisher again.
     let few = view(&[2, 3]);
-    bench.pass(3500);
-    bench.readers.source_reported(ip(3), false);
-    assert_eq!(bench.plan(&few, 0).follow, [ip(2), ip(3)]);
+    harness.pass(3500);
+    harness.readers.source_reported(ip(3), false);
+    assert_eq!(harness.plan(&few, 0).follow, [ip(2), ip(3)]);
 }
