--- a/crates/core/tests/mesh_restored.rs
+++ b/crates/core/tests/mesh_restored.rs
@@ -1,4 +1,4 @@
-//! What a fleet believes after the publisher has come back from an older copy.
+//! Model-based test of the instance states after the publisher was restored from an older copy.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use coltsfootport_core::mesh::{Era, Fleet, FleetConfig, Instance, MemberState, Position};
 use proptest::prelude::*;
 
-/// Instances that a sequence is about.
+/// Number of instances in a sequence.
 const IDS: u8 = 6;
 
 /// Time between two steps of a sequence.
@@ -27,19 +27,19 @@
     }
 }
 
-/// What happens to the publisher, and so to a fleet that follows it.
+/// An event at the publisher, which the fleet follows.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An instance writes that it is ready.
+    /// An instance announces that it is ready.
     Ready(u8),
-    /// It writes that it leaves.
+    /// An instance announces that it leaves.
     Leaves(u8),
-    /// Its entry is removed.
+    /// The entry of an instance is removed.
     Removed(u8),
-    /// The publisher goes back to what it was so many steps before; what it has lost is written again after a while.
-    GoesBack(usize),
-    /// Nothing.
-    Rests,
+    /// The publisher is restored to its state of this many steps before; lost entries are written again later.
+    Restored(usize),
+    /// No event.
+    Idle,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -47,35 +47,35 @@
         4 => (0..IDS).prop_map(Step::Ready),
         3 => (0..IDS).prop_map(Step::Leaves),
         3 => (0..IDS).prop_map(Step::Removed),
-        2 => (1_usize..8).prop_map(Step::GoesBack),
-        4 => Just(Step::Rests),
+        2 => (1_usize..8).prop_map(Step::Restored),
+        4 => Just(Step::Idle),
     ]
 }
 
-/// The publisher, and a fleet that hears each of its changes.
-struct World {
+/// The publisher, and a fleet that receives each of its changes.
+struct Simulation {
     fleet: Fleet,
-    /// What is published: whether an instance leaves, and when its entry was first written.
+    /// Published entries: whether the instance leaves, and when its entry was first written.
     entries: BTreeMap<u8, (bool, Position)>,
     history: Vec<BTreeMap<u8, (bool, Position)>>,
     position: Position,
-    /// What instances have last said, whether the publisher has it or not.
-    said: BTreeMap<u8, bool>,
+    /// Whether each instance leaves by its own last announcement, which the publisher may have lost.
+    announced: BTreeMap<u8, bool>,
     now: Instant,
-    /// When the publisher last came back.
-    back: Instant,
+    /// When the publisher was last restored.
+    restored_at: Instant,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             fleet: Fleet::new(FleetConfig::default()),
             entries: BTreeMap::new(),
             history: Vec::new(),
             position: 1.into(),
-            said: BTreeMap::new(),
+            announced: BTreeMap::new(),
             now: Instant::now(),
-            back: Instant::now(),
+            restored_at: Instant::now(),
         }
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    fn go_back(&mut self, steps: usize) {
+    fn restore(&mut self, steps: usize) {
         let at = self.history.len().saturating_sub(steps);
         let Some(copy) = self.history.get(at).cloned() else {
             return;
@@ -111,15 +111,15 @@
         }
         let listed = self.entries.iter();
         let listed = listed.map(|(n, (leaving, created))| instance(*n, *leaving, *created));
-        self.back = self.now;
+        self.restored_at = self.now;
         self.fleet.restore(listed.collect(), self.now);
     }
 
-    /// Instances write again what the publisher has lost of them; what has ended is removed.
-    fn write_again(&mut self) {
+    /// Instances rewrite entries that the publisher has lost; entries of ended instances are removed.
+    fn reconcile(&mut self) {
         for n in 0..IDS {
             let published = self.entries.get(&n).map(|(leaving, _)| *leaving);
-            match self.said.get(&n).copied() {
+            match self.announced.get(&n).copied() {
                 Some(leaving) if published != Some(leaving) => self.write(n, leaving),
                 None if published.is_some() => self.remove(n),
                 _ => {}
@@ -130,20 +130,20 @@
     fn step(&mut self, step: Step) {
         self.history.push(self.entries.clone());
         match step {
-            Step::Ready(n) if self.said.get(&n) != Some(&true) => {
-                self.said.insert(n, false);
+            Step::Ready(n) if self.announced.get(&n) != Some(&true) => {
+                self.announced.insert(n, false);
                 self.write(n, false);
             }
-            Step::Leaves(n) if self.said.contains_key(&n) => {
-                self.said.insert(n, true);
+            Step::Leaves(n) if self.announced.contains_key(&n) => {
+                self.announced.insert(n, true);
                 self.write(n, true);
             }
             Step::Removed(n) => {
-                self.said.remove(&n);
+                self.announced.remove(&n);
                 self.remove(n);
             }
-            Step::GoesBack(steps) => self.go_back(steps),
-            Step::Ready(_) | Step::Leaves(_) | Step::Rests => {}
+            Step::Restored(steps) => self.restore(steps),
+            Step::Ready(_) | Step::Leaves(_) | Step::Idle => {}
         }
         self.pass(STEP);
     }
@@ -153,7 +153,7 @@
         self.fleet.tick(self.now);
     }
 
-    fn believed(&self) -> BTreeMap<String, bool> {
+    fn states(&self) -> BTreeMap<String, bool> {
         let members = self.fleet.iter();
         members
             .map(|(instance, state)| (instance.id.to_string(), state == MemberState::Draining))
@@ -164,30 +164,31 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(30), ..Default::default() })]
 
-    /// A publisher that goes back again and again: an instance that leaves or has ended gets work, or beliefs stay wrong.
+    /// The publisher is restored from older copies repeatedly: instances that were leaving or had ended received
+    /// requests, or their states remained wrong.
     #[test]
-    fn a_fleet_believes_what_instances_have_said(steps in proptest::collection::vec(step(), 1..40)) {
-        let mut world = World::new();
+    fn the_fleet_converges_to_the_announced_states(steps in proptest::collection::vec(step(), 1..40)) {
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
-            for (instance, state) in world.fleet.iter() {
+            simulation.step(step);
+            for (instance, state) in simulation.fleet.iter() {
                 let n = instance.id.as_bytes()[2] - b'0';
-                // Right after its return, removals are taken for leases that ran out meanwhile.
+                // Shortly after a restore, removals are treated as leases that expired in the meantime.
                 let is_held = matches!(state, MemberState::Missing { .. })
-                    && world.now < world.back + FleetConfig::default().lapse_hold;
-                let may_take_work = is_held || world.said.get(&n) == Some(&false);
+                    && simulation.now < simulation.restored_at + FleetConfig::default().lapse_hold;
+                let may_accept_requests = is_held || simulation.announced.get(&n) == Some(&false);
                 prop_assert!(
-                    may_take_work || !state.accepts_requests(),
-                    "{} takes work, {:?}", instance.id, world.said.get(&n)
+                    may_accept_requests || !state.accepts_requests(),
+                    "{} accepts requests, announced leaving: {:?}", instance.id, simulation.announced.get(&n)
                 );
             }
         }
-        world.write_again();
-        let calm = FleetConfig::default();
-        world.pass(calm.copy_hold.max(calm.lapse_hold));
-        world.pass(STEP);
-        let said: BTreeMap<String, bool> =
-            world.said.iter().map(|(n, leaving)| (format!("i-{n}"), *leaving)).collect();
-        prop_assert_eq!(world.believed(), said);
+        simulation.reconcile();
+        let cfg = FleetConfig::default();
+        simulation.pass(cfg.copy_hold.max(cfg.lapse_hold));
+        simulation.pass(STEP);
+        let announced: BTreeMap<String, bool> =
+            simulation.announced.iter().map(|(n, leaving)| (format!("i-{n}"), *leaving)).collect();
+        prop_assert_eq!(simulation.states(), announced);
     }
 }
