--- a/crates/core/src/mesh/entry_fault.rs
+++ b/crates/core/src/mesh/entry_fault.rs
@@ -2,8 +2,8 @@
 
 /// Why a published entry does not describe a usable instance.
 ///
-/// Entries may be written by something other than an instance. An invalid entry describes no instance and does not affect
-/// the other entries.
+/// Entries may be written by something other than an instance. An invalid entry describes no instance and does not
+/// affect the other entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EntryFault {
     /// The value is not encoded correctly.
