--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -240,7 +240,7 @@
         });
         let listed = leaving.chain(current).collect();
         let ended = self.replace_all(listed, now);
-        let until = now + self.cfg.copy_hold;
+        let until = now + self.cfg.outdated_entry_hold;
         for instance in outdated {
             self.restored.ignore_until(instance, until);
         }
--- a/crates/core/src/mesh/fleet_config.rs
+++ b/crates/core/src/mesh/fleet_config.rs
@@ -15,7 +15,7 @@
     pub lapse_hold: Duration,
     /// How long an outdated entry, from an older copy that the publisher was restored from, is ignored so that it
     /// can be rewritten or removed. After that it is accepted.
-    pub copy_hold: Duration,
+    pub outdated_entry_hold: Duration,
     /// Added to the score, which is about 1, of an instance in another failure domain; accounts for the latency and the
     /// cost of traffic between domains.
     pub far_penalty: f64,
@@ -30,7 +30,7 @@
         Self {
             domain: DomainName::default(),
             lapse_hold: Duration::from_millis(2200),
-            copy_hold: Duration::from_secs(8),
+            outdated_entry_hold: Duration::from_secs(8),
             far_penalty: 1.0,
             jitter: 0.15,
             cold_factor: 1.6,
--- a/crates/core/tests/mesh_restored.rs
+++ b/crates/core/tests/mesh_restored.rs
@@ -185,7 +185,7 @@
         }
         simulation.reconcile();
         let cfg = FleetConfig::default();
-        simulation.pass(cfg.copy_hold.max(cfg.lapse_hold));
+        simulation.pass(cfg.outdated_entry_hold.max(cfg.lapse_hold));
         simulation.pass(STEP);
         let announced: BTreeMap<String, bool> =
             simulation.announced.iter().map(|(n, leaving)| (format!("i-{n}"), *leaving)).collect();
