--- a/crates/core/src/mesh/readers.rs
+++ b/crates/core/src/mesh/readers.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadersConfig {
     /// Nodes per failure domain that poll the publisher on behalf of the others. With at least `sources` of them,
-    /// updates cross domains only when a source is lost: with one of each, a simulated day with a large
+    /// updates cross domains only when a source is lost: with one of each, a benchmark day with a large
     /// configuration caused 0.196 GB of traffic between domains instead of 0.102 GB in a fleet of 95.
     pub appointed: usize,
     /// Instances per appointed node up to which every node polls directly. Below this, sharing would save little, and
@@ -61,9 +61,9 @@
 /// Decides whether this node polls the publisher and which nodes it follows.
 ///
 /// One change completes every pending long poll, so if all nodes poll, the number of reads grows with the square of
-/// the fleet size: with 85 nodes, reads were the largest of all costs. A fleet of 95 sent 1,085 reads in the ten
-/// seconds of its start when every node polled in fleets of up to 32 instances and waited for a second before it
-/// stopped.
+/// the fleet size: with 85 nodes, reads were the largest of all costs. When nodes polled directly up to 32 known
+/// instances and continued for a second after their sources were healthy, a fleet of 95 sent 1,085 reads in the
+/// first ten seconds.
 #[derive(Clone, Debug)]
 pub struct ReadPlanner {
     cfg: ReadersConfig,
@@ -170,7 +170,7 @@
     /// Drops unhealthy sources while there are other candidates to try.
     ///
     /// If they were kept, each of their followers would poll for as long as the source can't reach the publisher.
-    /// In a simulated day on which the publisher rejected a third of 95 nodes, the fleet sent 2,876 reads without
+    /// In a benchmark day on which the publisher rejected a third of 95 nodes, the fleet sent 2,876 reads without
     /// this rule, and 2,124 with it and with longer pauses between reads of nodes that follow others (one run
     /// each).
     fn drop_unhealthy(&mut self, candidates: &[IpAddr], now: Instant) {
