--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -1,7 +1,8 @@
-//! Decisions of a node that routes requests of a service mesh by host and path.
+//! Decision logic of a service mesh node, which routes requests by host and path.
 //!
-//! A mesh has one configuration for all services and a published list of instances. Every node beside a target is both an
-//! entry, which takes requests that begin on its machine, and a host, which runs requests of others at its target.
+//! A mesh has one configuration for all services and a published list of instances. Every node runs next to a
+//! target and acts in two roles: as an entry it accepts requests that originate on its machine, and as a host it
+//! executes requests of other nodes at its target.
 
 mod authentication;
 mod balance;
@@ -37,16 +38,16 @@
 mod update;
 mod weighted_round_robin;
 
-pub use authentication::{Claim, Presented, authenticate};
-pub use balance::Observed;
+pub use authentication::{AuthenticationRequest, PresentedKey, authenticate};
+pub use balance::InstanceStats;
 pub use caller_limits::CallerLimits;
 pub use config::{ConfigVersion, MeshConfig, MeshConfigError, RouteKey};
 pub use dialect::Dialect;
 pub use downstream::Downstream;
 pub use drain::{Drain, DrainConfig};
-pub use entry_effect::{GoneEffect, PutEffect};
+pub use entry_effect::{PutEffect, RemoveEffect};
 pub use entry_fault::EntryFault;
-pub use fleet::{Chosen, Fleet, InstanceKey};
+pub use fleet::{Fleet, InstanceKey, SelectedInstance};
 pub use fleet_config::FleetConfig;
 pub use instance::Instance;
 pub use level::{Backlog, LevelConfig, LevelControl};
@@ -54,7 +55,7 @@
 pub use position::{Era, Position};
 pub use publisher::{Publisher, PublisherError};
 pub use queue_timeout::{QueueTimeoutConfig, QueueTimeoutRequest};
-pub use readers::{Readers, ReadersConfig, ReadersView, ReadingPlan};
+pub use readers::{ReadPlan, ReadPlanner, ReadersConfig, ReadersView};
 pub use refusal::{Refusal, RefusalRule};
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use route::{Idempotency, Route, WeightedService};
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -161,15 +161,15 @@
             }
             SuspicionLevel::Isolated => {
                 self.fleet
-                    .choose_same(&req.service, req.fingerprint, &req.tried, now)
+                    .select_by_hash(&req.service, req.fingerprint, &req.tried, now)
             }
             SuspicionLevel::Suspected | SuspicionLevel::Unsuspected => {
                 self.fleet
-                    .choose(&req.service, &req.tried, now, &mut self.rng)
+                    .select(&req.service, &req.tried, now, &mut self.rng)
             }
         };
         let chosen = chosen.ok_or(Refusal::NoInstance)?;
-        self.fleet.sent(chosen.key, now);
+        self.fleet.request_sent(chosen.key, now);
         if req.tried.is_empty() {
             self.earn_retry_budget(&req, now);
         }
@@ -238,11 +238,11 @@
                 self.fleet.host_stopping(key, now);
             }
             if report.cut_off {
-                self.fleet.host_of_cut_off(key, now);
+                self.fleet.mark_partitioned(key, now);
             }
         }
         let busy = ended.report.as_ref().map(|report| report.busy);
-        self.fleet.ended(key, outcome, busy, now);
+        self.fleet.request_ended(key, outcome, busy, now);
         if let Some(parent) = &ended.parent {
             self.runs
                 .record_call(parent, &ended.service, ended.report.as_ref());
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use coltsfootport_core::mesh::{self, Claim, MeshConfig, Presented, Route};
+use coltsfootport_core::mesh::{self, AuthenticationRequest, MeshConfig, PresentedKey, Route};
 use coltsfootport_core::workspace::Workspace;
 use http::HeaderValue;
 
@@ -20,15 +20,15 @@
         now: Instant,
     ) -> Result<Option<&'c Workspace>, Denial> {
         let presented = match &req.credential {
-            Credential::Missing => Presented::Nothing,
-            Credential::Key(key) => Presented::Key(key.as_bytes()),
-            Credential::Duplicate => Presented::Several,
+            Credential::Missing => PresentedKey::Nothing,
+            Credential::Key(key) => PresentedKey::Key(key.as_bytes()),
+            Credential::Duplicate => PresentedKey::Several,
         };
-        let claim = Claim {
+        let claim = AuthenticationRequest {
             presented,
             public: route.public,
-            of_unknown_run: Runs::is_call_id(&req.id),
-            fresh: self.is_config_fresh(now),
+            from_unknown_run: Runs::is_call_id(&req.id),
+            directory_fresh: self.is_config_fresh(now),
         };
         mesh::authenticate(config.directory(), &claim).map_err(|refusal| {
             let retry_after = refusal.rule().retry_after.then_some(RETRY_AFTER_NOT_READY);
--- a/crates/node/src/mesh/controller/entries.rs
+++ b/crates/node/src/mesh/controller/entries.rs
@@ -34,7 +34,7 @@
         let held = std::mem::take(&mut self.unknown_service);
         let (named, unknown): (Map<_, _>, Map<_, _>) = held
             .into_iter()
-            .partition(|(_, instance)| config.names(&instance.service));
+            .partition(|(_, instance)| config.has_service(&instance.service));
         self.unknown_service = unknown;
         self.faults.retain(|id, _| !named.contains_key(id));
         named.into_values().collect()
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -5,8 +5,8 @@
 
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::mesh::{
-    Chosen, InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
-    SendOutcome, Ticket, UpdateBatch,
+    InstanceKey, MeshConfig, ReadersConfig, ReadersView, Refusal, RequestKind, RouteKey,
+    SelectedInstance, SendOutcome, Ticket, UpdateBatch,
 };
 use coltsfootport_core::quarantine::{Finding, Fingerprint, SuspicionLevel};
 use coltsfootport_core::workspace::{QuotaNotice, QuotaUsage, RoutedClaim, Verdict};
@@ -190,7 +190,7 @@
 #[derive(Debug)]
 pub struct SelectedInstance {
     /// The instance.
-    pub chosen: Chosen,
+    pub chosen: SelectedInstance,
     /// Whether it is the target of this node.
     pub is_local: bool,
     /// Id of the local instance, if this node is cut off from the publisher.
--- a/crates/node/src/mesh/controller/publisher_updates.rs
+++ b/crates/node/src/mesh/controller/publisher_updates.rs
@@ -5,7 +5,7 @@
 
 use coltsfootport_core::collections::Set;
 use coltsfootport_core::mesh::{
-    EntryFault, GoneEffect, Instance, MeshConfig, PutEffect, ReadersConfig, ReadersView, Update,
+    EntryFault, Instance, MeshConfig, PutEffect, ReadersConfig, ReadersView, RemoveEffect, Update,
     UpdateBatch,
 };
 use coltsfootport_core::workspace::Directory;
@@ -62,7 +62,7 @@
         }
         self.publisher_healthy = true;
         self.publisher_answered = Some(now);
-        self.fleet.publisher_back(now);
+        self.fleet.publisher_recovered(now);
     }
 
     /// Records that the publisher did not answer, or answered incorrectly.
@@ -71,7 +71,7 @@
             warn!(self.journal.log(), "publisher lost"; "age_ms" => self.publisher_age_ms(self.clock.now()));
         }
         self.publisher_healthy = false;
-        self.fleet.publisher_lost();
+        self.fleet.publisher_failed();
     }
 
     /// Returns the part of the fleet's state that decides which nodes read from the publisher.
@@ -107,7 +107,7 @@
 
     /// Records that another node reported itself cut off from the publisher; `id` is the instance next to that node.
     pub(super) fn note_cut_off(&mut self, id: &SmolStr, now: Instant) {
-        if self.fleet.host_cut_off(id, now) {
+        if self.fleet.mark_partitioned_by_id(id, now) {
             info!(self.journal.log(), "instance back in use"; "instance" => id.as_str(),
                 "reason" => "its node is cut off from the publisher");
         }
@@ -121,11 +121,11 @@
                     self.apply_instance(instance);
                 }
             }
-            Update::InstanceGone(id) => {
+            Update::InstanceRemoved(id) => {
                 self.rejected_entries.remove(&id);
                 self.apply_instance_gone(id);
             }
-            Update::BadEntry { id, fault, detail } => self.reject_entry(&id, fault, &detail),
+            Update::InvalidEntry { id, fault, detail } => self.reject_entry(&id, fault, &detail),
         }
     }
 
@@ -135,7 +135,7 @@
     /// the fleet, it could take over the address of a working instance.
     fn check_service(&mut self, instance: Instance) -> Option<Instance> {
         let config = self.config.as_ref();
-        if config.is_none_or(|config| config.names(&instance.service)) {
+        if config.is_none_or(|config| config.has_service(&instance.service)) {
             self.rejected_entries.remove(&instance.id);
             return Some(instance);
         }
@@ -152,7 +152,7 @@
             return;
         }
         self.metrics.entry_fault(fault);
-        let was_used = self.fleet.unnamed(id);
+        let was_used = self.fleet.remove_invalid(id);
         warn!(self.journal.log(), "entry names no instance"; "entry" => id.as_str(),
             "reason" => fault.as_str(), "detail" => detail, "was_used" => was_used);
     }
@@ -204,7 +204,7 @@
         let service = instance.service.clone();
         let leaving = instance.leaving;
         let effect = self.fleet.put(instance, now);
-        if effect == PutEffect::Same {
+        if effect == PutEffect::Unchanged {
             return;
         }
         info!(self.journal.log(), "instance seen"; "instance" => id.as_str(),
@@ -215,13 +215,13 @@
     }
 
     fn apply_instance_gone(&mut self, id: SmolStr) {
-        match self.fleet.gone(&id, self.clock.now()) {
-            GoneEffect::Gone => self.note_instance_ended(id, "removed"),
-            GoneEffect::Held => {
+        match self.fleet.entry_removed(&id, self.clock.now()) {
+            RemoveEffect::Removed => self.note_instance_ended(id, "removed"),
+            RemoveEffect::Held => {
                 info!(self.journal.log(), "instance lapsed"; "instance" => id.as_str());
             }
             // Its end was recorded when its successor appeared at its address.
-            GoneEffect::Unknown => {}
+            RemoveEffect::Unknown => {}
         }
     }
 
