--- a/crates/node/src/mesh.rs
+++ b/crates/node/src/mesh.rs
@@ -3,6 +3,7 @@
 pub mod boot_clock;
 mod call;
 mod callers;
+mod conn_reuse;
 mod controller;
 mod entry;
 mod findings;
@@ -13,7 +14,6 @@
 mod metrics;
 mod news;
 mod policy;
-mod quiet;
 mod quotas;
 mod ready;
 mod run;
--- a/crates/node/src/mesh/link/conn.rs
+++ b/crates/node/src/mesh/link/conn.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::mesh::quiet::is_quiet;
+use crate::mesh::conn_reuse::is_reusable;
 use crate::wire::FrameError;
 
 /// Bytes of the length before a head or a piece of a body.
@@ -36,7 +36,7 @@
 
     /// Whether nothing has come since the last frame, neither bytes nor the end.
     pub fn is_quiet(&self) -> bool {
-        self.buf.is_empty() && is_quiet(&self.stream)
+        self.buf.is_empty() && is_reusable(&self.stream)
     }
 
     /// Gives back the room of the buffer; an idle connection would hold it for seconds.
--- a/crates/node/src/mesh/target/connection.rs
+++ b/crates/node/src/mesh/target/connection.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use tokio::net::TcpStream;
 
-use crate::mesh::quiet::is_quiet;
+use crate::mesh::conn_reuse::is_reusable;
 
 /// Bytes read at a time.
 pub const READ_SIZE: usize = 16 * 1024;
@@ -28,6 +28,6 @@
 
     /// Whether nothing has come since the last answer, neither bytes nor the end.
     pub fn is_quiet(&self) -> bool {
-        self.buf.is_empty() && is_quiet(&self.stream)
+        self.buf.is_empty() && is_reusable(&self.stream)
     }
 }
