--- a/crates/node/src/mesh/callers/open_request.rs
+++ b/crates/node/src/mesh/callers/open_request.rs
@@ -1,26 +1,27 @@
-//! Counts what a node still owes its callers.
+//! Counts requests whose responses may not have reached their callers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts a request from its head until its answer is written, and a connection until its last answer can't be lost any more,
-/// for as long as it lives.
+/// Guard that counts a request from its head until its response is written, or a closing connection until its last
+/// response can no longer be lost.
 ///
-/// A stopping node ends when nothing is counted. Counted from the end of its body to the start of its answer, a request whose
-/// body came slowly, or whose answer was long or read slowly, was cut off by a planned stop; and an answer that its caller had
-/// not read yet was lost where the process ended with unread bytes on the connection, since that resets it.
+/// A stopping node exits when the count reaches zero. Counting only from the end of the request body to the start of
+/// the response is not enough: a planned stop then cut off requests with slow bodies and responses that were long or
+/// read slowly. It also lost responses that the caller had not read yet, because exiting with unread bytes on a
+/// connection resets it.
 #[derive(Debug)]
-pub struct OpenRequest(Arc<AtomicUsize>);
+pub struct OpenRequestGuard(Arc<AtomicUsize>);
 
-impl OpenRequest {
-    /// Counts one more.
+impl OpenRequestGuard {
+    /// Increments `open` until the guard is dropped.
     pub fn new(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(open))
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::listener::CallersConfig;
-use super::open_request::OpenRequest;
+use super::open_request::OpenRequestGuard;
 use super::slot::{Shared, Slot};
 use crate::h1::{
     BodyDecoder, Decoded, Framing, H1Error, RequestHead, parse_request, request_framing,
@@ -89,7 +89,7 @@
 
     /// Reads and drops what still comes after the last answer.
     pub async fn linger(&mut self) {
-        let _counted = OpenRequest::new(&self.cfg.open);
+        let _counted = OpenRequestGuard::new(&self.cfg.open);
         // Either way the connection ends now.
         let _ = timeout(LINGER, self.drain()).await;
     }
@@ -130,7 +130,7 @@
             keep_alive,
             takes_chunks: head.takes_chunks,
             head_only: head.method == http::Method::HEAD,
-            open: OpenRequest::new(&self.cfg.open),
+            open: OpenRequestGuard::new(&self.cfg.open),
         };
         // Waits while as many requests as allowed have no answer yet.
         slots.send(slot).await.map_err(|_| End::Left)?;
@@ -283,7 +283,7 @@
             keep_alive: false,
             takes_chunks: true,
             head_only: false,
-            open: OpenRequest::new(&self.cfg.open),
+            open: OpenRequestGuard::new(&self.cfg.open),
         };
         let _ = slots.send(slot).await;
     }
--- a/crates/node/src/mesh/callers/slot.rs
+++ b/crates/node/src/mesh/callers/slot.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::oneshot;
 
-use super::open_request::OpenRequest;
+use super::open_request::OpenRequestGuard;
 use crate::mesh::call::CallerAnswer;
 
 /// Where the answer to one request will come from.
@@ -19,7 +19,7 @@
     /// Whether only a head is sent back.
     pub head_only: bool,
     /// Counts the request until its answer is written.
-    pub open: OpenRequest,
+    pub open: OpenRequestGuard,
 }
 
 /// What the two halves of a connection know of each other.
