--- a/crates/node/src/mesh/callers/listener.rs
+++ b/crates/node/src/mesh/callers/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers.
+//! Accepts connections from callers.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -12,27 +12,28 @@
 use super::connection::serve_connection;
 use crate::mesh::entry::Entry;
 
-/// How callers are served.
+/// Configuration and shared state of the caller-facing server.
 #[derive(Clone)]
 pub struct CallersConfig {
-    /// Serves each request.
+    /// Processes the requests.
     pub entry: Entry,
-    /// Bounds, as the configuration in force has them.
+    /// Size and time limits of the active configuration.
     pub limits: watch::Receiver<CallerLimits>,
-    /// Requests of one connection that are worked on at a time.
+    /// Bound on the queue of pending responses per connection; reading pauses while it is full.
     pub pipelined: usize,
-    /// Turns true when a stopping node's grace period is nearly over.
+    /// Becomes `true` when the grace period of a stopping node is nearly over.
     pub grace_over: watch::Receiver<bool>,
-    /// Turns true when the node is about to stop.
+    /// Becomes `true` when the node begins to shut down.
     pub stopping: watch::Receiver<bool>,
-    /// Requests from callers that have no answer yet.
-    pub open: Arc<AtomicUsize>,
+    /// Open requests; see `OpenRequestGuard`.
+    pub open_requests: Arc<AtomicUsize>,
 }
 
-/// Pause after a failure to accept, such as a lack of descriptors, so that it does not take the whole processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after `accept` fails, for example for lack of file descriptors, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts callers until a stopping node's grace period is nearly over. Whoever comes later is not read and may send again.
+/// Accepts callers until the grace period of a stopping node is nearly over. Later requests are never read, so callers
+/// can safely resend them.
 pub async fn listen(listener: TcpListener, cfg: CallersConfig) {
     let mut grace_over = cfg.grace_over.clone();
     loop {
@@ -45,8 +46,8 @@
                 tokio::spawn(serve_connection(stream, cfg.clone()));
             }
             Err(e) => {
-                warn!(cfg.entry.journal.log(), "a caller can't be accepted"; "reason" => e.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                warn!(cfg.entry.journal.log(), "failed to accept caller connection"; "reason" => e.to_string());
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -89,7 +89,7 @@
 
     /// Reads and drops what still comes after the last answer.
     pub async fn linger(&mut self) {
-        let _counted = OpenRequestGuard::new(&self.cfg.open);
+        let _counted = OpenRequestGuard::new(&self.cfg.open_requests);
         // Either way the connection ends now.
         let _ = timeout(LINGER, self.drain()).await;
     }
@@ -130,7 +130,7 @@
             keep_alive,
             takes_chunks: head.takes_chunks,
             head_only: head.method == http::Method::HEAD,
-            open: OpenRequestGuard::new(&self.cfg.open),
+            open: OpenRequestGuard::new(&self.cfg.open_requests),
         };
         // Waits while as many requests as allowed have no answer yet.
         slots.send(slot).await.map_err(|_| End::Left)?;
@@ -283,7 +283,7 @@
             keep_alive: false,
             takes_chunks: true,
             head_only: false,
-            open: OpenRequestGuard::new(&self.cfg.open),
+            open: OpenRequestGuard::new(&self.cfg.open_requests),
         };
         let _ = slots.send(slot).await;
     }
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -118,7 +118,7 @@
         grace_over,
         pipelined: settings.load.pipelined as usize,
         stopping: stopping.clone(),
-        open: Arc::clone(&open),
+        open_requests: Arc::clone(&open),
     };
     let ready = Ready {
         controller: controller.clone(),
