--- a/crates/node/src/mesh/callers/connection.rs
+++ b/crates/node/src/mesh/callers/connection.rs
@@ -8,7 +8,7 @@
 
 use super::listener::CallersConfig;
 use super::reader::Reader;
-use super::slot::{Shared, Slot};
+use super::slot::{ConnectionState, ResponseSlot};
 use super::writer::Writer;
 
 /// Serves a caller until one of the two ends the connection.
@@ -20,8 +20,8 @@
         return;
     }
     let (read, write) = stream.into_split();
-    let shared = Arc::new(Shared::default());
-    let (slots, waiting) = mpsc::channel::<Slot>(cfg.pipelined);
+    let shared = Arc::new(ConnectionState::default());
+    let (slots, waiting) = mpsc::channel::<ResponseSlot>(cfg.pipelined);
     let mut tasks = JoinSet::new();
     let writer = Writer::new(write, Arc::clone(&shared), cfg.stopping.clone());
     let journal = cfg.entry.journal.clone();
--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -14,7 +14,7 @@
 
 use super::listener::CallersConfig;
 use super::open_request::OpenRequestGuard;
-use super::slot::{Shared, Slot};
+use super::slot::{ConnectionState, ResponseSlot};
 use crate::h1::{
     BodyDecoder, Decoded, Framing, H1Error, RequestHead, parse_request, request_framing,
 };
@@ -39,7 +39,7 @@
     buf: BytesMut,
     /// Bytes to be read at the next time.
     next_read: usize,
-    shared: Arc<Shared>,
+    shared: Arc<ConnectionState>,
     cfg: CallersConfig,
 }
 
@@ -55,7 +55,7 @@
 
 impl Reader {
     /// A reader at the beginning of a connection.
-    pub fn new(read: OwnedReadHalf, shared: Arc<Shared>, cfg: CallersConfig) -> Self {
+    pub fn new(read: OwnedReadHalf, shared: Arc<ConnectionState>, cfg: CallersConfig) -> Self {
         Self {
             read,
             buf: BytesMut::new(),
@@ -67,7 +67,7 @@
 
     /// Reads until the caller leaves. After the connection's last request it goes on reading, without using what comes, to
     /// see when the caller leaves before its answer.
-    pub async fn run(&mut self, slots: mpsc::Sender<Slot>, tasks: &mut JoinSet<()>) {
+    pub async fn run(&mut self, slots: mpsc::Sender<ResponseSlot>, tasks: &mut JoinSet<()>) {
         loop {
             // Finished tasks keep memory until they are joined.
             while tasks.try_join_next().is_some() {}
@@ -78,7 +78,7 @@
                 Err(End::Left) => return,
                 Err(End::Closing) => return self.drain().await,
                 Err(End::Refused(refusal)) => {
-                    self.shared.begin();
+                    self.shared.record_request();
                     self.shared.close();
                     self.refuse(refusal, &slots).await;
                     return self.drain().await;
@@ -107,7 +107,7 @@
     async fn next(
         &mut self,
         limits: &CallerLimits,
-        slots: &mpsc::Sender<Slot>,
+        slots: &mpsc::Sender<ResponseSlot>,
         tasks: &mut JoinSet<()>,
     ) -> Result<(), End> {
         let head = self.head(limits).await?;
@@ -117,7 +117,7 @@
         if matches!(framing, Framing::Length(length) if length > limits.body_bytes) {
             return Err(End::Refused(Refusal::BodyTooLarge));
         }
-        if !self.shared.begin() {
+        if !self.shared.record_request() {
             return Err(End::Closing);
         }
         let keep_alive = head.keep_alive;
@@ -125,7 +125,7 @@
             self.shared.close();
         }
         let (tx, rx) = oneshot::channel();
-        let slot = Slot {
+        let slot = ResponseSlot {
             answer: rx,
             keep_alive,
             takes_chunks: head.takes_chunks,
@@ -274,11 +274,11 @@
         });
     }
 
-    async fn refuse(&self, refusal: Refusal, slots: &mpsc::Sender<Slot>) {
+    async fn refuse(&self, refusal: Refusal, slots: &mpsc::Sender<ResponseSlot>) {
         let answer = self.cfg.entry.refuse(refusal.into(), "", None);
         let (tx, rx) = oneshot::channel();
         let _ = tx.send(answer);
-        let slot = Slot {
+        let slot = ResponseSlot {
             answer: rx,
             keep_alive: false,
             takes_chunks: true,
--- a/crates/node/src/mesh/callers/slot.rs
+++ b/crates/node/src/mesh/callers/slot.rs
@@ -1,4 +1,4 @@
-//! The place of one answer in the order of a connection.
+//! Response slots and the state shared by the two halves of a caller connection.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -7,53 +7,55 @@
 use super::open_request::OpenRequestGuard;
 use crate::mesh::call::CallerAnswer;
 
-/// Where the answer to one request will come from.
+/// A pending response, queued for writing in the order of the requests.
 #[derive(Debug)]
-pub struct Slot {
-    /// The answer.
+pub struct ResponseSlot {
+    /// Receives the response when the request's task has finished.
     pub answer: oneshot::Receiver<CallerAnswer>,
-    /// Whether the caller takes further answers on this connection.
+    /// Whether the connection may stay open after this response.
     pub keep_alive: bool,
-    /// Whether the caller understands chunks.
+    /// Whether the caller accepts chunked transfer coding.
     pub takes_chunks: bool,
-    /// Whether only a head is sent back.
+    /// Whether the response has no body because it answers a `HEAD` request.
     pub head_only: bool,
-    /// Counts the request until its answer is written.
+    /// Keeps the request counted as open until its response is written.
     pub open: OpenRequestGuard,
 }
 
-/// What the two halves of a connection know of each other.
+/// State shared by the reading and writing halves of a connection.
 #[derive(Debug, Default)]
-pub struct Shared {
-    read: AtomicU64,
-    written: AtomicU64,
+pub struct ConnectionState {
+    requests: AtomicU64,
+    responses: AtomicU64,
     closing: AtomicBool,
 }
 
-impl Shared {
-    /// A request was read; `false` where the connection's last answer has been decided before, so that it must not run.
-    pub fn begin(&self) -> bool {
+impl ConnectionState {
+    /// Records that a request was read. Returns `false` if the connection is closing; the request must not run then.
+    pub fn record_request(&self) -> bool {
         if self.closing.load(Ordering::SeqCst) {
             return false;
         }
-        self.read.fetch_add(1, Ordering::SeqCst);
+        self.requests.fetch_add(1, Ordering::SeqCst);
         true
     }
 
-    /// An answer was written.
-    pub fn written(&self) {
-        self.written.fetch_add(1, Ordering::SeqCst);
+    /// Records that a response was written.
+    pub fn record_response(&self) {
+        self.responses.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Requests that were read and not answered yet.
+    /// Number of requests that were read and have no complete response yet.
     pub fn pending(&self) -> u64 {
-        let written = self.written.load(Ordering::SeqCst);
-        self.read.load(Ordering::SeqCst).saturating_sub(written)
+        let responses = self.responses.load(Ordering::SeqCst);
+        self.requests
+            .load(Ordering::SeqCst)
+            .saturating_sub(responses)
     }
 
-    /// Ends the connection with the next answer, if no further request has been read. A caller sends what stands behind a
-    /// closing answer again; a request that runs already would run for nobody.
-    pub fn close_after_next(&self) -> bool {
+    /// Marks the connection as closing after the next response, unless further requests have been read. Callers resend
+    /// requests pipelined behind a closing response, so the result of one that already runs would be discarded.
+    pub fn try_close_after_next(&self) -> bool {
         if self.pending() > 1 {
             return false;
         }
@@ -61,12 +63,12 @@
         true
     }
 
-    /// Ends the connection whatever has been read.
+    /// Marks the connection as closing, regardless of pending requests.
     pub fn close(&self) {
         self.closing.store(true, Ordering::SeqCst);
     }
 
-    /// Whether nothing more is read.
+    /// Whether no further request may be started.
     pub fn is_closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst)
     }
--- a/crates/node/src/mesh/callers/writer.rs
+++ b/crates/node/src/mesh/callers/writer.rs
@@ -11,14 +11,14 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::{mpsc, watch};
 
-use super::slot::{Shared, Slot};
+use super::slot::{ConnectionState, ResponseSlot};
 use crate::h1::{Framing, LAST_CHUNK, answer_head, chunk};
 use crate::mesh::call::{Body, BodyTruncated, CallerAnswer};
 
 /// Writes answers in the order of their requests.
 pub struct Writer {
     write: OwnedWriteHalf,
-    shared: Arc<Shared>,
+    shared: Arc<ConnectionState>,
     stopping: watch::Receiver<bool>,
 }
 
@@ -44,7 +44,7 @@
     /// A writer at the beginning of a connection.
     pub fn new(
         write: OwnedWriteHalf,
-        shared: Arc<Shared>,
+        shared: Arc<ConnectionState>,
         stopping: watch::Receiver<bool>,
     ) -> Self {
         Self {
@@ -55,9 +55,9 @@
     }
 
     /// Writes answers until the last one, or until one can't be written whole.
-    pub async fn run(mut self, mut slots: mpsc::Receiver<Slot>) {
+    pub async fn run(mut self, mut slots: mpsc::Receiver<ResponseSlot>) {
         while let Some(slot) = slots.recv().await {
-            let Slot {
+            let ResponseSlot {
                 answer,
                 keep_alive,
                 takes_chunks,
@@ -76,7 +76,7 @@
             let last = last || framing == Framing::UntilClose;
             match self.answer(answer, framing, last, head_only).await {
                 Ok(()) => {
-                    self.shared.written();
+                    self.shared.record_response();
                     drop(open);
                 }
                 Err(Fault::CutShort) if framing == Framing::UntilClose => return self.reset(),
@@ -104,7 +104,7 @@
 
     /// A node that is about to stop ends each connection with an answer behind which nothing has been read.
     fn ends_here(&self) -> bool {
-        *self.stopping.borrow() && self.shared.close_after_next()
+        *self.stopping.borrow() && self.shared.try_close_after_next()
     }
 
     async fn answer(
