--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -1,4 +1,4 @@
-//! The reading half of a caller's connection.
+//! Reading half of a caller connection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,61 +23,62 @@
     MAX_BUFFERED_BODY,
 };
 
-/// Bytes read at a time while a long body comes in.
-const LONG_READ: usize = 16 * 1024;
+/// Read size in bytes while a long body is received.
+const LARGE_READ: usize = 16 * 1024;
 
-/// Bytes read at a time else: usual heads fit in. Each connection holds so much while it waits, hundreds of them in a surge.
-const SHORT_READ: usize = 1024;
+/// Default read size in bytes, enough for typical heads. Every waiting connection holds a buffer of this size, and
+/// there are hundreds of them under surge load.
+const SMALL_READ: usize = 1024;
 
-/// How long and how much is read after the last answer. Closing with unread bytes resets the connection, and the caller
-/// may lose the answer that it has not read yet.
-const LINGER: Duration = Duration::from_millis(500);
+/// Longest time for which input is read and discarded after the last response. Closing a socket with unread input
+/// resets the connection, and the caller may lose the response that it has not read yet.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reads heads and bodies and starts a task for each request.
+/// Reads requests and spawns a task for each of them.
 pub struct Reader {
     read: OwnedReadHalf,
     buf: BytesMut,
-    /// Bytes to be read at the next time.
+    /// Size of the next read in bytes.
     next_read: usize,
     shared: Arc<ConnectionState>,
     cfg: CallersConfig,
 }
 
-/// Why reading has ended.
-enum End {
-    /// The caller has left, or has been silent for too long.
-    Left,
-    /// The connection's last answer has been decided; what has been read since must not run.
+/// Why no further request is read.
+enum ReadEnd {
+    /// The caller disconnected, timed out or sent an invalid body.
+    Disconnected,
+    /// The connection is closing; a request read since must not run.
     Closing,
-    /// The caller sent something that is answered by a refusal, after which the connection is closed.
+    /// The request is answered with a refusal, after which the connection is closed.
     Refused(Refusal),
 }
 
 impl Reader {
-    /// A reader at the beginning of a connection.
+    /// Creates the reader of a new connection.
     pub fn new(read: OwnedReadHalf, shared: Arc<ConnectionState>, cfg: CallersConfig) -> Self {
         Self {
             read,
             buf: BytesMut::new(),
-            next_read: SHORT_READ,
+            next_read: SMALL_READ,
             shared,
             cfg,
         }
     }
 
-    /// Reads until the caller leaves. After the connection's last request it goes on reading, without using what comes, to
-    /// see when the caller leaves before its answer.
+    /// Reads requests until the caller disconnects. After the last request it keeps reading and discards the input, to
+    /// detect a caller that disconnects before its response.
     pub async fn run(&mut self, slots: mpsc::Sender<ResponseSlot>, tasks: &mut JoinSet<()>) {
         loop {
-            // Finished tasks keep memory until they are joined.
+            // Finished tasks hold memory until they are joined.
             while tasks.try_join_next().is_some() {}
             let limits = *self.cfg.limits.borrow();
-            match self.next(&limits, &slots, tasks).await {
+            match self.read_request(&limits, &slots, tasks).await {
                 Ok(()) if self.shared.is_closing() => return self.drain().await,
                 Ok(()) => {}
-                Err(End::Left) => return,
-                Err(End::Closing) => return self.drain().await,
-                Err(End::Refused(refusal)) => {
+                Err(ReadEnd::Disconnected) => return,
+                Err(ReadEnd::Closing) => return self.drain().await,
+                Err(ReadEnd::Refused(refusal)) => {
                     self.shared.record_request();
                     self.shared.close();
                     self.refuse(refusal, &slots).await;
@@ -87,14 +88,14 @@
         }
     }
 
-    /// Reads and drops what still comes after the last answer.
+    /// Discards input after the last response, for at most [`LINGER_TIMEOUT`].
     pub async fn linger(&mut self) {
-        let _counted = OpenRequestGuard::new(&self.cfg.open_requests);
-        // Either way the connection ends now.
-        let _ = timeout(LINGER, self.drain()).await;
+        let _guard = OpenRequestGuard::new(&self.cfg.open_requests);
+        // The connection is closed in either case.
+        let _ = timeout(LINGER_TIMEOUT, self.drain()).await;
     }
 
-    /// Reads and drops until the caller closes.
+    /// Discards input until the caller closes the connection.
     async fn drain(&mut self) {
         loop {
             self.buf.clear();
@@ -104,21 +105,21 @@
         }
     }
 
-    async fn next(
+    async fn read_request(
         &mut self,
         limits: &CallerLimits,
         slots: &mpsc::Sender<ResponseSlot>,
         tasks: &mut JoinSet<()>,
-    ) -> Result<(), End> {
-        let head = self.head(limits).await?;
+    ) -> Result<(), ReadEnd> {
+        let head = self.read_head(limits).await?;
         let arrived = self.cfg.entry.clock.now();
         let framing =
-            request_framing(&head.headers).map_err(|_| End::Refused(Refusal::BadRequest))?;
+            request_framing(&head.headers).map_err(|_| ReadEnd::Refused(Refusal::BadRequest))?;
         if matches!(framing, Framing::Length(length) if length > limits.body_bytes) {
-            return Err(End::Refused(Refusal::BodyTooLarge));
+            return Err(ReadEnd::Refused(Refusal::BodyTooLarge));
         }
         if !self.shared.record_request() {
-            return Err(End::Closing);
+            return Err(ReadEnd::Closing);
         }
         let keep_alive = head.keep_alive;
         if !keep_alive {
@@ -132,43 +133,48 @@
             head_only: head.method == http::Method::HEAD,
             open: OpenRequestGuard::new(&self.cfg.open_requests),
         };
-        // Waits while as many requests as allowed have no answer yet.
-        slots.send(slot).await.map_err(|_| End::Left)?;
-        self.body(head, framing, arrived, limits, tx, tasks).await
+        // Blocks while the maximum number of pipelined requests is pending.
+        slots.send(slot).await.map_err(|_| ReadEnd::Disconnected)?;
+        self.read_body(head, framing, arrived, limits, tx, tasks)
+            .await
     }
 
-    async fn head(&mut self, limits: &CallerLimits) -> Result<RequestHead, End> {
-        let mut began: Option<Instant> = None;
+    async fn read_head(&mut self, limits: &CallerLimits) -> Result<RequestHead, ReadEnd> {
+        let mut started: Option<Instant> = None;
         loop {
             match parse_request(&mut self.buf, limits.header_bytes) {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => {}
-                Err(H1Error::HeadTooLarge) => return Err(End::Refused(Refusal::HeaderTooLarge)),
-                Err(_) => return Err(End::Refused(Refusal::BadRequest)),
+                Err(H1Error::HeadTooLarge) => {
+                    return Err(ReadEnd::Refused(Refusal::HeaderTooLarge));
+                }
+                Err(_) => return Err(ReadEnd::Refused(Refusal::BadRequest)),
             }
             let now = self.cfg.entry.clock.now();
-            if began.is_none() && !self.buf.is_empty() {
-                began = Some(now);
+            if started.is_none() && !self.buf.is_empty() {
+                started = Some(now);
             }
-            let wait = match began {
-                Some(began) => limits
+            let wait = match started {
+                Some(started) => limits
                     .header_timeout
-                    .saturating_sub(now.saturating_duration_since(began)),
+                    .saturating_sub(now.saturating_duration_since(started)),
                 None => limits.idle_timeout,
             };
             match timeout(wait, self.fill()).await {
                 Ok(read) => read?,
-                Err(_) if began.is_some() => return Err(End::Refused(Refusal::HeaderTimeout)),
-                // A caller that waits for an answer is not idle.
+                Err(_) if started.is_some() => {
+                    return Err(ReadEnd::Refused(Refusal::HeaderTimeout));
+                }
+                // A caller that waits for a response is not idle.
                 Err(_) if self.shared.pending() > 0 => {}
-                Err(_) => return Err(End::Left),
+                Err(_) => return Err(ReadEnd::Disconnected),
             }
         }
     }
 
-    /// Reads a body and starts the request: at once where the body is long, and when it is whole where it is short, so
-    /// that it can be sent again.
-    async fn body(
+    /// Reads the body and starts the request. A short body is buffered first, so that the request can be retried; a
+    /// long one is streamed to the running request.
+    async fn read_body(
         &mut self,
         head: RequestHead,
         framing: Framing,
@@ -176,91 +182,93 @@
         limits: &CallerLimits,
         tx: oneshot::Sender<CallerAnswer>,
         tasks: &mut JoinSet<()>,
-    ) -> Result<(), End> {
+    ) -> Result<(), ReadEnd> {
         let mut decoder = BodyDecoder::new(framing);
-        let mut held = BytesMut::new();
-        let ended = self.hold(&mut decoder, &mut held, limits).await?;
-        let digest = BodyDigest::of(&held);
+        let mut buffered = BytesMut::new();
+        let is_complete = self
+            .buffer_body(&mut decoder, &mut buffered, limits)
+            .await?;
+        let digest = BodyDigest::of(&buffered);
         let req = |body| CallerRequest {
             head,
             body,
             digest,
             arrived,
         };
-        if ended {
-            self.start(req(Body::Whole(held.freeze())), tx, tasks);
+        if is_complete {
+            self.spawn_request(req(Body::Whole(buffered.freeze())), tx, tasks);
             return Ok(());
         }
         let length = match framing {
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let (pieces, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
-        let mut total = held.len() as u64;
-        // The channel is empty and holds several pieces.
-        let _ = pieces.send(Ok(held.freeze())).await;
-        self.start(req(Body::Stream { length, rx }), tx, tasks);
-        let passed = self
-            .pass_on(&mut decoder, &mut total, limits, &pieces)
+        let (tx_body, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        let mut total = buffered.len() as u64;
+        // Never blocks: the channel is empty and has capacity for several chunks.
+        let _ = tx_body.send(Ok(buffered.freeze())).await;
+        self.spawn_request(req(Body::Stream { length, rx }), tx, tasks);
+        let streamed = self
+            .stream_body(&mut decoder, &mut total, limits, &tx_body)
             .await;
-        if passed.is_err() {
-            // A request whose body was cut must not look whole to its target.
-            let _ = pieces.send(Err(BodyTruncated)).await;
+        if streamed.is_err() {
+            // The target must not take a truncated body for a complete one.
+            let _ = tx_body.send(Err(BodyTruncated)).await;
         }
-        passed
+        streamed
     }
 
-    async fn hold(
+    async fn buffer_body(
         &mut self,
         decoder: &mut BodyDecoder,
-        held: &mut BytesMut,
+        buffered: &mut BytesMut,
         limits: &CallerLimits,
-    ) -> Result<bool, End> {
+    ) -> Result<bool, ReadEnd> {
         loop {
-            let most = MAX_BUFFERED_BODY.saturating_sub(held.len());
-            let decoded = decoder.decode_up_to(&mut self.buf, most);
-            match decoded.map_err(|_| End::Left)? {
+            let limit = MAX_BUFFERED_BODY.saturating_sub(buffered.len());
+            let decoded = decoder.decode_up_to(&mut self.buf, limit);
+            match decoded.map_err(|_| ReadEnd::Disconnected)? {
                 Decoded::End => return Ok(true),
                 Decoded::Data(data) => {
-                    held.extend_from_slice(&data);
-                    if held.len() as u64 > limits.body_bytes {
-                        return Err(End::Left);
+                    buffered.extend_from_slice(&data);
+                    if buffered.len() as u64 > limits.body_bytes {
+                        return Err(ReadEnd::Disconnected);
                     }
-                    if held.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
+                    if buffered.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
                         return Ok(false);
                     }
                 }
-                Decoded::More => self.fill_in_time(limits).await?,
+                Decoded::More => self.fill_with_timeout(limits).await?,
             }
         }
     }
 
-    async fn pass_on(
+    async fn stream_body(
         &mut self,
         decoder: &mut BodyDecoder,
         total: &mut u64,
         limits: &CallerLimits,
-        pieces: &mpsc::Sender<Result<Bytes, BodyTruncated>>,
-    ) -> Result<(), End> {
+        tx_body: &mpsc::Sender<Result<Bytes, BodyTruncated>>,
+    ) -> Result<(), ReadEnd> {
         loop {
             let decoded = decoder.decode_up_to(&mut self.buf, MAX_BODY_CHUNK);
-            match decoded.map_err(|_| End::Left)? {
+            match decoded.map_err(|_| ReadEnd::Disconnected)? {
                 Decoded::End => return Ok(()),
                 Decoded::Data(data) => {
                     *total += data.len() as u64;
                     if *total > limits.body_bytes {
-                        return Err(End::Left);
+                        return Err(ReadEnd::Disconnected);
                     }
-                    // Where nobody reads it any more, the answer was early; the rest is read and dropped, so that the
-                    // connection can go on.
-                    let _ = pieces.send(Ok(data)).await;
+                    // The channel is closed if the response came before the end of the body. The rest is then
+                    // discarded, so that the connection stays usable.
+                    let _ = tx_body.send(Ok(data)).await;
                 }
-                Decoded::More => self.fill_in_time(limits).await?,
+                Decoded::More => self.fill_with_timeout(limits).await?,
             }
         }
     }
 
-    fn start(
+    fn spawn_request(
         &self,
         req: CallerRequest,
         tx: oneshot::Sender<CallerAnswer>,
@@ -269,7 +277,7 @@
         let entry = self.cfg.entry.clone();
         tasks.spawn(async move {
             let answer = entry.serve(req).await;
-            // The writer has gone where the caller has.
+            // Fails if the caller has disconnected and the writer is gone.
             let _ = tx.send(answer);
         });
     }
@@ -288,22 +296,22 @@
         let _ = slots.send(slot).await;
     }
 
-    async fn fill_in_time(&mut self, limits: &CallerLimits) -> Result<(), End> {
+    async fn fill_with_timeout(&mut self, limits: &CallerLimits) -> Result<(), ReadEnd> {
         match timeout(limits.idle_timeout, self.fill()).await {
             Ok(read) => read,
-            Err(_) => Err(End::Left),
+            Err(_) => Err(ReadEnd::Disconnected),
         }
     }
 
-    async fn fill(&mut self) -> Result<(), End> {
+    async fn fill(&mut self) -> Result<(), ReadEnd> {
         self.buf.reserve(self.next_read);
         let read = match self.read.read_buf(&mut self.buf).await {
             Ok(read) if read > 0 => read,
-            _ => return Err(End::Left),
+            _ => return Err(ReadEnd::Disconnected),
         };
         self.next_read = match read >= self.next_read {
-            true => LONG_READ,
-            false => SHORT_READ,
+            true => LARGE_READ,
+            false => SMALL_READ,
         };
         Ok(())
     }
