--- a/crates/node/src/mesh/callers/writer.rs
+++ b/crates/node/src/mesh/callers/writer.rs
@@ -1,4 +1,4 @@
-//! The writing half of a caller's connection.
+//! Writing half of a caller connection.
 
 use std::io;
 use std::sync::Arc;
@@ -15,33 +15,33 @@
 use crate::h1::{Framing, LAST_CHUNK, answer_head, chunk};
 use crate::mesh::call::{Body, BodyTruncated, CallerAnswer};
 
-/// Writes answers in the order of their requests.
+/// Writes responses in request order.
 pub struct Writer {
     write: OwnedWriteHalf,
     shared: Arc<ConnectionState>,
     stopping: watch::Receiver<bool>,
 }
 
-/// Why the connection can't go on.
-enum Fault {
+/// Why a response could not be written completely.
+enum WriteError {
     Io,
-    CutShort,
+    BodyTruncated,
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for WriteError {
     fn from(_: io::Error) -> Self {
         Self::Io
     }
 }
 
-impl From<BodyTruncated> for Fault {
+impl From<BodyTruncated> for WriteError {
     fn from(_: BodyTruncated) -> Self {
-        Self::CutShort
+        Self::BodyTruncated
     }
 }
 
 impl Writer {
-    /// A writer at the beginning of a connection.
+    /// Creates the writer of a new connection.
     pub fn new(
         write: OwnedWriteHalf,
         shared: Arc<ConnectionState>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Writes answers until the last one, or until one can't be written whole.
+    /// Writes responses until the connection's last one, or until one can't be written completely.
     pub async fn run(mut self, mut slots: mpsc::Receiver<ResponseSlot>) {
         while let Some(slot) = slots.recv().await {
             let ResponseSlot {
@@ -64,56 +64,59 @@
                 head_only,
                 open,
             } = slot;
-            // The request's task has ended without an answer only if the whole connection is ending.
+            // A request task ends without a response only when the whole connection is being torn down.
             let Ok(answer) = answer.await else {
                 return;
             };
-            let last = !keep_alive || answer.close || self.ends_here();
+            let last = !keep_alive || answer.close || self.closes_for_shutdown();
             if last && (answer.close || !keep_alive) {
                 self.shared.close();
             }
             let framing = framing(&answer.body, takes_chunks);
             let last = last || framing == Framing::UntilClose;
-            match self.answer(answer, framing, last, head_only).await {
+            match self.write_answer(answer, framing, last, head_only).await {
                 Ok(()) => {
                     self.shared.record_response();
                     drop(open);
                 }
-                Err(Fault::CutShort) if framing == Framing::UntilClose => return self.reset(),
-                Err(Fault::Io | Fault::CutShort) => return,
+                Err(WriteError::BodyTruncated) if framing == Framing::UntilClose => {
+                    return self.reset();
+                }
+                Err(WriteError::Io | WriteError::BodyTruncated) => return,
             }
             if last {
-                // The other half of the connection stays open a little: see Reader::linger.
+                // The reading half stays open for a while; see Reader::linger.
                 let _ = self.write.shutdown().await;
                 return;
             }
         }
-        // Everything that was read has its answer.
+        // All requests that were read have been answered.
         let _ = self.write.shutdown().await;
     }
 
-    /// Ends the connection by a reset. For a caller that knows no chunks the end of the connection is the end of the answer,
-    /// so that a part would look whole.
+    /// Aborts the connection with a TCP reset. Without chunked coding a close marks the end of the body, so that after
+    /// an orderly close a truncated response would look complete.
     fn reset(self) {
         let socket = SockRef::from(self.write.as_ref());
-        // Where it can't be set the connection is broken already.
+        // If this fails, the connection is already broken.
         let _ = socket.set_linger(Some(Duration::ZERO));
-        // Dropped, this half would end the connection in order; the other half closes it with the reset.
+        // Dropping this half would shut the connection down in order; closing the other half sends the reset.
         self.write.forget();
     }
 
-    /// A node that is about to stop ends each connection with an answer behind which nothing has been read.
-    fn ends_here(&self) -> bool {
+    /// Whether to close the connection after this response because the node is shutting down and no further request has
+    /// been read.
+    fn closes_for_shutdown(&self) -> bool {
         *self.stopping.borrow() && self.shared.try_close_after_next()
     }
 
-    async fn answer(
+    async fn write_answer(
         &mut self,
         mut answer: CallerAnswer,
         framing: Framing,
         last: bool,
         head_only: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), WriteError> {
         if last && framing != Framing::UntilClose {
             answer
                 .headers
@@ -129,9 +132,9 @@
             }
             Body::Stream { mut rx, .. } => {
                 self.write.write_all(&buf).await?;
-                while let Some(piece) = rx.recv().await {
-                    // Cut short, the connection is closed within the body, so that the part does not look whole.
-                    self.piece(piece?, framing).await?;
+                while let Some(chunk) = rx.recv().await {
+                    // A truncated body closes the connection before its end, so that the caller detects it.
+                    self.write_chunk(chunk?, framing).await?;
                 }
                 if framing == Framing::Chunked {
                     self.write.write_all(LAST_CHUNK).await?;
@@ -141,7 +144,7 @@
         Ok(())
     }
 
-    async fn piece(&mut self, bytes: Bytes, framing: Framing) -> Result<(), Fault> {
+    async fn write_chunk(&mut self, bytes: Bytes, framing: Framing) -> Result<(), WriteError> {
         match framing {
             Framing::Chunked if bytes.is_empty() => {}
             Framing::Chunked => self.write.write_all(&chunk(&bytes)).await?,
