--- a/crates/node/src/mesh/callers/connection.rs
+++ b/crates/node/src/mesh/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from a caller.
+//! Serves a single caller connection.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 use super::slot::{ConnectionState, ResponseSlot};
 use super::writer::Writer;
 
-/// Serves a caller until one of the two ends the connection.
+/// Serves a caller until either side closes the connection.
 ///
-/// When the caller leaves, the tasks of its requests are dropped with the set that holds them: what waits is cancelled,
-/// and what may be broken off at a target is.
+/// When the caller disconnects, its request tasks are dropped with their `JoinSet`: queued requests are cancelled, and
+/// so are requests that may be aborted at their target.
 pub async fn serve_connection(stream: TcpStream, cfg: CallersConfig) {
     if stream.set_nodelay(true).is_err() {
         return;
