--- a/crates/node/src/mesh/callers.rs
+++ b/crates/node/src/mesh/callers.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers: read ahead, run side by side, answer in order.
+//! HTTP/1.1 server for callers. Pipelined requests are read ahead, run concurrently and answered in order.
 
 mod connection;
 mod listener;
