--- a/crates/node/src/mesh/entry.rs
+++ b/crates/node/src/mesh/entry.rs
@@ -21,7 +21,7 @@
 use crate::mesh::controller::{AdmissionRequest, ControllerHandle, Credential, Denial};
 use crate::mesh::host::Host;
 use crate::mesh::journal::{Ending, Journal};
-use crate::mesh::link::LinkHub;
+use crate::mesh::link::PeerPool;
 
 /// Retry delay that is announced to callers if no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
@@ -35,7 +35,7 @@
     /// Decides on admission, instances and retries.
     pub controller: ControllerHandle,
     /// Links to other nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Runs requests at the local target.
     pub host: Host,
     /// Header names.
--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use super::controller::{ControllerEvent, ControllerHandle};
-use super::link::{self, LinkHub};
+use super::link::{self, PeerPool};
 
 /// What the controller wants other nodes to be told or asked.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     /// Who decides.
     pub controller: ControllerHandle,
     /// Links to other nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Port at which nodes take messages of others.
     pub peers_port: u16,
     /// Log.
--- a/crates/node/src/mesh/link/ask.rs
+++ b/crates/node/src/mesh/link/ask.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-use super::LinkHub;
+use super::PeerPool;
 use super::frames::{MAX_HEAD, StreamHead};
 use crate::wire::FrameError;
 
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// The node does not answer, or is taken to be silent.
-pub async fn ask<T>(links: &LinkHub, node: SocketAddr, head: &StreamHead) -> Result<T, FrameError>
+pub async fn ask<T>(links: &PeerPool, node: SocketAddr, head: &StreamHead) -> Result<T, FrameError>
 where
     T: DeserializeOwned,
 {
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -8,8 +8,8 @@
 use super::conn::WriteFault;
 use super::frames::{MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
 use super::health::{Health, Incarnation};
-use super::hub::{Link, UNACKNOWLEDGED};
-use super::{LinkHub, pieces};
+use super::pool::{Link, UNACKNOWLEDGED};
+use super::{PeerPool, pieces};
 use crate::mesh::call::{Body, HostReply, HostedRequest, MAX_BUFFERED_BODY};
 use crate::wire::FrameError;
 
@@ -37,7 +37,7 @@
 ///
 /// Whether the request may have arrived.
 pub async fn send(
-    links: &LinkHub,
+    links: &PeerPool,
     address: SocketAddr,
     req: HostedRequest,
 ) -> Result<HostReply, LinkFault> {
@@ -92,7 +92,7 @@
 }
 
 async fn exchange(
-    links: &LinkHub,
+    links: &PeerPool,
     address: SocketAddr,
     link: Link,
     req: HostedRequest,
--- a/crates/node/src/mesh/link/findings.rs
+++ b/crates/node/src/mesh/link/findings.rs
@@ -4,7 +4,7 @@
 
 use coltsfootport_core::quarantine::Finding;
 
-use super::LinkHub;
+use super::PeerPool;
 use super::ask::ask;
 use super::finding_frames::{FindingFrame, FindingsFrame};
 use super::frames::StreamHead;
@@ -16,7 +16,7 @@
 ///
 /// The node does not answer.
 pub async fn tell_findings(
-    links: &LinkHub,
+    links: &PeerPool,
     node: SocketAddr,
     findings: &[Finding],
 ) -> Result<(), FrameError> {
@@ -31,7 +31,7 @@
 ///
 /// The node does not answer.
 pub async fn pull_findings(
-    links: &LinkHub,
+    links: &PeerPool,
     node: SocketAddr,
     digest: u64,
 ) -> Result<Vec<Finding>, FrameError> {
--- a/crates/node/src/mesh/link/hub.rs
+++ b/crates/node/src/mesh/link/pool.rs
@@ -35,7 +35,7 @@
 
 /// Connections to other nodes and what is known of these; cheap to clone.
 #[derive(Clone)]
-pub struct LinkHub {
+pub struct PeerPool {
     clock: SharedClock,
     state: Arc<Mutex<State>>,
 }
@@ -60,7 +60,7 @@
     pub host: Incarnation,
 }
 
-impl LinkHub {
+impl PeerPool {
     /// A hub without connections.
     pub fn new(clock: SharedClock) -> Self {
         Self {
--- a/crates/node/src/mesh/link/quotas.rs
+++ b/crates/node/src/mesh/link/quotas.rs
@@ -4,7 +4,7 @@
 
 use coltsfootport_core::workspace::{QuotaNotice, RoutedClaim, Verdict};
 
-use super::LinkHub;
+use super::PeerPool;
 use super::ask::ask;
 use super::frames::StreamHead;
 use super::quota_frames::{ClaimFrame, NoticeFrame, VerdictsFrame};
@@ -16,7 +16,7 @@
 ///
 /// The home does not answer, or knows one of the workspaces not yet.
 pub async fn claim(
-    links: &LinkHub,
+    links: &PeerPool,
     home: SocketAddr,
     claims: &[RoutedClaim],
 ) -> Result<Vec<Verdict>, FrameError> {
@@ -37,7 +37,7 @@
 ///
 /// The entry does not answer.
 pub async fn notify(
-    links: &LinkHub,
+    links: &PeerPool,
     entry: SocketAddr,
     notices: &[QuotaNotice],
 ) -> Result<(), FrameError> {
--- a/crates/node/src/mesh/link/watch.rs
+++ b/crates/node/src/mesh/link/watch.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-use super::LinkHub;
+use super::PeerPool;
 use super::health::Peer;
 
 /// Time between looks at the nodes.
@@ -33,7 +33,7 @@
 /// A machine that loses power or pauses sends nothing, and the system below gives a connection up only where bytes stay
 /// without acknowledgement. Until then requests sent there would hold the slots of all services above: in a day with one
 /// such machine 535 requests ran out of time within four seconds.
-pub async fn watch_peers(links: LinkHub, log: Logger) {
+pub async fn watch_peers(links: PeerPool, log: Logger) {
     let mut looks = interval(LOOK);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (done_tx, mut done) = mpsc::unbounded_channel();
@@ -61,7 +61,7 @@
     }
 }
 
-fn is_asked(peer: &Peer, links: &LinkHub) -> bool {
+fn is_asked(peer: &Peer, links: &PeerPool) -> bool {
     let quiet = peer.quiet_for(links.now());
     match peer.is_silent() {
         true => quiet >= ASK_AGAIN,
@@ -69,7 +69,7 @@
     }
 }
 
-async fn ask(links: &LinkHub, address: SocketAddr, peer: &Arc<Peer>, log: &Logger) {
+async fn ask(links: &PeerPool, address: SocketAddr, peer: &Arc<Peer>, log: &Logger) {
     let was_silent = peer.is_silent();
     // A new connection: kept ones may have gone silent alone, and the node is to be asked, not one of them.
     let connected = timeout(ANSWER, links.connect(address)).await;
--- a/crates/node/src/mesh/news/follow.rs
+++ b/crates/node/src/mesh/news/follow.rs
@@ -13,7 +13,7 @@
 use super::frames::{FollowFrame, MAX_BODY, MAX_HEAD, NewsFrame};
 use super::listing::read_pages;
 use super::source::{Changes, Heard, Source, What};
-use crate::mesh::link::{LinkHub, PeerConn, StreamHead};
+use crate::mesh::link::{PeerConn, PeerPool, StreamHead};
 use crate::wire::FrameError;
 
 /// Time without a sign of life after which a node is given up. Well within the time in which a configuration must be in
@@ -42,7 +42,7 @@
     /// The position up to which everything is known.
     pub position: Position,
     /// Links to nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Reads the publisher's answers.
     pub publisher: Arc<dyn Publisher>,
     /// Who hears the news.
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -18,7 +18,7 @@
 use super::store_reader::{ALONE_PAUSE, FOLLOWING_PAUSE, StoreReader};
 use crate::clock::SharedClock;
 use crate::mesh::controller::{ControllerEvent, ControllerHandle};
-use crate::mesh::link::LinkHub;
+use crate::mesh::link::PeerPool;
 use crate::mesh::metrics::MeshMetrics;
 use crate::mesh::settings::FeedSettings;
 
@@ -34,7 +34,7 @@
     /// Who is told.
     pub controller: ControllerHandle,
     /// Links to nodes that may be followed.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Port of every node for others.
     pub peers_port: u16,
     /// The newest changes, for others.
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -9,7 +9,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::controller::{ControllerEvent, ControllerHandle};
-use super::link::{self, LinkHub};
+use super::link::{self, PeerPool};
 
 /// Time between two looks at how many nodes are silent.
 const SILENCE_LOOKS: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
     /// Who decides.
     pub controller: ControllerHandle,
     /// Links to other nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Port at which nodes take words of others.
     pub peers_port: u16,
     /// Log.
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -26,7 +26,7 @@
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
-use super::link::{self, LinkHub, Serving, watch_peers};
+use super::link::{self, PeerPool, Serving, watch_peers};
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
 use super::quotas::QuotaCarrier;
@@ -95,7 +95,7 @@
     };
     let (grace_over_tx, grace_over) = watch::channel(false);
     let (service_tx, service) = watch::channel(settings.node.service.clone());
-    let links = LinkHub::new(Arc::clone(&clock));
+    let links = PeerPool::new(Arc::clone(&clock));
     let entry = Entry {
         controller: controller.clone(),
         links: links.clone(),
