--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -19,7 +19,7 @@
     AdmittedRequest, ControllerEvent, InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
 };
 use crate::mesh::journal::Ending;
-use crate::mesh::link::{self, LinkFault};
+use crate::mesh::link::{self, LinkError};
 
 /// Maximum number of reroutes of a request after hosts refused it without involving their targets. Each one costs a
 /// round trip between nodes, and more of them would only shift the load of an overloaded service around.
@@ -183,7 +183,7 @@
         };
         match reply {
             Ok(reply) => self.handle_reply(reply, to.guard).await,
-            Err(LinkFault::NotSent) => {
+            Err(LinkError::NotSent) => {
                 to.guard.end(SendOutcome::NotReached, None);
                 self.reroute(Refusal::NoInstance)
             }
@@ -200,7 +200,7 @@
         }
     }
 
-    async fn send_to_peer(&self, ip: IpAddr, req: HostedRequest) -> Result<HostReply, LinkFault> {
+    async fn send_to_peer(&self, ip: IpAddr, req: HostedRequest) -> Result<HostReply, LinkError> {
         let peer = SocketAddr::new(ip, self.entry.peers_port);
         link::send(&self.entry.links, peer, req).await
     }
--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -14,7 +14,7 @@
 mod server;
 mod watch;
 
-pub use client::{LinkFault, send};
+pub use client::{LinkError, send};
 pub use conn::PeerConn;
 pub use finding_frames::MOST_FINDINGS;
 pub use findings::{pull_findings, tell_findings};
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -15,7 +15,7 @@
 
 /// Why there is no reply.
 #[derive(Debug, thiserror::Error)]
-pub enum LinkFault {
+pub enum LinkError {
     /// No byte of the request has left this node.
     #[error("the node can't be reached")]
     NotSent,
@@ -27,7 +27,7 @@
     Silent,
     /// The request may have reached a process that has ended.
     #[error("the node has started anew")]
-    Replaced,
+    Restarted,
 }
 
 /// Sends a request over a connection of its own and reads the reply. Dropped before the end, the connection is closed,
@@ -40,18 +40,18 @@
     links: &PeerPool,
     address: SocketAddr,
     req: HostedRequest,
-) -> Result<HostReply, LinkFault> {
+) -> Result<HostReply, LinkError> {
     let peer = links.peer(address);
     let mut health = peer.health();
     if health.borrow().silent {
-        return Err(LinkFault::NotSent);
+        return Err(LinkError::NotSent);
     }
     let _counted = peer.count(links.now());
     let link = match links.take(address) {
         Some(link) => link,
         None => tokio::select! {
-            connected = links.connect(address) => connected.map_err(|_| LinkFault::NotSent)?,
-            () = silence(&mut health) => return Err(LinkFault::NotSent),
+            connected = links.connect(address) => connected.map_err(|_| LinkError::NotSent)?,
+            () = silence(&mut health) => return Err(LinkError::NotSent),
         },
     };
     let host = link.host;
@@ -78,7 +78,7 @@
     health: &mut watch::Receiver<Health>,
     host: Incarnation,
     repeat: Repeat,
-) -> LinkFault {
+) -> LinkError {
     let is_replaced = |health: &Health| health.has_replaced(&host);
     let is_left = |health: &Health| health.silent && repeat == Repeat::Idempotent;
     // The node is known for as long as it has requests.
@@ -86,8 +86,8 @@
         .wait_for(|health| is_replaced(health) || is_left(health))
         .await;
     match known {
-        Ok(health) if is_replaced(&health) => LinkFault::Replaced,
-        _ => LinkFault::Silent,
+        Ok(health) if is_replaced(&health) => LinkError::Restarted,
+        _ => LinkError::Silent,
     }
 }
 
@@ -96,7 +96,7 @@
     address: SocketAddr,
     link: Link,
     req: HostedRequest,
-) -> Result<HostReply, LinkFault> {
+) -> Result<HostReply, LinkError> {
     let Link { mut conn, host } = link;
     let head = StreamHead::Request(Box::new(RequestFrame::new(&req, links.now())));
     let in_pieces = matches!(req.body, Body::Stream { .. });
@@ -127,9 +127,9 @@
     }
 }
 
-fn not_written(fault: WriteFault) -> LinkFault {
+fn not_written(fault: WriteFault) -> LinkError {
     match fault {
-        WriteFault::NothingSent => LinkFault::NotSent,
-        fault => LinkFault::Lost(fault.into()),
+        WriteFault::NothingSent => LinkError::NotSent,
+        fault => LinkError::Lost(fault.into()),
     }
 }
