--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -15,7 +15,7 @@
 use super::state::Waiter;
 use crate::mesh::call::RunEnd;
 use crate::mesh::findings::FindingsMessage;
-use crate::mesh::link::MOST_FINDINGS;
+use crate::mesh::link::MAX_FINDINGS;
 
 /// Isolated requests that wait at a host at most.
 const MOST_ISOLATED: usize = 64;
@@ -220,7 +220,7 @@
     /// What this node knows, where it differs from what the digest stands for.
     pub(super) fn findings_unlike(&self, digest: u64) -> Vec<Finding> {
         let register = &self.quarantine.register;
-        register.unlike(digest, MOST_FINDINGS, self.clock.now())
+        register.unlike(digest, MAX_FINDINGS, self.clock.now())
     }
 
     /// Lets time pass: pushes new findings to peers, and pulls from one of them from time to time.
@@ -228,7 +228,7 @@
         let was_pulled = self.quarantine.pulled;
         self.quarantine.register.tick(now);
         self.review_expired(now);
-        let untold = self.quarantine.register.take_untold(MOST_FINDINGS, now);
+        let untold = self.quarantine.register.take_untold(MAX_FINDINGS, now);
         if !untold.is_empty() {
             let nodes = self.other_nodes(FAN_OUT);
             self.spread(FindingsMessage::Push(nodes, untold));
--- a/crates/node/src/mesh/link/finding_frames.rs
+++ b/crates/node/src/mesh/link/finding_frames.rs
@@ -1,14 +1,14 @@
-//! What is known of requests that crash targets, as it travels between nodes.
+//! Wire format of findings about requests that crash targets.
 
 use std::time::Duration;
 
 use coltsfootport_core::quarantine::{CrashId, Crashes, Evidence, Finding, Fingerprint};
 use serde::{Deserialize, Serialize};
 
-/// Findings in one message at most; keeps it well below the largest head.
-pub const MOST_FINDINGS: usize = 512;
+/// Maximum number of findings in a message, which keeps its size well below `MAX_HEAD`.
+pub const MAX_FINDINGS: usize = 512;
 
-/// One finding.
+/// A finding about one request fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingFrame {
     fingerprint: Fingerprint,
@@ -22,7 +22,7 @@
     Answered,
 }
 
-/// The answer to a pull.
+/// Answer to a `FindingsPull`; empty as acknowledgement of `Findings`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingsFrame(pub Vec<FindingFrame>);
 
