--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -50,7 +50,7 @@
 
     async fn push(self, node: IpAddr, findings: Vec<Finding>) {
         // A node that can't be reached now hears it from others, or asks when it can.
-        if let Err(e) = link::tell_findings(&self.links, self.address(node), &findings).await {
+        if let Err(e) = link::push_findings(&self.links, self.address(node), &findings).await {
             debug!(self.log, "findings not told"; "peer" => %node, "reason" => %e);
         }
     }
--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -17,7 +17,7 @@
 pub use client::{LinkError, send};
 pub use conn::PeerConn;
 pub use finding_frames::MAX_FINDINGS;
-pub use findings::{pull_findings, tell_findings};
+pub use findings::{pull_findings, push_findings};
 pub use frames::StreamHead;
 pub use pool::PeerPool;
 pub use quotas::{claim, notify};
--- a/crates/node/src/mesh/link/findings.rs
+++ b/crates/node/src/mesh/link/findings.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// The node does not answer.
-pub async fn tell_findings(
+pub async fn push_findings(
     links: &PeerPool,
     node: SocketAddr,
     findings: &[Finding],
