--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -20,6 +20,6 @@
 pub use findings::{pull_findings, push_findings};
 pub use frames::StreamHead;
 pub use pool::PeerPool;
-pub use quotas::{claim, notify};
+pub use quotas::{send_claims, send_notices};
 pub use server::{Serving, serve};
 pub use watch::watch_peers;
--- a/crates/node/src/mesh/link/quotas.rs
+++ b/crates/node/src/mesh/link/quotas.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// The home does not answer, or knows one of the workspaces not yet.
-pub async fn claim(
+pub async fn send_claims(
     links: &PeerPool,
     home: SocketAddr,
     claims: &[RoutedClaim],
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// The entry does not answer.
-pub async fn notify(
+pub async fn send_notices(
     links: &PeerPool,
     entry: SocketAddr,
     notices: &[QuotaNotice],
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -66,7 +66,7 @@
 
     async fn claim(self, home: IpAddr, claims: Vec<RoutedClaim>) {
         let address = SocketAddr::new(home, self.peers_port);
-        let event = match link::claim(&self.links, address, &claims).await {
+        let event = match link::send_claims(&self.links, address, &claims).await {
             Ok(verdicts) => {
                 let confirmed = claims.into_iter().zip(verdicts);
                 ControllerEvent::QuotaClaimsConfirmed(confirmed.collect())
@@ -83,7 +83,7 @@
         for entry in entries {
             let address = SocketAddr::new(entry, self.peers_port);
             // An entry that can't be reached now is told with its next claim, or again in a moment.
-            if let Err(e) = link::notify(&self.links, address, &notices).await {
+            if let Err(e) = link::send_notices(&self.links, address, &notices).await {
                 debug!(self.log, "entry not told of a quota"; "entry" => %entry, "reason" => %e);
             }
         }
