--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -21,5 +21,5 @@
 pub use frames::StreamHead;
 pub use pool::PeerPool;
 pub use quotas::{send_claims, send_notices};
-pub use server::{Serving, serve};
+pub use server::{ServerContext, serve};
 pub use watch::watch_peers;
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -31,7 +31,7 @@
 
 /// What a node does for others; cheap to clone.
 #[derive(Clone)]
-pub struct Serving {
+pub struct ServerContext {
     /// Runs their requests.
     pub host: Host,
     /// Passes the publisher's news on.
@@ -43,7 +43,7 @@
 }
 
 /// Accepts other nodes for as long as the process lives.
-pub async fn serve(listener: TcpListener, serving: Serving) {
+pub async fn serve(listener: TcpListener, serving: ServerContext) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -57,7 +57,7 @@
     }
 }
 
-async fn serve_conn(stream: TcpStream, serving: Serving) {
+async fn serve_conn(stream: TcpStream, serving: ServerContext) {
     if let Err(e) = prepare(&stream) {
         return debug!(serving.log, "a node has left"; "reason" => e.to_string());
     }
@@ -90,7 +90,7 @@
 async fn answer(
     conn: &mut PeerConn,
     head: StreamHead,
-    serving: &Serving,
+    serving: &ServerContext,
 ) -> Result<bool, FrameError> {
     match head {
         StreamHead::Request(head) => run(conn, *head, &serving.host).await,
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -26,7 +26,7 @@
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
-use super::link::{self, PeerPool, Serving, watch_peers};
+use super::link::{self, PeerPool, ServerContext, watch_peers};
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
 use super::quotas::QuotaCarrier;
@@ -155,7 +155,7 @@
         peers_port: settings.node.peers.port(),
         log: log.clone(),
     };
-    let serving = Serving {
+    let serving = ServerContext {
         host: host.clone(),
         sharing,
         boot: rand::random(),
