--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -3,6 +3,7 @@
 mod ask;
 mod client;
 mod conn;
+mod failure_detector;
 mod finding_frames;
 mod findings;
 mod frames;
@@ -12,14 +13,13 @@
 mod quota_frames;
 mod quotas;
 mod server;
-mod watch;
 
 pub use client::{LinkError, send};
 pub use conn::PeerConn;
+pub use failure_detector::monitor_peers;
 pub use finding_frames::MAX_FINDINGS;
 pub use findings::{pull_findings, push_findings};
 pub use frames::StreamHead;
 pub use pool::PeerPool;
 pub use quotas::{send_claims, send_notices};
 pub use server::{ServerContext, serve};
-pub use watch::watch_peers;
--- a/crates/node/src/mesh/link/watch.rs
+++ b/crates/node/src/mesh/link/failure_detector.rs
@@ -33,7 +33,7 @@
 /// A machine that loses power or pauses sends nothing, and the system below gives a connection up only where bytes stay
 /// without acknowledgement. Until then requests sent there would hold the slots of all services above: in a day with one
 /// such machine 535 requests ran out of time within four seconds.
-pub async fn watch_peers(links: PeerPool, log: Logger) {
+pub async fn monitor_peers(links: PeerPool, log: Logger) {
     let mut looks = interval(LOOK);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (done_tx, mut done) = mpsc::unbounded_channel();
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -26,7 +26,7 @@
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
-use super::link::{self, PeerPool, ServerContext, watch_peers};
+use super::link::{self, PeerPool, ServerContext, monitor_peers};
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
 use super::quotas::QuotaCarrier;
@@ -164,7 +164,7 @@
     info!(log, "started"; "callers" => settings.node.callers, "target" => settings.node.target,
         "domain" => settings.node.domain.as_str(), "version" => env!("CARGO_PKG_VERSION"));
     tokio::spawn(run_controller(state, rx));
-    tokio::spawn(watch_peers(links, log.clone()));
+    tokio::spawn(monitor_peers(links, log.clone()));
     tokio::spawn(link::serve(peers_socket, serving));
     tokio::spawn(quotas.run(words));
     tokio::spawn(spreader.run(findings));
