--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -5,7 +5,7 @@
 use coltsfootport_core::mesh::Repeat;
 use tokio::sync::watch;
 
-use super::conn::WriteFault;
+use super::conn::WriteError;
 use super::frames::{MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
 use super::health::{Health, Incarnation};
 use super::pool::{Link, UNACKNOWLEDGED};
@@ -115,7 +115,7 @@
         Some(length) => {
             let body = conn.read_body(length).await?;
             // Set back only now: what was sent may have waited until here for the target to read it.
-            if whole && (!in_pieces || conn.set_patience(UNACKNOWLEDGED).is_ok()) {
+            if whole && (!in_pieces || conn.set_user_timeout(UNACKNOWLEDGED).is_ok()) {
                 links.put(address, Link { conn, host });
             }
             Ok(head.into_reply(Body::Whole(body))?)
@@ -127,9 +127,9 @@
     }
 }
 
-fn not_written(fault: WriteFault) -> LinkError {
+fn not_written(fault: WriteError) -> LinkError {
     match fault {
-        WriteFault::NothingSent => LinkError::NotSent,
+        WriteError::NothingSent => LinkError::NotSent,
         fault => LinkError::Lost(fault.into()),
     }
 }
--- a/crates/node/src/mesh/link/conn.rs
+++ b/crates/node/src/mesh/link/conn.rs
@@ -1,4 +1,4 @@
-//! One TCP connection between two nodes: frames, one request at a time.
+//! A TCP connection between two nodes that carries frames, one request at a time.
 
 use std::io;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::mesh::conn_reuse::is_reusable;
 use crate::wire::FrameError;
 
-/// Bytes of the length before a head or a piece of a body.
+/// Size of the length prefix of heads and body chunks, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Room for one read, in bytes. Most requests and answers fit in whole, so that one system call brings them.
+/// Minimum buffer space for a read, in bytes. Most requests and replies fit and are read in a single system call.
 const READ_SIZE: usize = 4 * 1024;
 
-/// A connection with the bytes that were read from it and not used yet.
+/// A connection with its read buffer.
 #[derive(Debug)]
 pub struct PeerConn {
     stream: TcpStream,
@@ -26,7 +26,7 @@
 }
 
 impl PeerConn {
-    /// A connection on which nothing was sent.
+    /// Wraps a new connection.
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -34,91 +34,91 @@
         }
     }
 
-    /// Whether nothing has come since the last frame, neither bytes nor the end.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether the connection can carry another request: it is open and has no unread input.
+    pub fn is_reusable(&self) -> bool {
         self.buf.is_empty() && is_reusable(&self.stream)
     }
 
-    /// Gives back the room of the buffer; an idle connection would hold it for seconds.
-    pub fn rest(&mut self) {
+    /// Frees the read buffer, which an idle connection would hold for seconds.
+    pub fn release_buffer(&mut self) {
         if self.buf.is_empty() {
             self.buf = BytesMut::new();
         }
     }
 
-    /// Sets for how long sent bytes may stay at this end without the other one taking them, after which the connection is lost.
+    /// Sets the TCP user timeout: how long sent bytes may stay unacknowledged before the connection is dropped.
     ///
     /// # Errors
     ///
-    /// The connection is lost already.
-    pub fn set_patience(&self, time: Duration) -> Result<(), FrameError> {
+    /// The connection is already lost.
+    pub fn set_user_timeout(&self, timeout: Duration) -> Result<(), FrameError> {
         SockRef::from(&self.stream)
-            .set_tcp_user_timeout(Some(time))
-            .map_err(cut)
+            .set_tcp_user_timeout(Some(timeout))
+            .map_err(connection_lost)
     }
 
-    /// Writes a head and a body that is held.
+    /// Writes a head and a buffered body.
     ///
     /// # Errors
     ///
     /// The connection is lost.
-    pub async fn write<T>(&mut self, head: &T, body: &[u8]) -> Result<(), WriteFault>
+    pub async fn write<T>(&mut self, head: &T, body: &[u8]) -> Result<(), WriteError>
     where
         T: Serialize,
     {
-        let mut buf = encoded(head)?;
+        let mut buf = encode_head(head)?;
         buf.extend_from_slice(body);
         let first = self.stream.write(&buf).await;
-        let written = first.map_err(|_| WriteFault::NothingSent)?;
+        let written = first.map_err(|_| WriteError::NothingSent)?;
         let rest = self.stream.write_all(&buf[written..]).await;
-        rest.map_err(|_| WriteFault::Cut)
+        rest.map_err(|_| WriteError::ConnectionLost)
     }
 
-    /// Writes one piece of a body that is not held; an empty one is its end.
+    /// Writes one chunk of a streamed body; an empty chunk ends the body.
     ///
     /// # Errors
     ///
     /// The connection is lost.
-    pub async fn write_piece(&mut self, piece: &[u8]) -> Result<(), FrameError> {
-        let buf = with_length(piece)?;
-        self.stream.write_all(&buf).await.map_err(cut)
+    pub async fn write_chunk(&mut self, chunk: &[u8]) -> Result<(), FrameError> {
+        let buf = encode_chunk(chunk)?;
+        self.stream.write_all(&buf).await.map_err(connection_lost)
     }
 
-    /// Writes one piece as [`PeerConn::write_piece`] does; `false` where something comes from the other end before it has
-    /// taken the whole piece.
+    /// Writes one chunk like [`PeerConn::write_chunk`]. Returns `false` if the peer sends something before the whole
+    /// chunk is written.
     ///
     /// # Errors
     ///
     /// The connection is lost.
-    pub async fn write_piece_unless_answered(&mut self, piece: &[u8]) -> Result<bool, FrameError> {
-        let buf = with_length(piece)?;
+    pub async fn write_chunk_unless_answered(&mut self, chunk: &[u8]) -> Result<bool, FrameError> {
+        let buf = encode_chunk(chunk)?;
         let (mut rx, mut tx) = self.stream.split();
         let mut byte = [0];
         tokio::select! {
-            written = tx.write_all(&buf) => written.map(|()| true).map_err(cut),
+            written = tx.write_all(&buf) => written.map(|()| true).map_err(connection_lost),
             _ = rx.peek(&mut byte) => Ok(false),
         }
     }
 
-    /// Reads a head of at most `limit` bytes. Dropped before the end, nothing that has come is lost.
+    /// Reads a head of at most `limit` bytes. Cancel safe: received bytes stay in the buffer.
     ///
     /// # Errors
     ///
-    /// The connection has ended, or sends what is no such head.
+    /// The connection is closed, or the data is no valid head.
     pub async fn read_head<T>(&mut self, limit: usize) -> Result<T, FrameError>
     where
         T: DeserializeOwned,
     {
-        let head = self.read_piece(limit).await?;
+        let head = self.read_chunk(limit).await?;
         postcard::from_bytes(&head).map_err(|_| FrameError::Malformed)
     }
 
-    /// Reads one piece of at most `limit` bytes, as [`PeerConn::write_piece`] wrote it.
+    /// Reads one chunk of at most `limit` bytes, as written by [`PeerConn::write_chunk`].
     ///
     /// # Errors
     ///
-    /// The connection has ended, or the piece is larger.
-    pub async fn read_piece(&mut self, limit: usize) -> Result<Bytes, FrameError> {
+    /// The connection is closed, or the chunk is larger than `limit`.
+    pub async fn read_chunk(&mut self, limit: usize) -> Result<Bytes, FrameError> {
         self.fill(LENGTH_BYTES).await?;
         let mut length = [0; LENGTH_BYTES];
         length.copy_from_slice(&self.buf[..LENGTH_BYTES]);
@@ -127,34 +127,38 @@
             return Err(FrameError::TooLarge(length));
         }
         self.fill(LENGTH_BYTES + length).await?;
-        let mut piece = self.buf.split_to(LENGTH_BYTES + length);
-        Ok(piece.split_off(LENGTH_BYTES).freeze())
+        let mut chunk = self.buf.split_to(LENGTH_BYTES + length);
+        Ok(chunk.split_off(LENGTH_BYTES).freeze())
     }
 
     /// Reads a body of exactly `length` bytes.
     ///
     /// # Errors
     ///
-    /// The connection has ended.
+    /// The connection is closed.
     pub async fn read_body(&mut self, length: usize) -> Result<Bytes, FrameError> {
         self.fill(length).await?;
         Ok(self.buf.split_to(length).freeze())
     }
 
-    /// Resolves when the other end has closed or sends something; what it sends stays to be read.
+    /// Resolves when the peer closes the connection or sends something, which remains unread.
     pub async fn closed(&self) {
         if self.buf.is_empty() {
             let mut byte = [0];
-            // An end, a reset or bytes: each of them ends the exchange.
+            // End of file, a reset and unexpected input all end the exchange.
             let _ = self.stream.peek(&mut byte).await;
         }
     }
 
-    /// Reads until so many bytes are there.
-    async fn fill(&mut self, wanted: usize) -> Result<(), FrameError> {
-        while self.buf.len() < wanted {
-            self.buf.reserve(READ_SIZE.max(wanted - self.buf.len()));
-            let read = self.stream.read_buf(&mut self.buf).await.map_err(cut)?;
+    /// Reads until the buffer holds at least `needed` bytes.
+    async fn fill(&mut self, needed: usize) -> Result<(), FrameError> {
+        while self.buf.len() < needed {
+            self.buf.reserve(READ_SIZE.max(needed - self.buf.len()));
+            let read = self
+                .stream
+                .read_buf(&mut self.buf)
+                .await
+                .map_err(connection_lost)?;
             if read == 0 {
                 return Err(FrameError::Cut);
             }
@@ -163,50 +167,50 @@
     }
 }
 
-/// Why a frame was not written.
+/// Why a frame could not be written.
 #[derive(Debug, thiserror::Error)]
-pub enum WriteFault {
-    /// The connection had ended before: no byte has left this node.
-    #[error("the connection had ended")]
+pub enum WriteError {
+    /// The connection was already closed; nothing was sent.
+    #[error("connection already closed")]
     NothingSent,
-    /// The connection was lost within the frame.
-    #[error("the connection was lost")]
-    Cut,
-    /// The head can't be encoded.
+    /// The connection was lost while the frame was written.
+    #[error("connection lost")]
+    ConnectionLost,
+    /// The head could not be encoded.
     #[error(transparent)]
     Head(#[from] FrameError),
 }
 
-impl From<WriteFault> for FrameError {
-    fn from(fault: WriteFault) -> Self {
-        match fault {
-            WriteFault::NothingSent | WriteFault::Cut => Self::Cut,
-            WriteFault::Head(e) => e,
+impl From<WriteError> for FrameError {
+    fn from(error: WriteError) -> Self {
+        match error {
+            WriteError::NothingSent | WriteError::ConnectionLost => Self::Cut,
+            WriteError::Head(e) => e,
         }
     }
 }
 
-/// A head with its length before it.
-fn encoded<T>(head: &T) -> Result<Vec<u8>, FrameError>
+/// Encodes a head with its length prefix.
+fn encode_head<T>(head: &T) -> Result<Vec<u8>, FrameError>
 where
     T: Serialize,
 {
-    let room = vec![0; LENGTH_BYTES];
-    let mut buf = postcard::to_extend(head, room).map_err(|_| FrameError::Malformed)?;
+    let prefix = vec![0; LENGTH_BYTES];
+    let mut buf = postcard::to_extend(head, prefix).map_err(|_| FrameError::Malformed)?;
     let length = u32::try_from(buf.len() - LENGTH_BYTES).map_err(|_| FrameError::Malformed)?;
     buf[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
     Ok(buf)
 }
 
-/// A piece with its length before it.
-fn with_length(piece: &[u8]) -> Result<BytesMut, FrameError> {
-    let length = u32::try_from(piece.len()).map_err(|_| FrameError::TooLarge(piece.len()))?;
-    let mut buf = BytesMut::with_capacity(LENGTH_BYTES + piece.len());
+/// Encodes a chunk with its length prefix.
+fn encode_chunk(chunk: &[u8]) -> Result<BytesMut, FrameError> {
+    let length = u32::try_from(chunk.len()).map_err(|_| FrameError::TooLarge(chunk.len()))?;
+    let mut buf = BytesMut::with_capacity(LENGTH_BYTES + chunk.len());
     buf.put_u32(length);
-    buf.put_slice(piece);
+    buf.put_slice(chunk);
     Ok(buf)
 }
 
-fn cut(_: io::Error) -> FrameError {
+fn connection_lost(_: io::Error) -> FrameError {
     FrameError::Cut
 }
--- a/crates/node/src/mesh/link/pieces.rs
+++ b/crates/node/src/mesh/link/pieces.rs
@@ -31,7 +31,7 @@
 ///
 /// The body was cut short, or the connection is lost.
 pub async fn send_request(conn: &mut PeerConn, rx: &mut Pieces) -> Result<bool, FrameError> {
-    conn.set_patience(PAUSE)?;
+    conn.set_user_timeout(PAUSE)?;
     loop {
         let piece = tokio::select! {
             piece = rx.recv() => piece,
@@ -40,7 +40,7 @@
         let piece = piece.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
         let is_end = piece.is_none();
         let piece = piece.unwrap_or_default();
-        if !conn.write_piece_unless_answered(&piece).await? {
+        if !conn.write_chunk_unless_answered(&piece).await? {
             return Ok(false);
         }
         if is_end {
@@ -55,7 +55,7 @@
 ///
 /// The body was cut short, or nobody reads it any more.
 pub async fn send_answer(conn: &mut PeerConn, mut rx: Pieces) -> Result<(), FrameError> {
-    conn.set_patience(PAUSE)?;
+    conn.set_user_timeout(PAUSE)?;
     loop {
         let piece = tokio::select! {
             piece = rx.recv() => piece,
@@ -63,7 +63,7 @@
         };
         let piece = piece.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
         let is_end = piece.is_none();
-        conn.write_piece(&piece.unwrap_or_default()).await?;
+        conn.write_chunk(&piece.unwrap_or_default()).await?;
         if is_end {
             return Ok(());
         }
@@ -77,7 +77,7 @@
     ended: &AtomicBool,
 ) {
     loop {
-        match conn.read_piece(MAX_BODY_CHUNK).await {
+        match conn.read_chunk(MAX_BODY_CHUNK).await {
             Ok(piece) if piece.is_empty() => break,
             Ok(piece) => {
                 if tx.send(Ok(piece)).await.is_err() {
@@ -99,7 +99,7 @@
 pub async fn drain(conn: &mut PeerConn) -> bool {
     let rest = async {
         loop {
-            match conn.read_piece(MAX_BODY_CHUNK).await {
+            match conn.read_chunk(MAX_BODY_CHUNK).await {
                 Ok(piece) if piece.is_empty() => return true,
                 Ok(_) => {}
                 Err(_) => return false,
@@ -125,7 +125,7 @@
     let mut received = 0;
     loop {
         let piece = tokio::select! {
-            piece = conn.read_piece(MAX_BODY_CHUNK) => piece,
+            piece = conn.read_chunk(MAX_BODY_CHUNK) => piece,
             () = tx.closed() => return,
         };
         match piece {
--- a/crates/node/src/mesh/link/pool.rs
+++ b/crates/node/src/mesh/link/pool.rs
@@ -110,7 +110,7 @@
             // A machine that lost power has closed nothing.
             let is_replaced = peer.is_some_and(|peer| peer.has_replaced(&link.host));
             // Bytes that nobody asked for, or an end: its node has stopped.
-            if is_fresh && !is_replaced && link.conn.is_quiet() {
+            if is_fresh && !is_replaced && link.conn.is_reusable() {
                 return Some(link);
             }
         }
@@ -143,7 +143,7 @@
 
     /// Keeps a connection whose reply was read whole.
     pub fn put(&self, address: SocketAddr, mut link: Link) {
-        link.conn.rest();
+        link.conn.release_buffer();
         let since = self.now();
         let mut state = self.state();
         let idle = state.idle.entry(address).or_default();
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -77,7 +77,7 @@
             Err(e) => Err(e),
         };
         match goes_on {
-            Ok(true) => conn.rest(),
+            Ok(true) => conn.release_buffer(),
             Ok(false) => return,
             Err(e) => {
                 return debug!(serving.log, "exchange with a node failed"; "reason" => e.to_string());
