--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -46,7 +46,7 @@
     if health.borrow().silent {
         return Err(LinkError::NotSent);
     }
-    let _counted = peer.count(links.now());
+    let _counted = peer.track_request(links.now());
     let link = match links.take(address) {
         Some(link) => link,
         None => tokio::select! {
@@ -62,7 +62,7 @@
         fault = given_up(&mut health, host, repeat) => Err(fault),
     };
     if reply.is_ok() {
-        peer.heard(links.now());
+        peer.record_activity(links.now());
     }
     reply
 }
--- a/crates/node/src/mesh/link/failure_detector.rs
+++ b/crates/node/src/mesh/link/failure_detector.rs
@@ -62,10 +62,10 @@
 }
 
 fn is_asked(peer: &Peer, links: &PeerPool) -> bool {
-    let quiet = peer.quiet_for(links.now());
+    let quiet = peer.time_since_activity(links.now());
     match peer.is_silent() {
         true => quiet >= ASK_AGAIN,
-        false => peer.has_requests() && quiet >= ASK_AFTER,
+        false => peer.has_requests_in_flight() && quiet >= ASK_AFTER,
     }
 }
 
@@ -82,13 +82,13 @@
             links.put(address, link);
         }
         // Something else may have come from it meanwhile, over another connection.
-        Ok(Err(_)) | Err(_) if peer.quiet_for(now) < ANSWER => {}
+        Ok(Err(_)) | Err(_) if peer.time_since_activity(now) < ANSWER => {}
         Ok(Err(_)) | Err(_) => {
             if !was_silent {
-                let quiet_ms = peer.quiet_for(now).as_millis() as u64;
+                let quiet_ms = peer.time_since_activity(now).as_millis() as u64;
                 warn!(log, "peer silent"; "peer" => address, "quiet_ms" => quiet_ms);
             }
-            peer.unanswered();
+            peer.mark_silent();
         }
     }
 }
--- a/crates/node/src/mesh/link/health.rs
+++ b/crates/node/src/mesh/link/health.rs
@@ -1,30 +1,31 @@
-//! Whether a node that has requests of this one still answers.
+//! Liveness of peers, as seen by this node.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use tokio::sync::watch;
 
-/// One process of a node, as the other end of a connection has seen it.
+/// Identifies a process of a peer, as seen on a connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// Drawn at its start.
+    /// Random number drawn when the process starts.
     pub boot: u64,
-    /// When it was connected to, by the clock of this node.
+    /// When the connection was opened, by the clock of this node.
     pub connected_at: Instant,
 }
 
-/// What is known of a node.
+/// Health of a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Whether it has answered nothing for so long that its machine is taken to be cut off, without power or paused.
+    /// Whether the peer has not responded for so long that its machine is considered disconnected, powered off or
+    /// paused.
     pub silent: bool,
-    /// The process that was connected to last; `None` before the first connection.
+    /// The process of the newest connection; `None` before the first one.
     pub incarnation: Option<Incarnation>,
 }
 
 impl Health {
-    /// Whether a process has ended, since another one of the node was connected to after it.
+    /// Whether the process `earlier` has been replaced: a newer connection reached another process of the peer.
     pub fn has_replaced(&self, earlier: &Incarnation) -> bool {
         self.incarnation.is_some_and(|known| {
             known.boot != earlier.boot && known.connected_at > earlier.connected_at
@@ -32,113 +33,113 @@
     }
 }
 
-/// A node that has requests of this one.
+/// A node to which this one sends requests.
 #[derive(Debug)]
 pub struct Peer {
-    began: Instant,
+    created: Instant,
     in_flight: AtomicU32,
-    /// When something last came from it, in milliseconds since `began`.
-    heard_ms: AtomicU64,
-    /// When a request was last on its way to it, in milliseconds since `began`.
-    used_ms: AtomicU64,
+    /// Time of the last message from the peer, in milliseconds since `created`.
+    last_activity_ms: AtomicU64,
+    /// Time at which the last request was sent to the peer, in milliseconds since `created`.
+    last_request_ms: AtomicU64,
     health: watch::Sender<Health>,
 }
 
 impl Peer {
-    /// A node of which nothing is known.
+    /// Creates a peer without any history.
     pub fn new(now: Instant) -> Self {
         Self {
-            began: now,
+            created: now,
             in_flight: AtomicU32::new(0),
-            heard_ms: AtomicU64::new(0),
-            used_ms: AtomicU64::new(0),
+            last_activity_ms: AtomicU64::new(0),
+            last_request_ms: AtomicU64::new(0),
             health: watch::Sender::new(Health::default()),
         }
     }
 
-    /// Follows what is known of it.
+    /// Subscribes to changes of the peer's health.
     pub fn health(&self) -> watch::Receiver<Health> {
         self.health.subscribe()
     }
 
-    /// Something has come from it.
-    pub fn heard(&self, now: Instant) {
-        self.heard_ms
-            .store(self.since_begin(now), Ordering::Relaxed);
+    /// Records a message from the peer.
+    pub fn record_activity(&self, now: Instant) {
+        self.last_activity_ms
+            .store(self.millis_since_creation(now), Ordering::Relaxed);
     }
 
-    /// It has said hello on a new connection.
-    pub fn greeted(&self, host: Incarnation, now: Instant) {
-        self.heard(now);
+    /// Records the hello frame of a new connection.
+    pub fn record_hello(&self, host: Incarnation, now: Instant) {
+        self.record_activity(now);
         self.health.send_if_modified(|health| {
             let is_newest = match health.incarnation {
                 Some(known) => known.connected_at < host.connected_at,
                 None => true,
             };
-            let is_other = health.incarnation.map(|known| known.boot) != Some(host.boot);
+            let is_other_process = health.incarnation.map(|known| known.boot) != Some(host.boot);
             let was_silent = std::mem::replace(&mut health.silent, false);
             if is_newest {
                 health.incarnation = Some(host);
             }
-            was_silent || (is_newest && is_other)
+            was_silent || (is_newest && is_other_process)
         });
     }
 
-    /// It has not answered.
-    pub fn unanswered(&self) {
+    /// Marks the peer as silent after a failed probe.
+    pub fn mark_silent(&self) {
         self.health
             .send_if_modified(|health| !std::mem::replace(&mut health.silent, true));
     }
 
-    /// Whether a process of it has ended; see [`Health::has_replaced`].
+    /// Whether a process of the peer has been replaced; see [`Health::has_replaced`].
     pub fn has_replaced(&self, earlier: &Incarnation) -> bool {
         self.health.borrow().has_replaced(earlier)
     }
 
-    /// Whether it is taken to be silent.
+    /// Whether the peer is considered silent.
     pub fn is_silent(&self) -> bool {
         self.health.borrow().silent
     }
 
-    /// Whether it has requests of this node.
-    pub fn has_requests(&self) -> bool {
+    /// Whether requests of this node are in flight to the peer.
+    pub fn has_requests_in_flight(&self) -> bool {
         self.in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Time since something came from it or, if that is later, since a request went there when it had none.
-    pub fn quiet_for(&self, now: Instant) -> Duration {
-        let last = self.heard_ms.load(Ordering::Relaxed);
-        Duration::from_millis(self.since_begin(now).saturating_sub(last))
+    /// Time since the last message from the peer or, if later, since a request was sent while none was in flight.
+    pub fn time_since_activity(&self, now: Instant) -> Duration {
+        let last = self.last_activity_ms.load(Ordering::Relaxed);
+        Duration::from_millis(self.millis_since_creation(now).saturating_sub(last))
     }
 
-    /// Time since a request was on its way to it.
-    pub fn unused_for(&self, now: Instant) -> Duration {
-        let last = self.used_ms.load(Ordering::Relaxed);
-        Duration::from_millis(self.since_begin(now).saturating_sub(last))
+    /// Time since the last request was sent to the peer.
+    pub fn time_since_request(&self, now: Instant) -> Duration {
+        let last = self.last_request_ms.load(Ordering::Relaxed);
+        Duration::from_millis(self.millis_since_creation(now).saturating_sub(last))
     }
 
-    /// Counts a request as on its way for as long as the result lives.
-    pub fn count(&self, now: Instant) -> InFlight<'_> {
-        let now_ms = self.since_begin(now);
-        self.used_ms.store(now_ms, Ordering::Relaxed);
+    /// Counts a request as in flight for as long as the returned guard lives.
+    pub fn track_request(&self, now: Instant) -> InFlightGuard<'_> {
+        let now_ms = self.millis_since_creation(now);
+        self.last_request_ms.store(now_ms, Ordering::Relaxed);
         if self.in_flight.fetch_add(1, Ordering::Relaxed) == 0 {
-            // Its silence while it had nothing to say counts for nothing.
-            self.heard_ms.fetch_max(now_ms, Ordering::Relaxed);
+            // An idle peer is not expected to send anything, so that the time before this request does not count.
+            self.last_activity_ms.fetch_max(now_ms, Ordering::Relaxed);
         }
-        InFlight(self)
+        InFlightGuard(self)
     }
 
-    fn since_begin(&self, now: Instant) -> u64 {
-        let since = now.saturating_duration_since(self.began);
+    fn millis_since_creation(&self, now: Instant) -> u64 {
+        let since = now.saturating_duration_since(self.created);
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
-/// A request on its way to a node.
+/// Guard that counts a request to a peer as in flight.
 #[derive(Debug)]
-pub struct InFlight<'p>(&'p Peer);
+pub struct InFlightGuard<'p>(&'p Peer);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/node/src/mesh/link/pool.rs
+++ b/crates/node/src/mesh/link/pool.rs
@@ -124,7 +124,7 @@
     /// The node does not accept it, or says nothing; nothing was sent.
     pub async fn connect(&self, address: SocketAddr) -> io::Result<Link> {
         let link = timeout(CONNECT_TIMEOUT, self.open(address)).await??;
-        self.peer(address).greeted(link.host, self.now());
+        self.peer(address).record_hello(link.host, self.now());
         Ok(link)
     }
 
@@ -161,7 +161,9 @@
             !idle.is_empty()
         });
         let kept = |peer: &Peer| if peer.is_silent() { SILENT_KEPT } else { KEPT };
-        let is_used = |peer: &Peer| peer.has_requests() || peer.unused_for(now) < kept(peer);
+        let is_used = |peer: &Peer| {
+            peer.has_requests_in_flight() || peer.time_since_request(now) < kept(peer)
+        };
         state.peers.retain(|_, peer| is_used(peer));
     }
 
