--- a/crates/node/src/mesh/link/ask.rs
+++ b/crates/node/src/mesh/link/ask.rs
@@ -27,13 +27,13 @@
         return Err(FrameError::Cut);
     }
     let exchange = async {
-        let mut link = match links.take(node) {
+        let mut link = match links.take_idle(node) {
             Some(link) => link,
             None => links.connect(node).await.map_err(|_| FrameError::Cut)?,
         };
         link.conn.write(head, &[]).await.map_err(FrameError::from)?;
         let answer = link.conn.read_head(MAX_HEAD).await?;
-        links.put(node, link);
+        links.put_idle(node, link);
         Ok(answer)
     };
     timeout(ANSWER, exchange)
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -8,7 +8,7 @@
 use super::conn::WriteError;
 use super::frames::{MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
 use super::health::{Health, Incarnation};
-use super::pool::{Link, UNACKNOWLEDGED};
+use super::pool::{Link, TCP_USER_TIMEOUT};
 use super::{PeerPool, pieces};
 use crate::mesh::call::{Body, HostReply, HostedRequest, MAX_BUFFERED_BODY};
 use crate::wire::FrameError;
@@ -47,7 +47,7 @@
         return Err(LinkError::NotSent);
     }
     let _counted = peer.track_request(links.now());
-    let link = match links.take(address) {
+    let link = match links.take_idle(address) {
         Some(link) => link,
         None => tokio::select! {
             connected = links.connect(address) => connected.map_err(|_| LinkError::NotSent)?,
@@ -115,8 +115,8 @@
         Some(length) => {
             let body = conn.read_body(length).await?;
             // Set back only now: what was sent may have waited until here for the target to read it.
-            if whole && (!in_pieces || conn.set_user_timeout(UNACKNOWLEDGED).is_ok()) {
-                links.put(address, Link { conn, host });
+            if whole && (!in_pieces || conn.set_user_timeout(TCP_USER_TIMEOUT).is_ok()) {
+                links.put_idle(address, Link { conn, host });
             }
             Ok(head.into_reply(Body::Whole(body))?)
         }
--- a/crates/node/src/mesh/link/failure_detector.rs
+++ b/crates/node/src/mesh/link/failure_detector.rs
@@ -79,7 +79,7 @@
             if was_silent {
                 info!(log, "peer answers"; "peer" => address, "boot" => link.host.boot);
             }
-            links.put(address, link);
+            links.put_idle(address, link);
         }
         // Something else may have come from it meanwhile, over another connection.
         Ok(Err(_)) | Err(_) if peer.time_since_activity(now) < ANSWER => {}
--- a/crates/node/src/mesh/link/pool.rs
+++ b/crates/node/src/mesh/link/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes that wait for their next request.
+//! Pool of idle connections to peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,25 +15,28 @@
 use super::health::{Incarnation, Peer};
 use crate::clock::SharedClock;
 
-/// Longest time until a node has accepted a new connection and said hello: one that is gone does not hold a request up.
+/// Timeout for opening a connection and receiving the hello frame, so that an unreachable peer does not delay a
+/// request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time for which sent bytes may stay without acknowledgement by the other machine. Lost packets are repeated several times
-/// within it; what is then still on its way is lost with its connection. Bodies in pieces have longer, see `pieces`.
-pub const UNACKNOWLEDGED: Duration = Duration::from_millis(1000);
+/// TCP user timeout: how long sent bytes may stay unacknowledged before the connection is dropped with the data in
+/// transit. Long enough for several retransmissions of a lost packet. Streamed bodies use a longer one, see
+/// `body_stream`.
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time for which a connection is kept without a request. The other end keeps it longer, so that it never closes one on
-/// which a request is on its way.
-pub const KEPT: Duration = Duration::from_secs(10);
+/// How long an idle connection is kept. The accepting node keeps it longer, so that it never closes a connection on
+/// which a request is in transit.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time without a request for which a silent node is remembered: it gets no requests, and by how many are silent a node tells
-/// whether it is cut off itself.
-const SILENT_KEPT: Duration = Duration::from_secs(600);
+/// How long a silent peer is remembered after the last request to it. It is sent no requests meanwhile, and a node
+/// detects from the share of silent peers whether it is itself disconnected.
+const SILENT_PEER_TTL: Duration = Duration::from_secs(600);
 
-/// Connections kept for one node at most: more than it has slots are only needed while a queue stands before it.
-const MOST_KEPT: usize = 32;
+/// Maximum number of idle connections per peer. More connections than the peer has slots are only needed while requests
+/// queue there.
+const MAX_IDLE_PER_PEER: usize = 32;
 
-/// Connections to other nodes and what is known of these; cheap to clone.
+/// Idle connections to peers and the health of these; cheap to clone.
 #[derive(Clone)]
 pub struct PeerPool {
     clock: SharedClock,
@@ -43,25 +46,25 @@
 #[derive(Default)]
 struct State {
     peers: Map<SocketAddr, Arc<Peer>>,
-    idle: Map<SocketAddr, Vec<Idle>>,
+    idle: Map<SocketAddr, Vec<IdleLink>>,
 }
 
-struct Idle {
+struct IdleLink {
     link: Link,
     since: Instant,
 }
 
-/// A connection that this node has opened, and the process that has accepted it.
+/// An outgoing connection and the process that accepted it.
 #[derive(Debug)]
 pub struct Link {
     /// The connection.
     pub conn: PeerConn,
-    /// The process at its other end.
+    /// The process that accepted the connection.
     pub host: Incarnation,
 }
 
 impl PeerPool {
-    /// A hub without connections.
+    /// Creates an empty pool.
     pub fn new(clock: SharedClock) -> Self {
         Self {
             clock,
@@ -69,12 +72,12 @@
         }
     }
 
-    /// The time by which connections are kept.
+    /// Current time of the pool's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// What is known of a node; asked for the first time, it is looked at from now on.
+    /// Returns the peer with this address. An unknown peer is added and monitored from now on.
     pub fn peer(&self, address: SocketAddr) -> Arc<Peer> {
         let now = self.now();
         let mut state = self.state();
@@ -82,7 +85,7 @@
         Arc::clone(peer.or_insert_with(|| Arc::new(Peer::new(now))))
     }
 
-    /// All nodes that are looked at.
+    /// All monitored peers.
     pub fn peers(&self) -> Vec<(SocketAddr, Arc<Peer>)> {
         let state = self.state();
         let peers = state.peers.iter();
@@ -91,25 +94,25 @@
             .collect()
     }
 
-    /// Share of the nodes that are looked at which are silent, from 0 to 1.
+    /// Share of the monitored peers that are silent, from 0 to 1.
     pub fn silent_share(&self) -> f64 {
         let state = self.state();
         let silent = state.peers.values().filter(|peer| peer.is_silent());
         silent.count() as f64 / state.peers.len().max(1) as f64
     }
 
-    /// A kept connection, the one used last.
-    pub fn take(&self, address: SocketAddr) -> Option<Link> {
+    /// Takes the most recently used idle connection to a peer that is still reusable.
+    pub fn take_idle(&self, address: SocketAddr) -> Option<Link> {
         let now = self.now();
         let mut state = self.state();
         let State { peers, idle } = &mut *state;
         let peer = peers.get(&address);
         let idle = idle.get_mut(&address)?;
-        while let Some(Idle { link, since }) = idle.pop() {
-            let is_fresh = now.saturating_duration_since(since) < KEPT;
-            // A machine that lost power has closed nothing.
+        while let Some(IdleLink { link, since }) = idle.pop() {
+            let is_fresh = now.saturating_duration_since(since) < IDLE_TIMEOUT;
+            // A machine that lost power has not closed its connections.
             let is_replaced = peer.is_some_and(|peer| peer.has_replaced(&link.host));
-            // Bytes that nobody asked for, or an end: its node has stopped.
+            // A connection with unexpected input is unusable, and one at end of file belongs to a stopped process.
             if is_fresh && !is_replaced && link.conn.is_reusable() {
                 return Some(link);
             }
@@ -117,11 +120,11 @@
         None
     }
 
-    /// A new connection to a node that has said hello on it.
+    /// Opens a connection to a peer and reads its hello frame.
     ///
     /// # Errors
     ///
-    /// The node does not accept it, or says nothing; nothing was sent.
+    /// The peer does not accept the connection or sends no hello frame in time. Nothing was sent.
     pub async fn connect(&self, address: SocketAddr) -> io::Result<Link> {
         let link = timeout(CONNECT_TIMEOUT, self.open(address)).await??;
         self.peer(address).record_hello(link.host, self.now());
@@ -131,7 +134,7 @@
     async fn open(&self, address: SocketAddr) -> io::Result<Link> {
         let stream = TcpStream::connect(address).await?;
         let connected_at = self.now();
-        prepare(&stream)?;
+        configure_socket(&stream)?;
         let mut conn = PeerConn::new(stream);
         let hello: HelloFrame = conn.read_head(MAX_HEAD).await.map_err(io::Error::other)?;
         let host = Incarnation {
@@ -141,29 +144,34 @@
         Ok(Link { conn, host })
     }
 
-    /// Keeps a connection whose reply was read whole.
-    pub fn put(&self, address: SocketAddr, mut link: Link) {
+    /// Returns a connection to the pool after a complete exchange.
+    pub fn put_idle(&self, address: SocketAddr, mut link: Link) {
         link.conn.release_buffer();
         let since = self.now();
         let mut state = self.state();
         let idle = state.idle.entry(address).or_default();
-        if idle.len() < MOST_KEPT {
-            idle.push(Idle { link, since });
+        if idle.len() < MAX_IDLE_PER_PEER {
+            idle.push(IdleLink { link, since });
         }
     }
 
-    /// Forgets nodes and closes connections that have not been used for long.
+    /// Removes unused peers and closes expired idle connections.
     pub fn prune(&self) {
         let now = self.now();
         let mut state = self.state();
         state.idle.retain(|_, idle| {
-            idle.retain(|kept| now.saturating_duration_since(kept.since) < KEPT);
+            idle.retain(|link| now.saturating_duration_since(link.since) < IDLE_TIMEOUT);
             !idle.is_empty()
         });
-        let kept = |peer: &Peer| if peer.is_silent() { SILENT_KEPT } else { KEPT };
-        let is_used = |peer: &Peer| {
-            peer.has_requests_in_flight() || peer.time_since_request(now) < kept(peer)
+        let ttl = |peer: &Peer| {
+            if peer.is_silent() {
+                SILENT_PEER_TTL
+            } else {
+                IDLE_TIMEOUT
+            }
         };
+        let is_used =
+            |peer: &Peer| peer.has_requests_in_flight() || peer.time_since_request(now) < ttl(peer);
         state.peers.retain(|_, peer| is_used(peer));
     }
 
@@ -172,12 +180,12 @@
     }
 }
 
-/// Sets what both ends of a connection need.
+/// Sets the socket options that both ends of a connection need.
 ///
 /// # Errors
 ///
-/// The connection is lost already.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// The connection is already lost.
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -14,7 +14,7 @@
 use super::finding_frames::{FindingFrame, FindingsFrame};
 use super::frames::{HelloFrame, MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
 use super::pieces;
-use super::pool::{KEPT, prepare};
+use super::pool::{self, configure_socket};
 use super::quota_frames::{VerdictFrame, VerdictsFrame};
 use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, HostReply, MAX_BUFFERED_BODY};
 use crate::mesh::controller::ControllerEvent;
@@ -24,7 +24,7 @@
 
 /// Time for which a connection is kept without a request. The one who sends gives it up sooner; this is for one that is
 /// gone without a word.
-const IDLE: Duration = Duration::from_secs(3 * KEPT.as_secs());
+const IDLE: Duration = Duration::from_secs(3 * pool::IDLE_TIMEOUT.as_secs());
 
 /// Pause after a failure to accept, such as a lack of descriptors, so that it does not take the whole processor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -58,7 +58,7 @@
 }
 
 async fn serve_conn(stream: TcpStream, serving: ServerContext) {
-    if let Err(e) = prepare(&stream) {
+    if let Err(e) = configure_socket(&stream) {
         return debug!(serving.log, "a node has left"; "reason" => e.to_string());
     }
     let mut conn = PeerConn::new(stream);
