--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -1,6 +1,5 @@
 //! TCP between nodes: plain frames, one request at a time on a connection.
 
-mod ask;
 mod client;
 mod conn;
 mod failure_detector;
@@ -12,6 +11,7 @@
 mod pool;
 mod quota_frames;
 mod quotas;
+mod rpc;
 mod server;
 
 pub use client::{LinkError, send};
--- a/crates/node/src/mesh/link/findings.rs
+++ b/crates/node/src/mesh/link/findings.rs
@@ -5,9 +5,9 @@
 use coltsfootport_core::quarantine::Finding;
 
 use super::PeerPool;
-use super::ask::ask;
 use super::finding_frames::{FindingFrame, FindingsFrame};
 use super::frames::StreamHead;
+use super::rpc::call;
 use crate::wire::FrameError;
 
 /// Tells a node what this one has found out.
@@ -21,7 +21,7 @@
     findings: &[Finding],
 ) -> Result<(), FrameError> {
     let frames = findings.iter().map(FindingFrame::from).collect();
-    let FindingsFrame(_) = ask(links, node, &StreamHead::Findings(frames)).await?;
+    let FindingsFrame(_) = call(links, node, &StreamHead::Findings(frames)).await?;
     Ok(())
 }
 
@@ -35,6 +35,6 @@
     node: SocketAddr,
     digest: u64,
 ) -> Result<Vec<Finding>, FrameError> {
-    let FindingsFrame(frames) = ask(links, node, &StreamHead::FindingsPull(digest)).await?;
+    let FindingsFrame(frames) = call(links, node, &StreamHead::FindingsPull(digest)).await?;
     Ok(frames.into_iter().map(Finding::from).collect())
 }
--- a/crates/node/src/mesh/link/quotas.rs
+++ b/crates/node/src/mesh/link/quotas.rs
@@ -5,9 +5,9 @@
 use coltsfootport_core::workspace::{QuotaNotice, RoutedClaim, Verdict};
 
 use super::PeerPool;
-use super::ask::ask;
 use super::frames::StreamHead;
 use super::quota_frames::{ClaimFrame, NoticeFrame, VerdictsFrame};
+use super::rpc::call;
 use crate::wire::FrameError;
 
 /// Tells a home what was used; its verdicts stand in the order of the claims.
@@ -24,7 +24,7 @@
         .iter()
         .map(|routed| ClaimFrame::from(&routed.claim.usage));
     let head = StreamHead::QuotaClaims(frames.collect());
-    let VerdictsFrame(verdicts) = ask(links, home, &head).await?;
+    let VerdictsFrame(verdicts) = call(links, home, &head).await?;
     match verdicts.len() == claims.len() {
         true => Ok(verdicts.into_iter().map(Verdict::from).collect()),
         false => Err(FrameError::Malformed),
@@ -42,6 +42,6 @@
     notices: &[QuotaNotice],
 ) -> Result<(), FrameError> {
     let frames = notices.iter().map(NoticeFrame::from);
-    let VerdictsFrame(_) = ask(links, entry, &StreamHead::QuotaNotices(frames.collect())).await?;
+    let VerdictsFrame(_) = call(links, entry, &StreamHead::QuotaNotices(frames.collect())).await?;
     Ok(())
 }
--- a/crates/node/src/mesh/link/ask.rs
+++ b/crates/node/src/mesh/link/rpc.rs
@@ -1,4 +1,4 @@
-//! Short questions to other nodes, beside requests.
+//! Short control exchanges with peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use super::frames::{MAX_HEAD, StreamHead};
 use crate::wire::FrameError;
 
-/// Time within which a node must answer; a lost packet is repeated within it.
-const ANSWER: Duration = Duration::from_millis(300);
+/// Time within which a peer must answer; a lost packet is retransmitted within it.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks a node and reads its answer.
+/// Sends `head` to a peer and reads its answer.
 ///
 /// # Errors
 ///
-/// The node does not answer, or is taken to be silent.
-pub async fn ask<T>(links: &PeerPool, node: SocketAddr, head: &StreamHead) -> Result<T, FrameError>
+/// The peer does not answer in time, or is considered silent.
+pub async fn call<T>(links: &PeerPool, node: SocketAddr, head: &StreamHead) -> Result<T, FrameError>
 where
     T: DeserializeOwned,
 {
-    // Requests to the node have shown already that it is paused, cut off or gone.
+    // The failure detector has already found that the peer is paused, disconnected or gone.
     if links.peer(node).is_silent() {
         return Err(FrameError::Cut);
     }
@@ -36,7 +36,7 @@
         links.put_idle(node, link);
         Ok(answer)
     };
-    timeout(ANSWER, exchange)
+    timeout(ANSWER_TIMEOUT, exchange)
         .await
         .unwrap_or(Err(FrameError::Cut))
 }
