--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -1,5 +1,6 @@
 //! TCP between nodes: plain frames, one request at a time on a connection.
 
+mod body_stream;
 mod client;
 mod conn;
 mod failure_detector;
@@ -7,7 +8,6 @@
 mod findings;
 mod frames;
 mod health;
-mod pieces;
 mod pool;
 mod quota_frames;
 mod quotas;
--- /dev/null
+++ b/crates/node/src/mesh/link/body_stream.rs
@@ -0,0 +1,152 @@
+//! Streams bodies that are too long to be buffered, in chunks.
+
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use super::conn::PeerConn;
+use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, BodyTruncated, MAX_BODY_CHUNK};
+use crate::wire::FrameError;
+
+/// Longest time for which the rest of an unwanted body is read. Closing with unread input would reset the connection
+/// and lose a reply in transit.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// TCP user timeout while a body is streamed. The peer may take nothing for a while, because a caller pauses in reading
+/// its response or a target in reading a request. The timeout exceeds the idle timeout that configurations set for
+/// callers, about 10 s; a machine that fails without closing its connections is detected that much later.
+///
+/// The kernel treats bytes that do not fit in the peer's receive window as unacknowledged, although the peer answers
+/// the window probes. With the usual [`TCP_USER_TIMEOUT`], a pause of one second aborted a long body midway.
+///
+/// [`TCP_USER_TIMEOUT`]: super::pool::TCP_USER_TIMEOUT
+const BODY_TCP_USER_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Receives the chunks of a body.
+pub type ChunkReceiver = mpsc::Receiver<Result<Bytes, BodyTruncated>>;
+
+/// Sends the body of a request. Returns `false` if the host replied before its end.
+///
+/// # Errors
+///
+/// The body was truncated, or the connection is lost.
+pub async fn send_request_body(
+    conn: &mut PeerConn,
+    rx: &mut ChunkReceiver,
+) -> Result<bool, FrameError> {
+    conn.set_user_timeout(BODY_TCP_USER_TIMEOUT)?;
+    loop {
+        let chunk = tokio::select! {
+            chunk = rx.recv() => chunk,
+            () = conn.closed() => return Ok(false),
+        };
+        let chunk = chunk.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
+        let is_end = chunk.is_none();
+        let chunk = chunk.unwrap_or_default();
+        if !conn.write_chunk_unless_answered(&chunk).await? {
+            return Ok(false);
+        }
+        if is_end {
+            return Ok(true);
+        }
+    }
+}
+
+/// Sends the body of a reply.
+///
+/// # Errors
+///
+/// The body was truncated, or the peer has closed the connection.
+pub async fn send_reply_body(conn: &mut PeerConn, mut rx: ChunkReceiver) -> Result<(), FrameError> {
+    conn.set_user_timeout(BODY_TCP_USER_TIMEOUT)?;
+    loop {
+        let chunk = tokio::select! {
+            chunk = rx.recv() => chunk,
+            () = conn.closed() => return Err(FrameError::Cut),
+        };
+        let chunk = chunk.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
+        let is_end = chunk.is_none();
+        conn.write_chunk(&chunk.unwrap_or_default()).await?;
+        if is_end {
+            return Ok(());
+        }
+    }
+}
+
+/// Forwards the body of a request to `tx`, sets `is_complete` at its end, and returns when the peer has closed the
+/// connection.
+pub async fn forward_request_body(
+    conn: &mut PeerConn,
+    tx: mpsc::Sender<Result<Bytes, BodyTruncated>>,
+    is_complete: &AtomicBool,
+) {
+    loop {
+        match conn.read_chunk(MAX_BODY_CHUNK).await {
+            Ok(chunk) if chunk.is_empty() => break,
+            Ok(chunk) => {
+                if tx.send(Ok(chunk)).await.is_err() {
+                    // The target responded without reading the rest; the caller drops this future when it takes the
+                    // reply.
+                    return std::future::pending().await;
+                }
+            }
+            Err(_) => return drop(tx.send(Err(BodyTruncated)).await),
+        }
+    }
+    drop(tx);
+    is_complete.store(true, Ordering::Relaxed);
+    conn.closed().await;
+}
+
+/// Reads and discards the rest of a body. Returns `false` if the connection can't be reused, because the peer closed it
+/// or took too long.
+///
+/// Nothing is consumed after the end of the body, where the next request starts.
+pub async fn drain_body(conn: &mut PeerConn) -> bool {
+    let rest = async {
+        loop {
+            match conn.read_chunk(MAX_BODY_CHUNK).await {
+                Ok(chunk) if chunk.is_empty() => return true,
+                Ok(_) => {}
+                Err(_) => return false,
+            }
+        }
+    };
+    // A sender slower than that may have its reply truncated.
+    timeout(DRAIN_TIMEOUT, rest).await.unwrap_or(false)
+}
+
+/// Returns the streamed body of a reply. The connection is closed after it.
+pub fn receive_body(conn: PeerConn, length: Option<u64>) -> Body {
+    let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+    tokio::spawn(receive_chunks(conn, tx, length));
+    Body::Stream { length, rx }
+}
+
+async fn receive_chunks(
+    mut conn: PeerConn,
+    tx: mpsc::Sender<Result<Bytes, BodyTruncated>>,
+    length: Option<u64>,
+) {
+    let mut received = 0;
+    loop {
+        let chunk = tokio::select! {
+            chunk = conn.read_chunk(MAX_BODY_CHUNK) => chunk,
+            () = tx.closed() => return,
+        };
+        match chunk {
+            Ok(chunk) if !chunk.is_empty() => {
+                received += chunk.len() as u64;
+                if tx.send(Ok(chunk)).await.is_err() {
+                    return;
+                }
+            }
+            Ok(_) if length.is_none_or(|length| length == received) => return,
+            // Sending fails only if the body has no reader any more.
+            Ok(_) | Err(_) => return drop(tx.send(Err(BodyTruncated)).await),
+        }
+    }
+}
--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -9,7 +9,7 @@
 use super::frames::{MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
 use super::health::{Health, Incarnation};
 use super::pool::{Link, TCP_USER_TIMEOUT};
-use super::{PeerPool, pieces};
+use super::{PeerPool, body_stream};
 use crate::mesh::call::{Body, HostReply, HostedRequest, MAX_BUFFERED_BODY};
 use crate::wire::FrameError;
 
@@ -106,7 +106,7 @@
         Body::Stream { mut rx, .. } => {
             conn.write(&head, &[]).await.map_err(not_written)?;
             // The host may answer before it has read the body; the rest is not sent then.
-            whole = pieces::send_request(&mut conn, &mut rx).await?;
+            whole = body_stream::send_request_body(&mut conn, &mut rx).await?;
         }
     }
     let head: ReplyFrame = conn.read_head(MAX_HEAD).await?;
@@ -122,7 +122,7 @@
         }
         None => {
             let length = head.length();
-            Ok(head.into_reply(pieces::receive(conn, length))?)
+            Ok(head.into_reply(body_stream::receive_body(conn, length))?)
         }
     }
 }
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
+use super::body_stream;
 use super::conn::PeerConn;
 use super::finding_frames::{FindingFrame, FindingsFrame};
 use super::frames::{HelloFrame, MAX_HEAD, ReplyFrame, RequestFrame, StreamHead};
-use super::pieces;
 use super::pool::{self, configure_socket};
 use super::quota_frames::{VerdictFrame, VerdictsFrame};
 use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, HostReply, MAX_BUFFERED_BODY};
@@ -150,7 +150,7 @@
             let req = head.into_request(Body::Stream { length, rx }, host.clock.now())?;
             tokio::select! {
                 reply = host.run(req) => Some(reply),
-                () = pieces::feed(conn, tx, &ended) => None,
+                () = body_stream::forward_request_body(conn, tx, &ended) => None,
             }
         }
     };
@@ -158,7 +158,7 @@
         return Ok(false);
     };
     write_reply(conn, reply).await?;
-    Ok(ended.load(Ordering::Relaxed) || pieces::drain(conn).await)
+    Ok(ended.load(Ordering::Relaxed) || body_stream::drain_body(conn).await)
 }
 
 async fn write_reply(conn: &mut PeerConn, reply: HostReply) -> Result<(), FrameError> {
@@ -167,7 +167,7 @@
         Ok(Body::Whole(bytes)) => Ok(conn.write(&head, &bytes).await?),
         Ok(Body::Stream { rx, .. }) => {
             conn.write(&head, &[]).await?;
-            pieces::send_answer(conn, rx).await
+            body_stream::send_reply_body(conn, rx).await
         }
         Err(_) => Ok(conn.write(&head, &[]).await?),
     }
