--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -110,7 +110,7 @@
         }
     }
     let head: ReplyFrame = conn.read_head(MAX_HEAD).await?;
-    match head.held() {
+    match head.buffered_length() {
         Some(length) if length > MAX_BUFFERED_BODY => Err(FrameError::TooLarge(length).into()),
         Some(length) => {
             let body = conn.read_body(length).await?;
--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -1,4 +1,4 @@
-//! Requests and replies as they travel between nodes.
+//! Wire format of requests and replies between nodes.
 
 use std::time::{Duration, Instant};
 
@@ -18,34 +18,34 @@
 use crate::mesh::news::FollowFrame;
 use crate::wire::{FrameError, HeaderFrame};
 
-/// Largest head of a request or reply between nodes, in bytes.
+/// Maximum size of a request or reply head between nodes, in bytes.
 pub const MAX_HEAD: usize = 128 * 1024;
 
-/// Head of what one node asks of another.
+/// First frame of an exchange, sent by the node that initiates it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StreamHead {
-    /// A request for the target beside the node.
+    /// A request for the receiving node's target.
     Request(Box<RequestFrame>),
-    /// Another node wants to hear the publisher's news.
+    /// Subscribes the sender to the publisher's updates.
     Follow(FollowFrame),
-    /// Another node tells what its workspaces have used, and wants the verdicts of this one.
+    /// Reports the sender's usage per workspace; answered with the receiver's quota verdicts.
     QuotaClaims(Vec<ClaimFrame>),
-    /// Another node, a home of these workspaces, tells its verdicts; nothing is answered but that they came.
+    /// Quota verdicts of the sender, which is a home of these workspaces; answered with an empty acknowledgement.
     QuotaNotices(Vec<NoticeFrame>),
-    /// Another node tells what it knows of requests that crash targets; nothing is answered but that it came.
+    /// The sender's findings about requests that crash targets; answered with an empty acknowledgement.
     Findings(Vec<FindingFrame>),
-    /// Another node wants to be told what this one knows, unless both know the same; this is its digest.
+    /// Asks for the receiver's findings, unless they match this digest of the sender's findings.
     FindingsPull(u64),
 }
 
-/// First frame of each connection, from the node that has accepted it.
+/// First frame of each connection, sent by the accepting node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloFrame {
-    /// Drawn at the node's start.
+    /// Random number drawn when the node's process starts.
     pub boot: u64,
 }
 
-/// Head of a request; its body follows.
+/// Head of a request, followed by its body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestFrame {
     instance: SmolStr,
@@ -56,11 +56,11 @@
     inner: bool,
     at_most_once: bool,
     kind: u32,
-    /// Thousandths of a share.
-    admitted: u16,
-    /// Time since the request from outside entered the mesh; hosts have clocks of their own.
+    /// Admitted share in thousandths.
+    admitted_permille: u16,
+    /// Time since the external request entered the mesh. Relative, because the clocks of hosts differ.
     age_ms: u32,
-    /// Time left when it was sent.
+    /// Time left until the deadline when the frame was sent.
     left_ms: u32,
     queue_timeout_ms: u32,
     origin: ServiceName,
@@ -68,18 +68,18 @@
     method: SmolStr,
     target: SmolStr,
     headers: Vec<HeaderFrame>,
-    /// Length of the body, where it is known beforehand.
+    /// Length of the body, if known in advance.
     pub length: Option<u64>,
-    /// Whether the body follows piece by piece.
-    in_pieces: bool,
+    /// Whether the body follows in chunks.
+    is_streamed: bool,
 }
 
 /// Head of a reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplyFrame {
     busy: u32,
-    /// Thousandths of a level.
-    level: u16,
+    /// Overload level in thousandths.
+    level_permille: u16,
     stopping: bool,
     cut_off: bool,
     downstream: Vec<DownstreamCalls>,
@@ -87,28 +87,28 @@
     result: ResultFrame,
 }
 
-/// What a host has.
+/// Outcome of a request at its host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum ResultFrame {
-    /// An answer; its body follows.
+    /// A response, followed by its body.
     Answer {
         status: u16,
         headers: Vec<HeaderFrame>,
         length: Option<u64>,
-        /// Whether the body follows piece by piece.
-        in_pieces: bool,
+        /// Whether the body follows in chunks.
+        is_streamed: bool,
     },
-    /// No answer.
+    /// The host refused the request.
     Refused {
         refusal: Refusal,
         retry_after_ms: Option<u32>,
     },
 }
 
-const THOUSANDTHS: f64 = 1000.0;
+const PERMILLE: f64 = 1000.0;
 
 impl RequestFrame {
-    /// The frame of a request that leaves now.
+    /// Builds the frame of a request that is sent at `now`.
     pub fn new(req: &HostedRequest, now: Instant) -> Self {
         Self {
             instance: req.instance.clone(),
@@ -119,7 +119,7 @@
             inner: req.inner,
             at_most_once: req.repeat == Repeat::AtMostOnce,
             kind: req.kind.0,
-            admitted: thousandths(req.admitted_share),
+            admitted_permille: to_permille(req.admitted_share),
             age_ms: millis(now.saturating_duration_since(req.began)),
             left_ms: millis(req.deadline.saturating_duration_since(now)),
             queue_timeout_ms: millis(req.queue_timeout),
@@ -129,20 +129,20 @@
             target: req.head.target.clone(),
             headers: HeaderFrame::from_map(&req.head.headers),
             length: length(&req.body),
-            in_pieces: matches!(req.body, Body::Stream { .. }),
+            is_streamed: matches!(req.body, Body::Stream { .. }),
         }
     }
 
-    /// Length of the body where it follows whole; `None` where it follows in pieces.
-    pub fn held(&self) -> Option<usize> {
-        held(self.in_pieces, self.length)
+    /// Length of a body that follows in one piece; `None` if it follows in chunks.
+    pub fn buffered_length(&self) -> Option<usize> {
+        buffered_length(self.is_streamed, self.length)
     }
 
-    /// The request, as it has arrived now.
+    /// Converts the frame into a request that was received at `now`.
     ///
     /// # Errors
     ///
-    /// A method or header can't stand in HTTP.
+    /// A method or header is invalid in HTTP.
     pub fn into_request(self, body: Body, now: Instant) -> Result<HostedRequest, FrameError> {
         let method =
             Method::from_bytes(self.method.as_bytes()).map_err(|_| FrameError::Malformed)?;
@@ -161,9 +161,9 @@
             rank: self.rank,
             workspace: self.workspace,
             inner: self.inner,
-            began: before(now, self.age_ms),
+            began: instant_before(now, self.age_ms),
             kind: RequestKind(self.kind),
-            admitted_share: f64::from(self.admitted) / THOUSANDTHS,
+            admitted_share: f64::from(self.admitted_permille) / PERMILLE,
             repeat: match self.at_most_once {
                 true => Repeat::AtMostOnce,
                 false => Repeat::Idempotent,
@@ -183,7 +183,7 @@
                 status: answer.status.as_u16(),
                 headers: HeaderFrame::from_map(&answer.headers),
                 length: length(&answer.body),
-                in_pieces: matches!(answer.body, Body::Stream { .. }),
+                is_streamed: matches!(answer.body, Body::Stream { .. }),
             },
             Err(refused) => ResultFrame::Refused {
                 refusal: refused.refusal,
@@ -192,7 +192,7 @@
         };
         Self {
             busy: reply.report.busy,
-            level: thousandths(reply.report.level),
+            level_permille: to_permille(reply.report.level),
             stopping: reply.report.stopping,
             cut_off: reply.report.cut_off,
             downstream: reply.report.downstream.clone(),
@@ -203,17 +203,19 @@
 }
 
 impl ReplyFrame {
-    /// Length of the body where it follows whole; `None` where it follows in pieces.
-    pub fn held(&self) -> Option<usize> {
+    /// Length of a body that follows in one piece; `None` if it follows in chunks.
+    pub fn buffered_length(&self) -> Option<usize> {
         match &self.result {
             ResultFrame::Answer {
-                length, in_pieces, ..
-            } => held(*in_pieces, *length),
+                length,
+                is_streamed,
+                ..
+            } => buffered_length(*is_streamed, *length),
             ResultFrame::Refused { .. } => Some(0),
         }
     }
 
-    /// Length of the answer's body, where it is known; zero where there is no answer.
+    /// Length of the response body, if known; zero for a refusal.
     pub fn length(&self) -> Option<u64> {
         match &self.result {
             ResultFrame::Answer { length, .. } => *length,
@@ -221,11 +223,11 @@
         }
     }
 
-    /// The reply with the body that followed.
+    /// Converts the frame and the body that followed it into a reply.
     ///
     /// # Errors
     ///
-    /// A status or header can't stand in HTTP.
+    /// A status or header is invalid in HTTP.
     pub fn into_reply(self, body: Body) -> Result<HostReply, FrameError> {
         let result = match self.result {
             ResultFrame::Answer {
@@ -247,7 +249,7 @@
             result,
             report: Report {
                 busy: self.busy,
-                level: f64::from(self.level) / THOUSANDTHS,
+                level: f64::from(self.level_permille) / PERMILLE,
                 stopping: self.stopping,
                 cut_off: self.cut_off,
                 downstream: self.downstream,
@@ -257,8 +259,8 @@
     }
 }
 
-/// The moment so long before `now`; `now` itself where the clock has not run for so long.
-fn before(now: Instant, age_ms: u32) -> Instant {
+/// Subtracts `age_ms` from `now`; returns `now` itself if the result can't be represented.
+fn instant_before(now: Instant, age_ms: u32) -> Instant {
     let age = Duration::from_millis(u64::from(age_ms));
     now.checked_sub(age).unwrap_or(now)
 }
@@ -270,14 +272,14 @@
     }
 }
 
-/// Length of a body that follows whole.
-fn held(in_pieces: bool, length: Option<u64>) -> Option<usize> {
-    let whole = length.filter(|_| !in_pieces)?;
-    usize::try_from(whole).ok()
+/// Length of a body unless it is streamed.
+fn buffered_length(is_streamed: bool, length: Option<u64>) -> Option<usize> {
+    let buffered = length.filter(|_| !is_streamed)?;
+    usize::try_from(buffered).ok()
 }
 
-fn thousandths(value: f64) -> u16 {
-    (value * THOUSANDTHS).clamp(0.0, f64::from(u16::MAX)) as u16
+fn to_permille(value: f64) -> u16 {
+    (value * PERMILLE).clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
 fn millis(duration: Duration) -> u32 {
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -131,7 +131,7 @@
 /// Runs a request. One whose sender leaves meanwhile is broken off where it can be.
 async fn run(conn: &mut PeerConn, head: RequestFrame, host: &Host) -> Result<bool, FrameError> {
     let ended = AtomicBool::new(true);
-    let ran = match head.held() {
+    let ran = match head.buffered_length() {
         Some(length) if length > MAX_BUFFERED_BODY => return Err(FrameError::TooLarge(length)),
         Some(length) => {
             let body = Body::Whole(conn.read_body(length).await?);
