--- a/crates/node/src/mesh/link/quota_frames.rs
+++ b/crates/node/src/mesh/link/quota_frames.rs
@@ -1,10 +1,10 @@
-//! Words about quotas as they travel between nodes.
+//! Wire format of quota claims and verdicts.
 
 use coltsfootport_core::workspace::{QuotaNotice, QuotaUsage, Verdict};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// What an entry was asked for of a workspace, and let run.
+/// Number of requests of a workspace that an entry received and admitted since its last claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimFrame {
     workspace: SmolStr,
@@ -12,7 +12,7 @@
     used: i32,
 }
 
-/// The verdict of a home about a workspace.
+/// A home's verdict on a workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NoticeFrame {
     workspace: SmolStr,
@@ -20,7 +20,7 @@
     verdict: VerdictFrame,
 }
 
-/// A verdict.
+/// Wire form of a quota verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VerdictFrame {
     rate: f32,
@@ -29,7 +29,7 @@
     demand: f32,
 }
 
-/// Verdicts in the order of the claims; none where the home does not know one of the workspaces.
+/// Verdicts in the order of the claims; empty if the home does not know one of the workspaces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VerdictsFrame(pub Vec<VerdictFrame>);
 
