--- a/crates/node/src/mesh/link/quotas.rs
+++ b/crates/node/src/mesh/link/quotas.rs
@@ -1,4 +1,4 @@
-//! Tells other nodes about quotas.
+//! Exchanges quota claims and verdicts with peers.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use super::rpc::call;
 use crate::wire::FrameError;
 
-/// Tells a home what was used; its verdicts stand in the order of the claims.
+/// Reports usage to a home. Returns its verdicts in the order of the claims.
 ///
 /// # Errors
 ///
-/// The home does not answer, or knows one of the workspaces not yet.
+/// The home does not answer, or does not know one of the workspaces yet.
 pub async fn send_claims(
     links: &PeerPool,
     home: SocketAddr,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Tells an entry the verdicts of this node.
+/// Sends verdicts of this node to an entry.
 ///
 /// # Errors
 ///
