--- a/crates/node/src/mesh/link/findings.rs
+++ b/crates/node/src/mesh/link/findings.rs
@@ -1,4 +1,4 @@
-//! Tells other nodes which requests crash targets, and asks them.
+//! Exchanges findings about requests that crash targets with peers.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use super::rpc::call;
 use crate::wire::FrameError;
 
-/// Tells a node what this one has found out.
+/// Sends findings of this node to a peer.
 ///
 /// # Errors
 ///
-/// The node does not answer.
+/// The peer does not answer.
 pub async fn push_findings(
     links: &PeerPool,
     node: SocketAddr,
@@ -25,11 +25,11 @@
     Ok(())
 }
 
-/// What a node knows, where that differs from what `digest` stands for.
+/// Fetches the findings of a peer, unless they match `digest`.
 ///
 /// # Errors
 ///
-/// The node does not answer.
+/// The peer does not answer.
 pub async fn pull_findings(
     links: &PeerPool,
     node: SocketAddr,
