--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -1,4 +1,4 @@
-//! Sends a request to another node.
+//! Sends requests to other nodes.
 
 use std::net::SocketAddr;
 
@@ -13,29 +13,29 @@
 use crate::mesh::call::{Body, HostReply, HostedRequest, MAX_BUFFERED_BODY};
 use crate::wire::FrameError;
 
-/// Why there is no reply.
+/// Why a request got no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
     /// No byte of the request has left this node.
-    #[error("the node can't be reached")]
+    #[error("peer unreachable")]
     NotSent,
-    /// The request may have reached the host.
-    #[error("no whole reply: {0}")]
+    /// No complete and valid reply was received; the request may have reached the host.
+    #[error("no complete reply: {0}")]
     Lost(#[from] FrameError),
-    /// The request may have reached the host, which says nothing any more.
-    #[error("the node is silent")]
+    /// The host stopped responding; the request may have reached it.
+    #[error("peer stopped responding")]
     Silent,
-    /// The request may have reached a process that has ended.
-    #[error("the node has started anew")]
+    /// The host process has been replaced by a new one; the request may have reached the old one.
+    #[error("peer restarted")]
     Restarted,
 }
 
-/// Sends a request over a connection of its own and reads the reply. Dropped before the end, the connection is closed,
-/// which tells the host to stop.
+/// Sends a request over an exclusive connection and reads the reply. Dropping the future closes the connection, which
+/// makes the host cancel the request if possible.
 ///
 /// # Errors
 ///
-/// Whether the request may have arrived.
+/// There is no reply; the error tells whether the request may have reached the host.
 pub async fn send(
     links: &PeerPool,
     address: SocketAddr,
@@ -46,12 +46,12 @@
     if health.borrow().silent {
         return Err(LinkError::NotSent);
     }
-    let _counted = peer.track_request(links.now());
+    let _in_flight = peer.track_request(links.now());
     let link = match links.take_idle(address) {
         Some(link) => link,
         None => tokio::select! {
             connected = links.connect(address) => connected.map_err(|_| LinkError::NotSent)?,
-            () = silence(&mut health) => return Err(LinkError::NotSent),
+            () = wait_until_silent(&mut health) => return Err(LinkError::NotSent),
         },
     };
     let host = link.host;
@@ -59,7 +59,7 @@
     let reply = tokio::select! {
         biased;
         reply = exchange(links, address, link, req) => reply,
-        fault = given_up(&mut health, host, repeat) => Err(fault),
+        error = wait_until_abandoned(&mut health, host, repeat) => Err(error),
     };
     if reply.is_ok() {
         peer.record_activity(links.now());
@@ -67,23 +67,24 @@
     reply
 }
 
-/// Resolves when the node is taken to be silent.
-async fn silence(health: &mut watch::Receiver<Health>) {
-    // The node is known for as long as it has requests.
+/// Resolves when the peer is considered silent.
+async fn wait_until_silent(health: &mut watch::Receiver<Health>) {
+    // The sender outlives this wait: a peer with requests in flight is never pruned.
     let _ = health.wait_for(|health| health.silent).await;
 }
 
-/// Resolves when a request is not waited for any more: its host has ended or, where it may be sent elsewhere, is silent.
-async fn given_up(
+/// Resolves when the reply is no longer awaited: the host process has been replaced or, if the request is safe to retry
+/// elsewhere, the host is silent.
+async fn wait_until_abandoned(
     health: &mut watch::Receiver<Health>,
     host: Incarnation,
     repeat: Repeat,
 ) -> LinkError {
     let is_replaced = |health: &Health| health.has_replaced(&host);
-    let is_left = |health: &Health| health.silent && repeat == Repeat::Idempotent;
-    // The node is known for as long as it has requests.
+    let is_retried_elsewhere = |health: &Health| health.silent && repeat == Repeat::Idempotent;
+    // The sender outlives this wait: a peer with requests in flight is never pruned.
     let known = health
-        .wait_for(|health| is_replaced(health) || is_left(health))
+        .wait_for(|health| is_replaced(health) || is_retried_elsewhere(health))
         .await;
     match known {
         Ok(health) if is_replaced(&health) => LinkError::Restarted,
@@ -99,14 +100,14 @@
 ) -> Result<HostReply, LinkError> {
     let Link { mut conn, host } = link;
     let head = StreamHead::Request(Box::new(RequestFrame::new(&req, links.now())));
-    let in_pieces = matches!(req.body, Body::Stream { .. });
-    let mut whole = true;
+    let is_streamed = matches!(req.body, Body::Stream { .. });
+    let mut is_sent = true;
     match req.body {
-        Body::Whole(bytes) => conn.write(&head, &bytes).await.map_err(not_written)?,
+        Body::Whole(bytes) => conn.write(&head, &bytes).await.map_err(from_write_error)?,
         Body::Stream { mut rx, .. } => {
-            conn.write(&head, &[]).await.map_err(not_written)?;
-            // The host may answer before it has read the body; the rest is not sent then.
-            whole = body_stream::send_request_body(&mut conn, &mut rx).await?;
+            conn.write(&head, &[]).await.map_err(from_write_error)?;
+            // The host may reply before it has read the whole body; the rest is not sent then.
+            is_sent = body_stream::send_request_body(&mut conn, &mut rx).await?;
         }
     }
     let head: ReplyFrame = conn.read_head(MAX_HEAD).await?;
@@ -114,8 +115,8 @@
         Some(length) if length > MAX_BUFFERED_BODY => Err(FrameError::TooLarge(length).into()),
         Some(length) => {
             let body = conn.read_body(length).await?;
-            // Set back only now: what was sent may have waited until here for the target to read it.
-            if whole && (!in_pieces || conn.set_user_timeout(TCP_USER_TIMEOUT).is_ok()) {
+            // Restored only after the reply: until then, sent bytes may still wait for the target to read them.
+            if is_sent && (!is_streamed || conn.set_user_timeout(TCP_USER_TIMEOUT).is_ok()) {
                 links.put_idle(address, Link { conn, host });
             }
             Ok(head.into_reply(Body::Whole(body))?)
@@ -127,9 +128,9 @@
     }
 }
 
-fn not_written(fault: WriteError) -> LinkError {
-    match fault {
+fn from_write_error(error: WriteError) -> LinkError {
+    match error {
         WriteError::NothingSent => LinkError::NotSent,
-        fault => LinkError::Lost(fault.into()),
+        error => LinkError::Lost(error.into()),
     }
 }
