--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -1,4 +1,4 @@
-//! Takes requests from other nodes.
+//! Serves requests from other nodes.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -22,121 +22,126 @@
 use crate::mesh::news::{Sharing, share};
 use crate::wire::FrameError;
 
-/// Time for which a connection is kept without a request. The one who sends gives it up sooner; this is for one that is
-/// gone without a word.
-const IDLE: Duration = Duration::from_secs(3 * pool::IDLE_TIMEOUT.as_secs());
+/// How long an idle connection is kept. Senders close theirs sooner; this limit applies to peers that failed without
+/// closing their connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3 * pool::IDLE_TIMEOUT.as_secs());
 
-/// Pause after a failure to accept, such as a lack of descriptors, so that it does not take the whole processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after `accept` fails, for example for lack of file descriptors, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a node does for others; cheap to clone.
+/// Shared state of the server for peers; cheap to clone.
 #[derive(Clone)]
 pub struct ServerContext {
-    /// Runs their requests.
+    /// Runs the requests.
     pub host: Host,
-    /// Passes the publisher's news on.
+    /// Forwards the publisher's updates.
     pub sharing: Sharing,
-    /// Drawn at this start of the node.
+    /// Random number drawn when the node's process starts.
     pub boot: u64,
-    /// Log.
+    /// Logger for connection failures.
     pub log: Logger,
 }
 
-/// Accepts other nodes for as long as the process lives.
-pub async fn serve(listener: TcpListener, serving: ServerContext) {
+/// Accepts connections from peers for the lifetime of the process.
+pub async fn serve(listener: TcpListener, ctx: ServerContext) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve_conn(stream, serving.clone()));
+                tokio::spawn(serve_conn(stream, ctx.clone()));
             }
             Err(e) => {
-                warn!(serving.log, "a node can't be accepted"; "reason" => e.to_string());
-                sleep(ACCEPT_PAUSE).await;
+                warn!(ctx.log, "failed to accept peer connection"; "reason" => e.to_string());
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_conn(stream: TcpStream, serving: ServerContext) {
+async fn serve_conn(stream: TcpStream, ctx: ServerContext) {
     if let Err(e) = configure_socket(&stream) {
-        return debug!(serving.log, "a node has left"; "reason" => e.to_string());
+        return debug!(ctx.log, "peer disconnected before hello"; "reason" => e.to_string());
     }
     let mut conn = PeerConn::new(stream);
-    let hello = HelloFrame { boot: serving.boot };
+    let hello = HelloFrame { boot: ctx.boot };
     if let Err(e) = conn.write(&hello, &[]).await {
-        return debug!(serving.log, "a node has left"; "reason" => e.to_string());
+        return debug!(ctx.log, "peer disconnected before hello"; "reason" => e.to_string());
     }
     loop {
-        let Ok(head) = timeout(IDLE, conn.read_head(MAX_HEAD)).await else {
+        let Ok(head) = timeout(IDLE_TIMEOUT, conn.read_head(MAX_HEAD)).await else {
             return;
         };
-        let goes_on = match head {
-            Ok(head) => answer(&mut conn, head, &serving).await,
-            // An end between two requests.
+        let can_reuse = match head {
+            Ok(head) => handle(&mut conn, head, &ctx).await,
+            // The peer closed the connection between two requests.
             Err(FrameError::Cut) => return,
             Err(e) => Err(e),
         };
-        match goes_on {
+        match can_reuse {
             Ok(true) => conn.release_buffer(),
             Ok(false) => return,
             Err(e) => {
-                return debug!(serving.log, "exchange with a node failed"; "reason" => e.to_string());
+                return debug!(ctx.log, "exchange with peer failed"; "reason" => e.to_string());
             }
         }
     }
 }
 
-/// Does what a head asks for; `false` where the connection is of no more use.
-async fn answer(
+/// Handles one exchange. Returns `false` if the connection can't be reused.
+async fn handle(
     conn: &mut PeerConn,
     head: StreamHead,
-    serving: &ServerContext,
+    ctx: &ServerContext,
 ) -> Result<bool, FrameError> {
     match head {
-        StreamHead::Request(head) => run(conn, *head, &serving.host).await,
-        StreamHead::Follow(asked) => {
-            share(serving.sharing.clone(), conn, asked).await?;
+        StreamHead::Request(head) => run_request(conn, *head, &ctx.host).await,
+        StreamHead::Follow(frame) => {
+            share(ctx.sharing.clone(), conn, frame).await?;
             Ok(false)
         }
         StreamHead::QuotaClaims(claims) => {
             let claims = claims.into_iter().map(QuotaUsage::from).collect();
-            let verdicts = serving.host.controller.claim_quotas(claims).await;
+            let verdicts = ctx.host.controller.claim_quotas(claims).await;
             let verdicts = verdicts.into_iter().map(VerdictFrame::from).collect();
             conn.write(&VerdictsFrame(verdicts), &[]).await?;
             Ok(true)
         }
         StreamHead::Findings(findings) => {
             let findings = findings.into_iter().map(Finding::from).collect();
-            let heard = ControllerEvent::FindingsReceived(findings);
-            serving.host.controller.notify(heard);
+            let event = ControllerEvent::FindingsReceived(findings);
+            ctx.host.controller.notify(event);
             conn.write(&FindingsFrame(Vec::new()), &[]).await?;
             Ok(true)
         }
         StreamHead::FindingsPull(digest) => {
-            let findings = serving.host.controller.findings(digest).await;
+            let findings = ctx.host.controller.findings(digest).await;
             let frames = findings.iter().map(FindingFrame::from).collect();
             conn.write(&FindingsFrame(frames), &[]).await?;
             Ok(true)
         }
         StreamHead::QuotaNotices(notices) => {
             let notices = notices.into_iter().map(QuotaNotice::from).collect();
-            let heard = ControllerEvent::QuotaNoticesReceived(notices);
-            serving.host.controller.notify(heard);
+            let event = ControllerEvent::QuotaNoticesReceived(notices);
+            ctx.host.controller.notify(event);
             conn.write(&VerdictsFrame(Vec::new()), &[]).await?;
             Ok(true)
         }
     }
 }
 
-/// Runs a request. One whose sender leaves meanwhile is broken off where it can be.
-async fn run(conn: &mut PeerConn, head: RequestFrame, host: &Host) -> Result<bool, FrameError> {
-    let ended = AtomicBool::new(true);
-    let ran = match head.buffered_length() {
+/// Runs a request and writes the reply. If the sender disconnects meanwhile, the request is cancelled if possible.
+async fn run_request(
+    conn: &mut PeerConn,
+    head: RequestFrame,
+    host: &Host,
+) -> Result<bool, FrameError> {
+    let is_body_read = AtomicBool::new(true);
+    let reply = match head.buffered_length() {
         Some(length) if length > MAX_BUFFERED_BODY => return Err(FrameError::TooLarge(length)),
         Some(length) => {
             let body = Body::Whole(conn.read_body(length).await?);
             let req = head.into_request(body, host.clock.now())?;
-            // A node that stood still finds requests whose senders have left: it must see that before it runs them.
+            // After a pause, a node finds requests whose senders have disconnected. `biased` detects that before they
+            // run.
             tokio::select! {
                 biased;
                 () = conn.closed() => None,
@@ -144,21 +149,21 @@
             }
         }
         None => {
-            ended.store(false, Ordering::Relaxed);
+            is_body_read.store(false, Ordering::Relaxed);
             let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
             let length = head.length;
             let req = head.into_request(Body::Stream { length, rx }, host.clock.now())?;
             tokio::select! {
                 reply = host.run(req) => Some(reply),
-                () = body_stream::forward_request_body(conn, tx, &ended) => None,
+                () = body_stream::forward_request_body(conn, tx, &is_body_read) => None,
             }
         }
     };
-    let Some(reply) = ran else {
+    let Some(reply) = reply else {
         return Ok(false);
     };
     write_reply(conn, reply).await?;
-    Ok(ended.load(Ordering::Relaxed) || body_stream::drain_body(conn).await)
+    Ok(is_body_read.load(Ordering::Relaxed) || body_stream::drain_body(conn).await)
 }
 
 async fn write_reply(conn: &mut PeerConn, reply: HostReply) -> Result<(), FrameError> {
