--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -1,4 +1,4 @@
-//! TCP between nodes: plain frames, one request at a time on a connection.
+//! TCP transport between nodes: unencrypted frames, one request at a time per connection.
 
 mod body_stream;
 mod client;
