--- a/crates/node/src/mesh/callers/connection.rs
+++ b/crates/node/src/mesh/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from a caller.
+//! Serves a single caller connection.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 
 use super::listener::CallersConfig;
 use super::reader::Reader;
-use super::slot::{Shared, Slot};
+use super::slot::{ConnectionState, ResponseSlot};
 use super::writer::Writer;
 
-/// Serves a caller until one of the two ends the connection.
+/// Serves a caller until either side closes the connection.
 ///
-/// When the caller leaves, the tasks of its requests are dropped with the set that holds them: what waits is cancelled,
-/// and what may be broken off at a target is.
+/// When the caller disconnects, its request tasks are dropped with their `JoinSet`: queued requests are cancelled, and
+/// so are requests that may be aborted at their target.
 pub async fn serve_connection(stream: TcpStream, cfg: CallersConfig) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let (read, write) = stream.into_split();
-    let shared = Arc::new(Shared::default());
-    let (slots, waiting) = mpsc::channel::<Slot>(cfg.pipelined);
+    let shared = Arc::new(ConnectionState::default());
+    let (slots, waiting) = mpsc::channel::<ResponseSlot>(cfg.pipelined);
     let mut tasks = JoinSet::new();
     let writer = Writer::new(write, Arc::clone(&shared), cfg.stopping.clone());
     let journal = cfg.entry.journal.clone();
--- a/crates/node/src/mesh/controller/quarantine.rs
+++ b/crates/node/src/mesh/controller/quarantine.rs
@@ -16,7 +16,7 @@
 use super::state::Waiter;
 use crate::mesh::call::RunEnd;
 use crate::mesh::findings::FindingsMessage;
-use crate::mesh::link::MOST_FINDINGS;
+use crate::mesh::link::MAX_FINDINGS;
 
 /// Maximum number of isolated requests waiting at a node.
 const MAX_ISOLATED_WAITING: usize = 64;
@@ -233,7 +233,7 @@
     /// Returns the findings to send to a peer whose registry has the given digest; empty if the registries are equal.
     pub(super) fn findings_for_peer(&self, digest: u64) -> Vec<Finding> {
         let registry = &self.quarantine.registry;
-        registry.findings_for_peer(digest, MOST_FINDINGS, self.clock.now())
+        registry.findings_for_peer(digest, MAX_FINDINGS, self.clock.now())
     }
 
     /// Expires old evidence, pushes new findings to random peers and periodically pulls from one of them.
@@ -241,7 +241,7 @@
         let last_pull = self.quarantine.last_pull;
         self.quarantine.registry.tick(now);
         self.recheck_expired(now);
-        let unsent = self.quarantine.registry.take_unsent(MOST_FINDINGS, now);
+        let unsent = self.quarantine.registry.take_unsent(MAX_FINDINGS, now);
         if !unsent.is_empty() {
             let nodes = self.random_peers(PUSH_FANOUT);
             self.send_findings(FindingsMessage::Push(nodes, unsent));
--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use super::controller::{ControllerEvent, ControllerHandle};
-use super::link::{self, LinkHub};
+use super::link::{self, PeerPool};
 
 /// A message about findings that the controller wants sent to other nodes.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Receives the pulled findings.
     pub controller: ControllerHandle,
     /// Links to other nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Port on which nodes accept connections from peers.
     pub peers_port: u16,
     /// Logger.
@@ -52,7 +52,7 @@
 
     async fn push(self, node: IpAddr, findings: Vec<Finding>) {
         // A node that is unreachable now gets the findings from other nodes or by its next pull.
-        if let Err(e) = link::tell_findings(&self.links, self.address(node), &findings).await {
+        if let Err(e) = link::push_findings(&self.links, self.address(node), &findings).await {
             debug!(self.log, "cannot push findings"; "peer" => %node, "reason" => %e);
         }
     }
--- a/crates/node/src/mesh/link.rs
+++ b/crates/node/src/mesh/link.rs
@@ -1,25 +1,25 @@
-//! TCP between nodes: plain frames, one request at a time on a connection.
+//! TCP transport between nodes: unencrypted frames, one request at a time per connection.
 
-mod ask;
+mod body_stream;
 mod client;
 mod conn;
+mod failure_detector;
 mod finding_frames;
 mod findings;
 mod frames;
 mod health;
-mod hub;
-mod pieces;
+mod pool;
 mod quota_frames;
 mod quotas;
+mod rpc;
 mod server;
-mod watch;
 
-pub use client::{LinkFault, send};
+pub use client::{LinkError, send};
 pub use conn::PeerConn;
-pub use finding_frames::MOST_FINDINGS;
-pub use findings::{pull_findings, tell_findings};
+pub use failure_detector::monitor_peers;
+pub use finding_frames::MAX_FINDINGS;
+pub use findings::{pull_findings, push_findings};
 pub use frames::StreamHead;
-pub use hub::LinkHub;
-pub use quotas::{claim, notify};
-pub use server::{Serving, serve};
-pub use watch::watch_peers;
+pub use pool::PeerPool;
+pub use quotas::{send_claims, send_notices};
+pub use server::{ServerContext, serve};
--- a/crates/node/src/mesh/link/findings.rs
+++ b/crates/node/src/mesh/link/findings.rs
@@ -1,40 +1,40 @@
-//! Tells other nodes which requests crash targets, and asks them.
+//! Exchanges findings about requests that crash targets with peers.
 
 use std::net::SocketAddr;
 
 use coltsfootport_core::quarantine::Finding;
 
-use super::LinkHub;
-use super::ask::ask;
+use super::PeerPool;
 use super::finding_frames::{FindingFrame, FindingsFrame};
 use super::frames::StreamHead;
+use super::rpc::call;
 use crate::wire::FrameError;
 
-/// Tells a node what this one has found out.
+/// Sends findings of this node to a peer.
 ///
 /// # Errors
 ///
-/// The node does not answer.
-pub async fn tell_findings(
-    links: &LinkHub,
+/// The peer does not answer.
+pub async fn push_findings(
+    links: &PeerPool,
     node: SocketAddr,
     findings: &[Finding],
 ) -> Result<(), FrameError> {
     let frames = findings.iter().map(FindingFrame::from).collect();
-    let FindingsFrame(_) = ask(links, node, &StreamHead::Findings(frames)).await?;
+    let FindingsFrame(_) = call(links, node, &StreamHead::Findings(frames)).await?;
     Ok(())
 }
 
-/// What a node knows, where that differs from what `digest` stands for.
+/// Fetches the findings of a peer, unless they match `digest`.
 ///
 /// # Errors
 ///
-/// The node does not answer.
+/// The peer does not answer.
 pub async fn pull_findings(
-    links: &LinkHub,
+    links: &PeerPool,
     node: SocketAddr,
     digest: u64,
 ) -> Result<Vec<Finding>, FrameError> {
-    let FindingsFrame(frames) = ask(links, node, &StreamHead::FindingsPull(digest)).await?;
+    let FindingsFrame(frames) = call(links, node, &StreamHead::FindingsPull(digest)).await?;
     Ok(frames.into_iter().map(Finding::from).collect())
 }
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -9,7 +9,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::controller::{ControllerEvent, ControllerHandle};
-use super::link::{self, LinkHub};
+use super::link::{self, PeerPool};
 
 /// Interval between checks of how many nodes are silent.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
     /// Receives the answers of homes and the share of silent nodes.
     pub controller: ControllerHandle,
     /// Links to other nodes.
-    pub links: LinkHub,
+    pub links: PeerPool,
     /// Port on which nodes accept connections from peers.
     pub peers_port: u16,
     /// Logger.
@@ -67,7 +67,7 @@
 
     async fn claim(self, home: IpAddr, claims: Vec<RoutedClaim>) {
         let address = SocketAddr::new(home, self.peers_port);
-        let event = match link::claim(&self.links, address, &claims).await {
+        let event = match link::send_claims(&self.links, address, &claims).await {
             Ok(verdicts) => {
                 let confirmed = claims.into_iter().zip(verdicts);
                 ControllerEvent::QuotaClaimsConfirmed(confirmed.collect())
@@ -84,7 +84,7 @@
         for entry in entries {
             let address = SocketAddr::new(entry, self.peers_port);
             // An entry that is unreachable now gets the verdicts with its next claim or with a later notice.
-            if let Err(e) = link::notify(&self.links, address, &notices).await {
+            if let Err(e) = link::send_notices(&self.links, address, &notices).await {
                 debug!(self.log, "cannot notify entry of quota verdicts"; "entry" => %entry, "reason" => %e);
             }
         }
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -26,7 +26,7 @@
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
-use super::link::{self, LinkHub, Serving, watch_peers};
+use super::link::{self, PeerPool, ServerContext, monitor_peers};
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
 use super::quotas::QuotaSender;
@@ -95,7 +95,7 @@
     };
     let (grace_over_tx, grace_over) = watch::channel(false);
     let (service_tx, service) = watch::channel(settings.node.service.clone());
-    let links = LinkHub::new(Arc::clone(&clock));
+    let links = PeerPool::new(Arc::clone(&clock));
     let entry = Entry {
         controller: controller.clone(),
         links: links.clone(),
@@ -118,7 +118,7 @@
         grace_over,
         pipelined: settings.load.pipelined as usize,
         stopping: stopping.clone(),
-        open: Arc::clone(&open),
+        open_requests: Arc::clone(&open),
     };
     let ready = Ready {
         controller: controller.clone(),
@@ -155,7 +155,7 @@
         peers_port: settings.node.peers.port(),
         log: log.clone(),
     };
-    let serving = Serving {
+    let serving = ServerContext {
         host: host.clone(),
         sharing,
         boot: rand::random(),
@@ -164,7 +164,7 @@
     info!(log, "started"; "callers" => settings.node.callers, "target" => settings.node.target,
         "domain" => settings.node.domain.as_str(), "version" => env!("CARGO_PKG_VERSION"));
     tokio::spawn(run_controller(state, rx));
-    tokio::spawn(watch_peers(links, log.clone()));
+    tokio::spawn(monitor_peers(links, log.clone()));
     tokio::spawn(link::serve(peers_socket, serving));
     tokio::spawn(quotas.run(words));
     tokio::spawn(spreader.run(findings));
