--- a/crates/node/src/mesh/controller.rs
+++ b/crates/node/src/mesh/controller.rs
@@ -19,9 +19,9 @@
 mod task;
 
 pub use event::{
-    AdmissionRequest, AdmittedRequest, CompletedSend, ControllerEvent, Credential, Denial,
-    InstanceRequest, ParentRun, RetryRequest, RunOutcome, SelectedInstance, SlotGrant, SlotRefusal,
-    SlotRelease, SlotRequest,
+    AcquireSlotRequest, AdmissionRequest, AdmittedRequest, CompletedSend, ControllerEvent,
+    Credential, Denial, InstanceGrant, InstanceRequest, ParentRun, RetryRequest, RunOutcome,
+    SlotGrant, SlotRefusal, SlotRelease,
 };
 pub use guards::{SendGuard, SlotGuard};
 pub use handle::ControllerHandle;
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -16,7 +16,7 @@
 use super::route_stats::RouteStats;
 use super::{
     AdmissionRequest, AdmittedRequest, CompletedSend, Controller, Credential, Denial,
-    InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
+    InstanceGrant, InstanceRequest, RetryRequest, SendGuard,
 };
 
 /// Retry delay announced by a node that has no configuration or no instances.
@@ -145,7 +145,7 @@
     pub(super) fn select_instance(
         &mut self,
         req: InstanceRequest,
-    ) -> Result<SelectedInstance, Refusal> {
+    ) -> Result<InstanceGrant, Refusal> {
         let now = self.clock.now();
         if !req.tried.is_empty() && !self.is_key_valid(req.key.as_ref()) {
             return Err(Refusal::NoInstance);
@@ -185,7 +185,7 @@
             tx: self.tx.clone(),
             reported: false,
         };
-        Ok(SelectedInstance {
+        Ok(InstanceGrant {
             is_local: chosen.address == self.cfg.target,
             cut_off: self.cut_off_instance(),
             chosen,
--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -9,7 +9,9 @@
 
 use super::runs::Run;
 use super::state::Waiter;
-use super::{Controller, RunOutcome, SlotGrant, SlotGuard, SlotRefusal, SlotRelease, SlotRequest};
+use super::{
+    AcquireSlotRequest, Controller, RunOutcome, SlotGrant, SlotGuard, SlotRefusal, SlotRelease,
+};
 use crate::mesh::call::Report;
 
 /// Number of ids of removed instances that are remembered, so that a late request for one of them is refused instead of
@@ -20,7 +22,7 @@
     /// Grants a request a slot, queues it or refuses it.
     pub(super) fn acquire_slot(
         &mut self,
-        req: SlotRequest,
+        req: AcquireSlotRequest,
         reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
     ) {
         let now = self.clock.now();
--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -28,14 +28,17 @@
     /// An admitted request needs an instance to be sent to.
     SelectInstance(
         InstanceRequest,
-        oneshot::Sender<Result<SelectedInstance, Refusal>>,
+        oneshot::Sender<Result<InstanceGrant, Refusal>>,
     ),
     /// An attempt to send a request to an instance has completed.
     SendCompleted(InstanceKey, CompletedSend),
     /// A failed request asks whether it may be retried.
     Retry(RetryRequest, oneshot::Sender<bool>),
     /// A request forwarded by an entry node needs a slot at the local target.
-    AcquireSlot(SlotRequest, oneshot::Sender<Result<SlotGrant, SlotRefusal>>),
+    AcquireSlot(
+        AcquireSlotRequest,
+        oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
+    ),
     /// A request has released its slot; the optional reply carries the outcome of its run.
     SlotReleased(Ticket, SlotRelease, Option<oneshot::Sender<RunOutcome>>),
     /// Incremental updates from the publisher, in order.
@@ -188,7 +191,7 @@
 
 /// The instance selected for a request.
 #[derive(Debug)]
-pub struct SelectedInstance {
+pub struct InstanceGrant {
     /// The instance.
     pub chosen: SelectedInstance,
     /// Whether it is the target of this node.
@@ -237,7 +240,7 @@
 
 /// A request from an entry node for a slot at the local target.
 #[derive(Clone, Debug)]
-pub struct SlotRequest {
+pub struct AcquireSlotRequest {
     /// Id of the only instance that may run the request.
     pub instance: SmolStr,
     /// Request id.
--- a/crates/node/src/mesh/controller/handle.rs
+++ b/crates/node/src/mesh/controller/handle.rs
@@ -7,8 +7,8 @@
 use coltsfootport_core::workspace::{QuotaUsage, Verdict};
 
 use super::{
-    AdmissionRequest, AdmittedRequest, ControllerEvent, Denial, InstanceRequest, RetryRequest,
-    SelectedInstance, SlotGrant, SlotRefusal, SlotRequest,
+    AcquireSlotRequest, AdmissionRequest, AdmittedRequest, ControllerEvent, Denial, InstanceGrant,
+    InstanceRequest, RetryRequest, SlotGrant, SlotRefusal,
 };
 use crate::mesh::call::Report;
 
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Returns the reason if the request must not be sent to any instance.
-    pub async fn select_instance(&self, req: InstanceRequest) -> Result<SelectedInstance, Refusal> {
+    pub async fn select_instance(&self, req: InstanceRequest) -> Result<InstanceGrant, Refusal> {
         self.request(|tx| ControllerEvent::SelectInstance(req, tx))
             .await
             .unwrap_or(Err(Refusal::Stopping))
@@ -79,7 +79,7 @@
     }
 
     /// Asks for a slot at the local target and waits until it is granted or refused.
-    pub async fn acquire_slot(&self, req: SlotRequest) -> Result<SlotGrant, SlotRefusal> {
+    pub async fn acquire_slot(&self, req: AcquireSlotRequest) -> Result<SlotGrant, SlotRefusal> {
         let stopping = SlotRefusal {
             refusal: Refusal::Stopping,
             retry_after: None,
--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -22,7 +22,7 @@
 use super::quarantine::Quarantine;
 use super::route_stats::RouteStats;
 use super::runs::Runs;
-use super::{ControllerEvent, SlotGrant, SlotRefusal, SlotRequest};
+use super::{AcquireSlotRequest, ControllerEvent, SlotGrant, SlotRefusal};
 use crate::clock::SharedClock;
 use crate::mesh::findings::FindingsMessage;
 use crate::mesh::journal::Journal;
@@ -78,7 +78,7 @@
 /// A request that waits for a slot, and the channel for its reply.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub req: SlotRequest,
+    pub req: AcquireSlotRequest,
     pub reply: oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
 }
 
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -16,7 +16,7 @@
     Body, CallerRequest, HostReply, HostedRequest, Refused, Report, TargetAnswer,
 };
 use crate::mesh::controller::{
-    AdmittedRequest, ControllerEvent, InstanceRequest, RetryRequest, SelectedInstance, SendGuard,
+    AdmittedRequest, ControllerEvent, InstanceGrant, InstanceRequest, RetryRequest, SendGuard,
 };
 use crate::mesh::journal::Ending;
 use crate::mesh::link::{self, LinkError};
@@ -152,7 +152,7 @@
         )
     }
 
-    async fn next_instance(&self) -> Result<SelectedInstance, Refusal> {
+    async fn next_instance(&self) -> Result<InstanceGrant, Refusal> {
         let req = InstanceRequest {
             service: self.admitted.service.clone(),
             route: self.route_name(),
@@ -175,7 +175,7 @@
         Some(body)
     }
 
-    async fn attempt(&mut self, to: SelectedInstance, body: Body) -> Step {
+    async fn attempt(&mut self, to: InstanceGrant, body: Body) -> Step {
         let req = self.hosted_request(&to, body);
         let reply = match to.is_local {
             true => Ok(self.entry.host.run(req).await),
@@ -290,7 +290,7 @@
         }
     }
 
-    fn hosted_request(&self, to: &SelectedInstance, body: Body) -> HostedRequest {
+    fn hosted_request(&self, to: &InstanceGrant, body: Body) -> HostedRequest {
         let route = self.admitted.config.route(self.admitted.route);
         HostedRequest {
             head: self.head.clone(),
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::SharedClock;
 use crate::mesh::call::{Body, HostReply, HostedRequest, Refused, Report, RunEnd, TargetAnswer};
-use crate::mesh::controller::{ControllerHandle, SlotGuard, SlotRefusal, SlotRequest};
+use crate::mesh::controller::{AcquireSlotRequest, ControllerHandle, SlotGuard, SlotRefusal};
 use crate::mesh::journal::Journal;
 use crate::mesh::target::{ExchangeFault, Exchanged, TargetPool, WireRequest, exchange};
 
@@ -62,7 +62,7 @@
     /// work on an answer that no one reads. An at-most-once request continues, since an aborted one may or may not have
     /// taken effect.
     pub async fn run(&self, req: HostedRequest) -> HostReply {
-        let slot_request = SlotRequest {
+        let slot_request = AcquireSlotRequest {
             instance: req.instance.clone(),
             id: req.id.clone(),
             fingerprint: req.fingerprint,
