--- a/crates/core/src/workspace/quota/home.rs
+++ b/crates/core/src/workspace/quota/home.rs
@@ -1,4 +1,4 @@
-//! The part of a quota that a home keeps.
+//! Home side of a quota: the state of the parts that one node enforces.
 
 use std::time::{Duration, Instant};
 
@@ -11,68 +11,73 @@
 use crate::collections::Map;
 use crate::workspace::Quota;
 
-/// Shortest time over which demand is measured; short beside the window in which a quota is counted.
-const DEMAND_WINDOW: Duration = Duration::from_millis(250);
+/// Minimum window over which demand is measured; short compared to the window in which a quota is counted.
+const MIN_DEMAND_WINDOW: Duration = Duration::from_millis(250);
 
-/// Longest time over which demand is measured, for workspaces of few requests.
-const LONGEST_DEMAND_WINDOW: Duration = Duration::from_millis(1500);
+/// Maximum window over which demand is measured, for workspaces with few requests.
+const MAX_DEMAND_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Requests at the rate of the quota over which demand is measured, so that chance alone seldom looks like demand beyond it.
+/// Number of requests, at the rate of the quota, that the demand window spans. Enough that random fluctuation seldom
+/// looks like demand beyond the quota.
 const DEMAND_REQUESTS: f64 = 6.0;
 
-/// Demand that a home expects before it has measured any, as a share of the rate: quotas are set above the usual demand.
-const EXPECTED_SHARE: f64 = 0.6;
+/// Demand assumed before any has been measured, as a share of the rate: quotas are set above the usual demand.
+const INITIAL_DEMAND_SHARE: f64 = 0.6;
 
-/// Requests at the rate of the quota for whose time that is taken as measured, so that the first ones, which chance brings close
-/// together, don't look like a surge.
-const EXPECTED_REQUESTS: f64 = 4.0;
+/// Number of requests, at the rate of the quota, that the initial demand estimate spans. Without it, the first
+/// requests, which may arrive close together by chance, would look like a surge.
+const INITIAL_DEMAND_REQUESTS: f64 = 4.0;
 
-/// Shortest time for which it is. The first word of an entry tells what came in the tens of milliseconds before it.
-const EXPECTED_TIME: Duration = Duration::from_millis(50);
+/// Minimum time that the initial demand estimate spans. The first report of an entry covers the requests of the
+/// preceding tens of milliseconds.
+const MIN_INITIAL_DEMAND_WINDOW: Duration = Duration::from_millis(50);
 
-/// What a home that has just started takes to be owed, as the time in which the rate brings it: its predecessor may have let
-/// a burst run a moment ago.
-const OWED_AT_START: Duration = Duration::from_millis(500);
+/// Debt with which an account starts, as the time in which the rate pays it back: the previous home may have admitted a
+/// burst just before.
+const INITIAL_DEBT: Duration = Duration::from_millis(500);
 
-/// Share of a quota that a home gives out in its first two windows: what entries let run before a restart is not known any more.
-const UNSETTLED_SHARE: f64 = 0.9;
+/// Share of a quota that a home grants during its first two windows: what entries admitted before the restart is
+/// unknown.
+const WARMUP_SHARE: f64 = 0.9;
 
-/// Share of requests below which all entries are told, not only those that ask: each entry of a large fleet would let its first
-/// request run otherwise.
-const TOLD_SHARE: f64 = 0.98;
+/// Verdicts that admit less than this share are broadcast to all entries instead of only to those that send claims.
+/// Otherwise each entry of a large fleet would admit its first request.
+const BROADCAST_SHARE: f64 = 0.98;
 
-/// Time between two words to all entries about a workspace. Shorter than a verdict is believed.
-const TELL_AGAIN: Duration = Duration::from_millis(600);
+/// Minimum time between two broadcasts about a workspace. Shorter than the validity of a verdict.
+const BROADCAST_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Requests that can be owed at most, as the time in which the rate brings them.
-const MOST_OWED: Duration = Duration::from_secs(5);
+/// Maximum debt, as the time in which the rate pays it back.
+const MAX_DEBT: Duration = Duration::from_secs(5);
 
-/// Share of its part that a home gives out while others may have been made homes in its place. With what the new homes give
-/// out it has to stay within what may run beyond a quota.
+/// Share of its part that a home grants while other nodes may have replaced it as a home. Together with what the new
+/// homes grant, it has to stay within the allowed overage of a quota.
 const REPLACED_SHARE: f64 = 0.2;
 
-/// The same for a home that hears the publisher again, while other nodes don't know of it yet and still use the new homes.
+/// Share of its part that a home grants after it reaches the publisher again, while other nodes may not have noticed
+/// yet and still use the new homes.
 const RETURNING_SHARE: f64 = 0.5;
 
-/// Time in which the entries of instances come back after a cut, and all nodes hear of it.
-const RETURNS_WITHIN: Duration = Duration::from_millis(2500);
+/// Time after a partition in which the entries of instances are published again and all nodes receive them.
+const RETURN_PERIOD: Duration = Duration::from_millis(2500);
 
-/// Time without the publisher after which others may have been made homes in the place of a node. Shorter than the time after
-/// which the publisher drops the entry of an instance that it does not hear.
+/// Time without the publisher after which other nodes may have replaced this node as a home. Shorter than the time
+/// after which the publisher drops the entry of a silent instance.
 const REPLACED_AFTER: Duration = Duration::from_secs(3);
 
-/// Share of silent nodes from which on a node that does not hear the publisher may be cut off itself. Where all but few answer,
-/// the publisher is away for all, and nobody is made a home.
-const CUT_OFF_SHARE: f64 = 0.1;
+/// Minimum share of silent nodes at which a node without the publisher may itself be partitioned off. If nearly all
+/// nodes answer, the publisher is down for everyone, and no home is replaced.
+const PARTITIONED_SHARE: f64 = 0.1;
 
-/// Parts of quotas kept by one node, by workspace.
+/// Parts of quotas that one node enforces as a home, by workspace.
 #[derive(Clone, Debug)]
 pub struct HomeQuotas {
     bound: QuotaBound,
-    /// When this node began to keep quotas. What its predecessor let run is not known, so nothing was saved before.
-    began: Instant,
-    /// When the list of nodes changed last, and so which nodes are homes.
-    listed: Instant,
+    /// When this node started to enforce quotas. Nothing is saved from before, because what the previous home admitted
+    /// is unknown.
+    started: Instant,
+    /// When the list of nodes, and with it the assignment of homes, last changed.
+    nodes_changed: Instant,
     standing: Standing,
     accounts: Map<SmolStr, Account>,
 }
@@ -80,60 +85,67 @@
 /// Whether other nodes use this one as a home.
 #[derive(Clone, Copy, Debug)]
 enum Standing {
-    /// As far as it knows.
+    /// This node is a home, as far as it knows.
     Home,
-    /// Others may have been made homes in its place.
+    /// Other nodes may have replaced it.
     Replaced,
-    /// It hears the publisher again, since this moment.
+    /// It has reached the publisher again since this time.
     Returning(Instant),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Account {
-    /// Requests that may run besides the rate; negative where entries have let more run.
+    /// Requests that may be admitted on top of the rate; negative if entries have admitted too many.
     saved: f64,
-    /// Requests that entries were asked for.
+    /// Measured demand of the workspace at its entries.
     demand: Demand,
-    at: Instant,
-    /// From when on this node may have been the home without a break.
-    since: Instant,
-    /// When all entries were told last.
-    told: Option<Instant>,
-    /// Claims, requests asked for and requests let run since they were last read.
+    updated: Instant,
+    /// Since when this node may have been the home without interruption.
+    home_since: Instant,
+    /// When a verdict was last broadcast to all entries.
+    last_broadcast: Option<Instant>,
+    /// Number of claims since the tally was last taken.
     claims: u32,
+    /// Requests received by entries since the tally was last taken.
     asked: f64,
+    /// Requests admitted by entries since the tally was last taken.
     used: f64,
-    /// The newest verdict.
+    /// Share of the latest verdict.
     share: f64,
 }
 
 impl HomeQuotas {
-    /// Keeps no workspace yet.
+    /// Creates the state without any workspaces.
     pub fn new(bound: QuotaBound, now: Instant) -> Self {
         Self {
             bound,
-            began: now,
-            listed: now,
+            started: now,
+            nodes_changed: now,
             standing: Standing::Home,
             accounts: Map::default(),
         }
     }
 
-    /// Whether all entries are to be told of a verdict now; they count as told afterwards.
-    pub fn tells_all(&mut self, workspace: &SmolStr, verdict: &Verdict, now: Instant) -> bool {
+    /// Returns whether the verdict is to be broadcast to all entries now, and if so records the broadcast.
+    pub fn begin_broadcast(
+        &mut self,
+        workspace: &SmolStr,
+        verdict: &Verdict,
+        now: Instant,
+    ) -> bool {
         let Some(account) = self.accounts.get_mut(workspace) else {
             return false;
         };
-        let recent = |at: Instant| now.saturating_duration_since(at) < TELL_AGAIN;
-        if verdict.share() >= TOLD_SHARE || account.told.is_some_and(recent) {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < BROADCAST_INTERVAL;
+        if verdict.share() >= BROADCAST_SHARE || account.last_broadcast.is_some_and(is_recent) {
             return false;
         }
-        account.told = Some(now);
+        account.last_broadcast = Some(now);
         true
     }
 
-    /// Takes in what an entry was asked for and let run since its last report.
-    pub fn claimed(
+    /// Applies what an entry received and admitted since its last report, and returns the new verdict.
+    pub fn apply_claim(
         &mut self,
         workspace: &SmolStr,
         quota: Quota,
@@ -141,43 +153,44 @@
         used: f64,
         now: Instant,
     ) -> Verdict {
-        let listed = self.listed;
+        let nodes_changed = self.nodes_changed;
         let account = account_of(&mut self.accounts, workspace, || {
-            Account::new(quota, listed, now)
+            Account::new(quota, nodes_changed, now)
         });
-        let settled = now.saturating_duration_since(self.began) >= self.bound.window * 2;
-        let rate = match settled {
+        let warmed_up = now.saturating_duration_since(self.started) >= self.bound.window * 2;
+        let rate = match warmed_up {
             true => self.bound.rate(quota),
-            // Until a window has passed that it has seen whole, a home gives out less than the quota.
-            false => quota.per_second * UNSETTLED_SHARE,
+            // A home grants less than the quota until it has observed a whole window.
+            false => quota.per_second * WARMUP_SHARE,
         };
         let part = match self.standing {
             Standing::Home => 1.0,
             Standing::Replaced => REPLACED_SHARE,
             Standing::Returning(_) => RETURNING_SHARE,
         } / HOMES as f64;
-        // Where it was no home before, the one that was may have let a burst run, or may still do so behind a cut.
-        let lately = now.saturating_duration_since(account.since) < self.bound.window;
-        let is_new = lately && account.since > self.began;
+        // A new home grants no burst: the previous home may have granted one, or may still do so behind a partition.
+        let recently = now.saturating_duration_since(account.home_since) < self.bound.window;
+        let is_new = recently && account.home_since > self.started;
         let burst = if is_new { 0.0 } else { quota.burst };
-        let most_saved = (burst + self.bound.saved()) * part;
-        account.claimed(rate * part, most_saved, asked, used, now)
+        let max_saved = (burst + self.bound.saved()) * part;
+        account.apply_claim(rate * part, max_saved, asked, used, now)
     }
 
-    /// The list of nodes has changed, and so may the homes: what a workspace without recent claims has saved here may have been
-    /// given out by another home meanwhile.
-    pub fn list_changed(&mut self, now: Instant) {
-        self.listed = now;
-        let unused = |at: Instant| now.saturating_duration_since(at) > self.bound.window;
-        for account in self.accounts.values_mut().filter(|kept| unused(kept.at)) {
+    /// Handles a change of the list of nodes, which may reassign homes. Savings of workspaces without recent claims are
+    /// dropped, because another home may have granted them in the meantime.
+    pub fn node_list_changed(&mut self, now: Instant) {
+        self.nodes_changed = now;
+        let is_unused = |at: Instant| now.saturating_duration_since(at) > self.bound.window;
+        let accounts = self.accounts.values_mut();
+        for account in accounts.filter(|account| is_unused(account.updated)) {
             account.saved = account.saved.min(0.0);
-            account.at = now;
-            account.since = now;
+            account.updated = now;
+            account.home_since = now;
         }
     }
 
-    /// Takes in for how long the publisher has been silent to this node, and which share of the nodes that it uses is silent;
-    /// returns whether [`Self::is_replaced`] has changed.
+    /// Updates [`Self::is_replaced`] from the time since the publisher was last reached and the share of used nodes
+    /// that are silent. Returns whether it has changed.
     pub fn check_replaced(
         &mut self,
         publisher_silent: Duration,
@@ -185,32 +198,32 @@
         now: Instant,
     ) -> bool {
         let was_replaced = self.is_replaced();
-        let over = |since: Instant| now.saturating_duration_since(since) >= RETURNS_WITHIN;
-        let cut_off = publisher_silent >= REPLACED_AFTER && nodes_silent >= CUT_OFF_SHARE;
+        let has_returned = |since: Instant| now.saturating_duration_since(since) >= RETURN_PERIOD;
+        let partitioned = publisher_silent >= REPLACED_AFTER && nodes_silent >= PARTITIONED_SHARE;
         self.standing = match self.standing {
-            _ if cut_off => Standing::Replaced,
+            _ if partitioned => Standing::Replaced,
             Standing::Replaced if publisher_silent.is_zero() => Standing::Returning(now),
-            // The publisher is away for all, and the nodes that were silent are back: nobody was made a home.
+            // The silent nodes are back without the publisher: it is down for everyone, and no home was replaced.
             Standing::Replaced => Standing::Home,
-            Standing::Returning(since) if over(since) => Standing::Home,
+            Standing::Returning(since) if has_returned(since) => Standing::Home,
             standing => standing,
         };
         was_replaced != self.is_replaced()
     }
 
-    /// Whether others may have been made homes in the place of this node.
+    /// Returns whether other nodes may have replaced this node as a home.
     pub fn is_replaced(&self) -> bool {
         matches!(self.standing, Standing::Replaced)
     }
 
-    /// What was taken in since the last call, by workspace.
-    pub fn tallies(&mut self) -> impl Iterator<Item = HomeTally> {
+    /// Returns and resets the tallies of workspaces with claims since the last call.
+    pub fn take_tallies(&mut self) -> impl Iterator<Item = HomeTally> {
         let accounts = self.accounts.iter_mut();
         let claimed = accounts.filter(|(_, account)| account.claims > 0);
         claimed.map(|(name, account)| account.take_tally(name))
     }
 
-    /// Forgets workspaces that are not published any more.
+    /// Keeps only the workspaces for which `keep` returns true.
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(&SmolStr) -> bool,
@@ -220,15 +233,16 @@
 }
 
 impl Account {
-    fn new(quota: Quota, since: Instant, now: Instant) -> Self {
+    fn new(quota: Quota, home_since: Instant, now: Instant) -> Self {
         let rate = quota.per_second / HOMES as f64;
-        let known = time_of(EXPECTED_REQUESTS, rate).clamp(EXPECTED_TIME, LONGEST_DEMAND_WINDOW);
+        let window = time_for(INITIAL_DEMAND_REQUESTS, rate)
+            .clamp(MIN_INITIAL_DEMAND_WINDOW, MAX_DEMAND_WINDOW);
         Self {
-            saved: -rate * OWED_AT_START.as_secs_f64(),
-            demand: Demand::new(rate * EXPECTED_SHARE, known, now),
-            at: since,
-            since,
-            told: None,
+            saved: -rate * INITIAL_DEBT.as_secs_f64(),
+            demand: Demand::new(rate * INITIAL_DEMAND_SHARE, window, now),
+            updated: home_since,
+            home_since,
+            last_broadcast: None,
             claims: 0,
             asked: 0.0,
             used: 0.0,
@@ -236,25 +250,25 @@
         }
     }
 
-    fn claimed(
+    fn apply_claim(
         &mut self,
         rate: f64,
-        most_saved: f64,
+        max_saved: f64,
         asked: f64,
         used: f64,
         now: Instant,
     ) -> Verdict {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
-        self.saved = (self.saved + rate * passed).min(most_saved) - used;
-        // What is owed is paid back within a window in which the quota is counted; older debts would only refuse more.
-        self.saved = self.saved.max(-rate.max(1.0) * MOST_OWED.as_secs_f64());
-        let window = time_of(DEMAND_REQUESTS, rate).clamp(DEMAND_WINDOW, LONGEST_DEMAND_WINDOW);
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.updated = now;
+        self.saved = (self.saved + rate * elapsed).min(max_saved) - used;
+        // Debt is paid back within the window in which the quota is counted; older debt would only refuse more.
+        self.saved = self.saved.max(-rate.max(1.0) * MAX_DEBT.as_secs_f64());
+        let window = time_for(DEMAND_REQUESTS, rate).clamp(MIN_DEMAND_WINDOW, MAX_DEMAND_WINDOW);
         self.demand.came(asked, window, now);
         let verdict = Verdict {
             rate,
             saved: self.saved,
-            most_saved,
+            most_saved: max_saved,
             demand: self.demand.per_second(),
         };
         self.claims += 1;
@@ -276,8 +290,8 @@
     }
 }
 
-/// Time in which so many requests come at a rate; long beyond use where there is hardly any.
-fn time_of(requests: f64, per_second: f64) -> Duration {
-    const LONGEST: f64 = 60.0;
-    Duration::from_secs_f64((requests / per_second.max(f64::MIN_POSITIVE)).min(LONGEST))
+/// Returns the time in which the given number of requests arrive at a rate, capped at a minute for rates near zero.
+fn time_for(requests: f64, per_second: f64) -> Duration {
+    const MAX_SECONDS: f64 = 60.0;
+    Duration::from_secs_f64((requests / per_second.max(f64::MIN_POSITIVE)).min(MAX_SECONDS))
 }
--- a/crates/core/tests/quota_home.rs
+++ b/crates/core/tests/quota_home.rs
@@ -44,7 +44,7 @@
         let silent = Duration::from_secs_f64(case.publisher_silent_s);
         home.check_replaced(silent, case.nodes_silent, now);
         assert_eq!(home.is_replaced(), case.replaced, "{}", case.what);
-        let rate = home.claimed(&"w".into(), QUOTA, 1.0, 1.0, now).rate;
+        let rate = home.apply_claim(&"w".into(), QUOTA, 1.0, 1.0, now).rate;
         assert_eq!(rate < 10.0, case.replaced, "{}: rate {rate}", case.what);
     }
 }
--- a/crates/core/tests/quota_model/model.rs
+++ b/crates/core/tests/quota_model/model.rs
@@ -203,7 +203,7 @@
             let homes = homes.or_insert_with_key(|listed| Rc::new(homes_among(listed, nodes)));
             if !Rc::ptr_eq(&self.homes[node], homes) {
                 self.homes[node] = Rc::clone(homes);
-                self.keepers[node].list_changed(self.now);
+                self.keepers[node].node_list_changed(self.now);
             }
         }
     }
@@ -254,9 +254,11 @@
         let usage = &routed.claim.usage;
         let (asked, used) = (f64::from(usage.asked), f64::from(usage.used));
         let keeper = &mut self.keepers[home];
-        let verdict = keeper.claimed(&self.name, quota, asked, used, self.now);
+        let verdict = keeper.apply_claim(&self.name, quota, asked, used, self.now);
         let place = self.homes[home].iter().position(|other| *other == home);
-        if let Some(place) = place.filter(|_| keeper.tells_all(&self.name, &verdict, self.now)) {
+        if let Some(place) =
+            place.filter(|_| keeper.begin_broadcast(&self.name, &verdict, self.now))
+        {
             self.tell_all(home, place, verdict);
         }
         verdict
--- a/crates/core/tests/quota_tally.rs
+++ b/crates/core/tests/quota_tally.rs
@@ -40,13 +40,13 @@
 fn claims_of_a_home_are_counted_once() {
     let (name, start) = (SmolStr::new("w"), Instant::now());
     let mut home = HomeQuotas::new(QuotaBound::default(), start);
-    home.claimed(&name, QUOTA, 3.0, 2.0, start);
-    home.claimed(&name, QUOTA, 1.0, 1.0, start);
-    let counted: Vec<_> = home.tallies().collect();
+    home.apply_claim(&name, QUOTA, 3.0, 2.0, start);
+    home.apply_claim(&name, QUOTA, 1.0, 1.0, start);
+    let counted: Vec<_> = home.take_tallies().collect();
     assert_eq!(counted.len(), 1);
     assert_eq!(
         (counted[0].claims, counted[0].asked, counted[0].used),
         (2, 4.0, 3.0)
     );
-    assert_eq!(home.tallies().count(), 0);
+    assert_eq!(home.take_tallies().count(), 0);
 }
--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -50,7 +50,7 @@
     fn report_home_quotas(&mut self) {
         let mut limited: Vec<HomeTally> = self
             .home_quotas
-            .tallies()
+            .take_tallies()
             .filter(|tally| tally.share < 1.0)
             .collect();
         limited.sort_unstable_by(|a, b| b.asked.total_cmp(&a.asked));
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -124,8 +124,11 @@
         let (asked, used) = (f64::from(claim.asked), f64::from(claim.used));
         let verdict = self
             .home_quotas
-            .claimed(&claim.workspace, quota, asked, used, now);
-        if self.home_quotas.tells_all(&claim.workspace, &verdict, now) {
+            .apply_claim(&claim.workspace, quota, asked, used, now);
+        if self
+            .home_quotas
+            .begin_broadcast(&claim.workspace, &verdict, now)
+        {
             self.tell_entries(&claim.workspace, verdict, now);
         }
         Some(verdict)
@@ -178,7 +181,7 @@
             .collect();
         self.entry_quotas.set_nodes(nodes.len());
         if self.quota_router.set_nodes(nodes) {
-            self.home_quotas.list_changed(self.clock.now());
+            self.home_quotas.node_list_changed(self.clock.now());
         }
     }
 
