--- a/crates/core/src/workspace/quota/entry_account.rs
+++ b/crates/core/src/workspace/quota/entry_account.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps of one workspace.
+//! State that an entry keeps for one workspace.
 
 use std::time::{Duration, Instant};
 
@@ -7,144 +7,150 @@
 use super::{QuotaTally, Verdict};
 use crate::workspace::Quota;
 
-/// Time over which an entry measures its own demand, and what homes have confirmed, in seconds.
+/// Window over which an entry averages its own demand and the confirmed requests, in seconds.
 pub(super) const DEMAND_WINDOW: f64 = 2.0;
 
-/// Longest time for which an entry's own bucket fills between two requests. Each of many entries that were without requests
-/// for long would have one saved.
-const BUCKET_FILLS: Duration = Duration::from_secs(5);
+/// Maximum time for which an entry's own bucket fills between two requests. Otherwise each of many entries without
+/// requests for a long time would have one saved.
+const MAX_REFILL_TIME: Duration = Duration::from_secs(5);
 
-/// Requests without a home's confirmation that any entry may have: chance brings two of a small workspace at once.
+/// Unconfirmed requests that every entry may have: a small workspace sometimes receives two at once by chance.
 const UNCONFIRMED_MIN: f64 = 2.0;
 
-/// Share of a burst that all entries together may have unconfirmed besides, for the first requests after a pause.
+/// Share of a burst that all entries together may additionally have unconfirmed, for the first requests after a pause.
 const UNCONFIRMED_BURST: f64 = 0.25;
 
-/// Multiple of what homes confirmed lately that may be unconfirmed until an entry goes by its own part.
+/// Multiple of the recently confirmed requests that may be unconfirmed until an entry falls back to its own part.
 const UNCONFIRMED_RATE: f64 = 1.5;
 
-/// Requests of a workspace at one entry.
+/// Requests of one workspace at one entry.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
+    /// Requests received since the last claim.
     pub(super) asked: u32,
+    /// Requests admitted since the last claim, less admitted requests that did not run.
     pub(super) used: i32,
-    /// When the oldest count that no home knows was made.
-    pub(super) since: Option<Instant>,
-    /// The newest word of each home.
+    /// Time of the oldest request that no claim contains yet.
+    pub(super) unreported_since: Option<Instant>,
+    /// Latest verdict of each home.
     pub(super) verdicts: [Option<(Verdict, Instant)>; HOMES],
     /// Claims that no home has confirmed yet.
-    pub(super) open: Vec<OpenClaim>,
-    /// Requests a second that homes have confirmed, up to this moment.
+    pub(super) pending: Vec<PendingClaim>,
+    /// Requests per second that homes had confirmed at `confirmed_at`.
     pub(super) confirmed: f64,
     pub(super) confirmed_at: Instant,
     /// Whether no home answers.
     pub(super) alone: bool,
-    /// Admissions that are due by the share; at 1 a request is admitted.
-    due: f64,
-    /// Requests a second that come here.
+    /// Sum of the shares of the requests received, less the admitted ones; a request is admitted at 1.
+    credit: f64,
+    /// Requests per second received by this entry.
     pub(super) demand: f64,
-    /// Requests that may run by a bucket of the entry's own.
+    /// Tokens in the entry's own bucket; NaN before its first use.
     tokens: f64,
-    pub(super) at: Instant,
-    /// Decisions since they were last read.
+    /// Time of the last request.
+    pub(super) updated: Instant,
+    /// Decisions since the tally was last taken.
     pub(super) tally: QuotaTally,
 }
 
-/// What is remembered of a claim on its way.
+/// A claim that was sent and is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OpenClaim {
-    pub(super) since: Instant,
+pub(super) struct PendingClaim {
+    pub(super) first_request_at: Instant,
     pub(super) used: i32,
 }
 
 impl Account {
-    /// An account without requests; `phase` is what is due at its first one.
+    /// Creates an account without requests; `phase` is the initial credit.
     pub(super) fn new(phase: f64, now: Instant) -> Self {
         Self {
             asked: 0,
             used: 0,
-            since: None,
+            unreported_since: None,
             verdicts: [None; HOMES],
-            open: Vec::new(),
+            pending: Vec::new(),
             confirmed: 0.0,
             confirmed_at: now,
             alone: false,
-            due: phase,
+            credit: phase,
             demand: 0.0,
             tokens: f64::NAN,
-            at: now,
+            updated: now,
             tally: QuotaTally::default(),
         }
     }
 
-    /// The share that the homes tell together.
+    /// Returns the share to admit by the recent verdicts of all homes together.
     pub(super) fn share(&self, cfg: &QuotaConfig, now: Instant) -> Option<f64> {
-        let fresh = |at: Instant| now.saturating_duration_since(at) <= cfg.verdict_valid;
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) <= cfg.verdict_ttl;
         let known = self.verdicts.iter().flatten();
-        let known = known.filter(|(_, at)| fresh(*at));
+        let known = known.filter(|(_, at)| is_fresh(*at));
         Verdict::pooled(known.map(|(verdict, _)| *verdict)).map(|pooled| pooled.share())
     }
 
-    /// Whether a claim has waited for its confirmation for too long.
+    /// Returns whether a claim has been unconfirmed for too long.
     pub(super) fn is_overdue(&self, cfg: &QuotaConfig, now: Instant) -> bool {
-        let opened = self.open.iter().map(|claim| claim.since);
-        let oldest = opened.chain(self.since).min();
-        oldest.is_some_and(|at| now.saturating_duration_since(at) > cfg.confirm_within)
+        let pending = self.pending.iter().map(|claim| claim.first_request_at);
+        let oldest = pending.chain(self.unreported_since).min();
+        oldest.is_some_and(|at| now.saturating_duration_since(at) > cfg.confirm_timeout)
     }
 
-    /// A claim is not on its way any more.
-    pub(super) fn close(&mut self, claim: &QuotaClaim) {
-        self.open.retain(|open| open.since != claim.since);
+    /// Removes a claim that was confirmed or has failed.
+    pub(super) fn remove_pending(&mut self, claim: &QuotaClaim) {
+        self.pending
+            .retain(|pending| pending.first_request_at != claim.first_request_at);
     }
 
-    /// Requests that were let run and that no home has confirmed.
+    /// Returns the number of admitted requests that no home has confirmed.
     pub(super) fn unconfirmed(&self) -> f64 {
-        let open: i32 = self.open.iter().map(|claim| claim.used).sum();
-        f64::from(self.used + open)
+        let pending: i32 = self.pending.iter().map(|claim| claim.used).sum();
+        f64::from(self.used + pending)
     }
 
+    /// Returns the moving average of confirmed requests per second.
     pub(super) fn confirmed_rate(&self, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.confirmed_at);
-        self.confirmed * (-passed.as_secs_f64() / DEMAND_WINDOW).exp()
+        let elapsed = now.saturating_duration_since(self.confirmed_at);
+        self.confirmed * (-elapsed.as_secs_f64() / DEMAND_WINDOW).exp()
     }
 
-    /// Admits a share, evenly, up to as many requests without confirmation as an entry may have; `burst` is its part of the
-    /// quota's burst.
-    pub(super) fn by_share(
+    /// Admits a share of the requests at even intervals, as long as the number of unconfirmed requests is within its
+    /// limit; `burst` is the entry's part of the quota's burst.
+    pub(super) fn admit_by_share(
         &mut self,
         share: f64,
         burst: f64,
         cfg: &QuotaConfig,
         now: Instant,
     ) -> Result<(), f64> {
-        let lately = self.confirmed_rate(now) * cfg.confirm_within.as_secs_f64();
-        let most = UNCONFIRMED_MIN + UNCONFIRMED_BURST * burst + UNCONFIRMED_RATE * lately;
-        if self.unconfirmed() >= most {
+        let recent = self.confirmed_rate(now) * cfg.confirm_timeout.as_secs_f64();
+        let limit = UNCONFIRMED_MIN + UNCONFIRMED_BURST * burst + UNCONFIRMED_RATE * recent;
+        if self.unconfirmed() >= limit {
             return Err(share);
         }
-        self.due += share;
-        if self.due < 1.0 {
+        self.credit += share;
+        if self.credit < 1.0 {
             return Err(share);
         }
-        self.due -= 1.0;
+        self.credit -= 1.0;
         Ok(())
     }
 
-    /// Admits by a bucket that holds this part of the quota.
-    pub(super) fn bucket(
+    /// Admits requests by a token bucket with the given part of the quota.
+    pub(super) fn admit_by_bucket(
         &mut self,
         quota: Quota,
         part: f64,
-        passed: f64,
+        elapsed: f64,
         phase: f64,
     ) -> Result<(), f64> {
-        let cap = quota.burst * part + 1.0;
+        let capacity = quota.burst * part + 1.0;
         if self.tokens.is_nan() {
-            // Parts are often fractions of a request: as many entries as add up to the whole begin with one.
+            // Parts are often fractions of a request. By the phase, about as many entries start with a whole token as
+            // their parts add up to.
             self.tokens = quota.burst * part + phase;
         }
-        let passed = passed.min(BUCKET_FILLS.as_secs_f64());
-        self.tokens = (self.tokens + quota.per_second * part * passed).min(cap);
+        let elapsed = elapsed.min(MAX_REFILL_TIME.as_secs_f64());
+        self.tokens = (self.tokens + quota.per_second * part * elapsed).min(capacity);
         if self.tokens < 1.0 {
             return Err((quota.per_second * part / self.demand).clamp(0.0, 1.0));
         }
--- a/crates/core/tests/quota_entry.rs
+++ b/crates/core/tests/quota_entry.rs
@@ -38,7 +38,7 @@
 
 fn entry(start: Instant) -> EntryQuotas {
     let mut entry = EntryQuotas::new(QuotaConfig::default(), 0.5, start);
-    entry.set_nodes(10);
+    entry.set_node_count(10);
     entry
 }
 
@@ -49,10 +49,10 @@
     for step in 0..steps {
         let now = from + STEP * step;
         ran += usize::from(entry.admit(&name, QUOTA, now).is_ok());
-        for claim in entry.claims(now) {
+        for claim in entry.take_claims(now) {
             if confirmed {
-                entry.reached(now);
-                entry.confirmed(&claim, 0, GENEROUS, now);
+                entry.node_answered(now);
+                entry.confirm_claim(&claim, 0, GENEROUS, now);
             }
         }
     }
@@ -64,13 +64,13 @@
 fn notices_alone_let_nothing_run_for_long() {
     let start = Instant::now();
     let mut entry = entry(start);
-    let started = start + QuotaConfig::default().careful;
+    let started = start + QuotaConfig::default().startup_period;
     assert_eq!(let_run(&mut entry, started, 100, true), 100);
     let from = started + STEP * 100;
     let mut ran = 0;
     for step in 0..400 {
         let now = from + STEP * step;
-        entry.heard(&"w".into(), 0, GENEROUS, now);
+        entry.apply_verdict(&"w".into(), 0, GENEROUS, now);
         ran += let_run(&mut entry, now, 1, false);
     }
     assert!(ran < 100, "{ran} of 400 ran that no home has counted");
--- a/crates/core/tests/quota_model/main.rs
+++ b/crates/core/tests/quota_model/main.rs
@@ -61,10 +61,10 @@
         let now = start + STEP * step;
         // Whether it is admitted does not matter here.
         let _ = entry.admit(&name, quota, now);
-        for claim in entry.claims(now) {
+        for claim in entry.take_claims(now) {
             words += 1;
             asked = claim.usage.asked;
-            entry.untold(&claim, now);
+            entry.requeue_claim(&claim, now);
         }
     }
     assert!((5..=12).contains(&words), "{words} words in 2 s");
--- a/crates/core/tests/quota_model/model.rs
+++ b/crates/core/tests/quota_model/model.rs
@@ -122,7 +122,7 @@
         let (rng, now) = (&mut self.rng, self.now);
         let entry = |_| {
             let mut entry = EntryQuotas::new(cfg, rng.random(), now);
-            entry.set_nodes(nodes);
+            entry.set_node_count(nodes);
             entry
         };
         self.entries = (0..nodes).map(entry).collect();
@@ -209,7 +209,7 @@
     }
 
     fn report(&mut self, entry: usize, quota: Quota) {
-        for claim in self.entries[entry].claims(self.now) {
+        for claim in self.entries[entry].take_claims(self.now) {
             self.turns[entry] += 1;
             let homes = Rc::clone(&self.homes[entry]);
             let routed = Routed {
@@ -230,7 +230,7 @@
     /// Tells the home whose turn it is.
     fn tell(&mut self, entry: usize, quota: Quota, mut routed: Routed) {
         if routed.tried >= routed.homes.len() {
-            self.entries[entry].untold(&routed.claim, self.now);
+            self.entries[entry].requeue_claim(&routed.claim, self.now);
             return;
         }
         routed.place %= routed.homes.len();
@@ -298,16 +298,16 @@
         match event {
             Event::Confirmed(routed, verdict) => {
                 if routed.homes[routed.place] != entry {
-                    self.entries[entry].reached(self.now);
+                    self.entries[entry].node_answered(self.now);
                 }
-                self.entries[entry].confirmed(&routed.claim, routed.place, verdict, self.now);
+                self.entries[entry].confirm_claim(&routed.claim, routed.place, verdict, self.now);
             }
             Event::Notice(place, verdict) => {
                 let name = self.name.clone();
-                self.entries[entry].heard(&name, place, verdict, self.now);
+                self.entries[entry].apply_verdict(&name, place, verdict, self.now);
             }
             Event::Failed(routed) => {
-                self.entries[entry].unreached(&self.name, routed.place);
+                self.entries[entry].discard_verdict(&self.name, routed.place);
                 let next = Routed {
                     place: routed.place + routed.step,
                     tried: routed.tried + 1,
--- a/crates/core/tests/quota_routing.rs
+++ b/crates/core/tests/quota_routing.rs
@@ -15,7 +15,7 @@
     };
     QuotaClaim {
         usage,
-        since: Instant::now(),
+        first_request_at: Instant::now(),
     }
 }
 
--- a/crates/core/tests/quota_tally.rs
+++ b/crates/core/tests/quota_tally.rs
@@ -18,14 +18,14 @@
     let (name, start) = (SmolStr::new("w"), Instant::now());
     let cfg = QuotaConfig::default();
     let mut entry = EntryQuotas::new(cfg, 0.9, start);
-    let started = start + cfg.careful;
+    let started = start + cfg.startup_period;
     assert!(entry.admit(&name, QUOTA, started).is_ok());
-    let claims = entry.claims(started + cfg.report_after);
-    entry.untold(&claims[0], started);
+    let claims = entry.take_claims(started + cfg.report_delay);
+    entry.requeue_claim(&claims[0], started);
     let _ = entry.admit(&name, QUOTA, started);
 
     let read = |entry: &mut EntryQuotas| -> Vec<QuotaTally> {
-        entry.tallies().map(|(_, tally)| tally).collect()
+        entry.take_tallies().map(|(_, tally)| tally).collect()
     };
     let counted = read(&mut entry);
     assert_eq!(counted.len(), 1);
--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -28,7 +28,7 @@
 
     fn report_entry_quotas(&mut self) {
         let mut limited: Vec<(SmolStr, QuotaTally)> = Vec::new();
-        for (workspace, tally) in self.entry_quotas.tallies() {
+        for (workspace, tally) in self.entry_quotas.take_tallies() {
             for basis in QuotaBasis::ALL {
                 let (admitted, refused) = (tally.admitted(basis), tally.refused(basis));
                 self.metrics.quota_decided(basis, admitted, refused);
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -41,12 +41,12 @@
     /// A request that counted towards a quota has not run.
     pub(super) fn quota_unused(&mut self, workspace: &SmolStr) {
         let now = self.clock.now();
-        self.entry_quotas.give_back(workspace, now);
+        self.entry_quotas.release(workspace, now);
     }
 
     /// Tells homes what was asked and used.
     pub(super) fn tell_homes(&mut self, now: Instant) {
-        let claims = self.entry_quotas.claims(now);
+        let claims = self.entry_quotas.take_claims(now);
         let routed = claims.into_iter();
         let routed = routed.map(|claim| self.quota_router.first(claim));
         let routed = routed.collect();
@@ -59,7 +59,7 @@
         for routed in routed {
             match routed {
                 Ok((home, routed)) => by_home.entry(home).or_default().push(routed),
-                Err(claim) => self.entry_quotas.untold(&claim, now),
+                Err(claim) => self.entry_quotas.requeue_claim(&claim, now),
             }
         }
         for (home, claims) in by_home {
@@ -71,7 +71,7 @@
                 let usage = &routed.claim.usage;
                 let verdict = self.claimed(usage, now).unwrap_or(Verdict::UNLIMITED);
                 self.entry_quotas
-                    .confirmed(&routed.claim, routed.place, verdict, now);
+                    .confirm_claim(&routed.claim, routed.place, verdict, now);
             }
         }
     }
@@ -81,7 +81,7 @@
         let now = self.clock.now();
         for routed in &claims {
             self.entry_quotas
-                .unreached(&routed.claim.usage.workspace, routed.place);
+                .discard_verdict(&routed.claim.usage.workspace, routed.place);
         }
         let next = claims.into_iter();
         let next = next.map(|routed| self.quota_router.next(routed));
@@ -94,17 +94,17 @@
         let now = self.clock.now();
         for notice in notices {
             self.entry_quotas
-                .heard(&notice.workspace, notice.place, notice.verdict, now);
+                .apply_verdict(&notice.workspace, notice.place, notice.verdict, now);
         }
     }
 
     /// Homes have taken in claims.
     pub(super) fn quota_confirmed(&mut self, confirmed: &[(RoutedClaim, Verdict)]) {
         let now = self.clock.now();
-        self.entry_quotas.reached(now);
+        self.entry_quotas.node_answered(now);
         for (routed, verdict) in confirmed {
             self.entry_quotas
-                .confirmed(&routed.claim, routed.place, *verdict, now);
+                .confirm_claim(&routed.claim, routed.place, *verdict, now);
         }
     }
 
@@ -142,7 +142,8 @@
         let Some(place) = homes.iter().position(|home| *home == own) else {
             return;
         };
-        self.entry_quotas.heard(workspace, place, verdict, now);
+        self.entry_quotas
+            .apply_verdict(workspace, place, verdict, now);
         let notice = QuotaNotice {
             workspace: workspace.clone(),
             place,
@@ -179,7 +180,7 @@
                 (instance.address.ip(), domain)
             })
             .collect();
-        self.entry_quotas.set_nodes(nodes.len());
+        self.entry_quotas.set_node_count(nodes.len());
         if self.quota_router.set_nodes(nodes) {
             self.home_quotas.node_list_changed(self.clock.now());
         }
