--- a/crates/core/src/workspace/quota/routing.rs
+++ b/crates/core/src/workspace/quota/routing.rs
@@ -1,4 +1,4 @@
-//! To which home an entry tells what.
+//! Selects the home to which an entry sends a claim.
 
 use std::net::IpAddr;
 
@@ -8,143 +8,148 @@
 use super::{QuotaClaim, Verdict};
 use crate::collections::Map;
 
-/// A claim on its way to one home after the other.
+/// A claim with the home that it is sent to, and the order in which the remaining homes are tried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutedClaim {
-    /// What is told.
+    /// The claim.
     pub claim: QuotaClaim,
-    /// Place, among the homes of the workspace, of the one that it is told to.
-    pub place: usize,
-    /// Homes that have not answered it.
-    tried: usize,
-    /// Places from one home to the next.
-    step: usize,
+    /// Index of the receiving home among the homes of the workspace.
+    pub home_index: usize,
+    /// Number of homes that have not answered it.
+    failed_homes: usize,
+    /// Difference between the indices of one home and the next one to try.
+    stride: usize,
 }
 
-/// The word of a home about a workspace.
+/// A verdict that a home broadcasts about a workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaNotice {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: SmolStr,
-    /// Place of the home among those of the workspace.
-    pub place: usize,
-    /// What it says.
+    /// Index of the home among the homes of the workspace.
+    pub home_index: usize,
+    /// Verdict of the home.
     pub verdict: Verdict,
 }
 
-/// Homes of all workspaces that an entry has met, and whose turn it is.
+/// Distributes the claims of an entry over the homes of each workspace.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaRouter {
     nodes: Vec<(IpAddr, SmolStr)>,
-    turns: Map<SmolStr, Turns>,
-    first_turn: usize,
+    rotations: Map<SmolStr, HomeRotation>,
+    initial_index: usize,
 }
 
-/// The homes of one workspace, each in turn.
+/// Round-robin state of the homes of one workspace.
 ///
-/// With one turn for all workspaces of an entry, the rhythm of one would decide where the other's claims go: all of them to the
-/// same home, which has a third of the quota.
+/// A counter shared by all workspaces of an entry would let the claims of one workspace decide where those of another
+/// go, possibly all to the same home, which has only a third of the quota.
 #[derive(Clone, Debug)]
-struct Turns {
+struct HomeRotation {
     homes: Vec<IpAddr>,
-    turn: usize,
+    last_index: usize,
 }
 
 impl QuotaRouter {
-    /// A router whose first turn is this one; entries that all began with the same home would meet there.
-    pub fn new(turn: usize) -> Self {
+    /// Creates a router without nodes. `initial_index` should differ between entries, so that their first claims don't
+    /// all go to the same home.
+    pub fn new(initial_index: usize) -> Self {
         Self {
-            first_turn: turn,
+            initial_index,
             ..Self::default()
         }
     }
 
-    /// Takes in the published nodes with their failure domains; whether they have changed.
+    /// Sets the published nodes with their failure domains, and returns whether they have changed.
     pub fn set_nodes(&mut self, mut nodes: Vec<(IpAddr, SmolStr)>) -> bool {
         nodes.sort_unstable();
         nodes.dedup();
         if nodes != self.nodes {
             self.nodes = nodes;
-            self.turns.clear();
+            self.rotations.clear();
             return true;
         }
         false
     }
 
-    /// All nodes.
+    /// Returns the addresses of all nodes.
     pub fn nodes(&self) -> impl Iterator<Item = IpAddr> {
         self.nodes.iter().map(|(address, _)| *address)
     }
 
-    /// Forgets workspaces that are not published any more.
-    pub fn forget_workspaces(&mut self) {
-        self.turns.clear();
+    /// Removes the state of all workspaces, so that none is kept that is no longer published.
+    pub fn clear_workspaces(&mut self) {
+        self.rotations.clear();
     }
 
-    /// The homes of a workspace.
+    /// Returns the homes of a workspace.
     pub fn homes(&mut self, workspace: &SmolStr) -> &[IpAddr] {
-        &self.turns(workspace).homes
+        &self.rotation(workspace).homes
     }
 
-    fn turns(&mut self, workspace: &SmolStr) -> &mut Turns {
-        let (nodes, turn) = (&self.nodes, self.first_turn);
-        self.turns
+    fn rotation(&mut self, workspace: &SmolStr) -> &mut HomeRotation {
+        let (nodes, last_index) = (&self.nodes, self.initial_index);
+        self.rotations
             .entry(workspace.clone())
-            .or_insert_with(|| Turns {
-                homes: find(nodes, workspace),
-                turn,
+            .or_insert_with(|| HomeRotation {
+                homes: home_addresses(nodes, workspace),
+                last_index,
             })
     }
 
-    /// The home that a new claim is told to: each in turn, so that all of them see a like part of the demand.
+    /// Selects the home for a new claim. Homes are used in turn, so that all of them receive a similar part of the
+    /// demand.
     ///
     /// # Errors
     ///
-    /// No node is known.
-    pub fn first(&mut self, claim: QuotaClaim) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
-        let turns = self.turns(&claim.usage.workspace);
-        turns.turn = turns.turn.wrapping_add(1);
-        let place = turns.turn;
-        // Claims of a home that does not answer are spread over both others: all of them at one would use up its part of the
-        // quota while the other's is left over.
-        let step = match turns.homes.len() {
-            HOMES => 1 + place / HOMES % 2,
+    /// Returns the claim if no node is known.
+    pub fn route(&mut self, claim: QuotaClaim) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
+        let rotation = self.rotation(&claim.usage.workspace);
+        rotation.last_index = rotation.last_index.wrapping_add(1);
+        let home_index = rotation.last_index;
+        // Claims of a home that does not answer are spread over both others: if all went to one of them, they would
+        // exhaust its part of the quota while the other's is unused.
+        let stride = match rotation.homes.len() {
+            HOMES => 1 + home_index / HOMES % 2,
             _ => 1,
         };
-        let routed = RoutedClaim {
+        self.resolve(RoutedClaim {
             claim,
-            place,
-            tried: 0,
-            step,
-        };
-        self.route(routed)
+            home_index,
+            failed_homes: 0,
+            stride,
+        })
     }
 
-    /// The next home after one that has not answered.
+    /// Selects the next home for a claim that its home has not answered.
     ///
     /// # Errors
     ///
-    /// None of them has answered.
-    pub fn next(&mut self, routed: RoutedClaim) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
-        self.route(RoutedClaim {
-            place: routed.place + routed.step,
-            tried: routed.tried + 1,
+    /// Returns the claim if no home has answered it.
+    pub fn route_to_next(
+        &mut self,
+        routed: RoutedClaim,
+    ) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
+        self.resolve(RoutedClaim {
+            home_index: routed.home_index + routed.stride,
+            failed_homes: routed.failed_homes + 1,
             ..routed
         })
     }
 
-    /// The home at a claim's place, counted on beyond the last one; the claim comes back once all have been tried.
-    fn route(&mut self, mut routed: RoutedClaim) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
+    /// Wraps the index of a claim to the number of homes and returns the address of the home, or the claim if all homes
+    /// have been tried.
+    fn resolve(&mut self, mut routed: RoutedClaim) -> Result<(IpAddr, RoutedClaim), QuotaClaim> {
         let homes = self.homes(&routed.claim.usage.workspace);
-        if routed.tried >= homes.len() {
+        if routed.failed_homes >= homes.len() {
             return Err(routed.claim);
         }
-        routed.place %= homes.len();
-        Ok((homes[routed.place], routed))
+        routed.home_index %= homes.len();
+        Ok((homes[routed.home_index], routed))
     }
 }
 
-fn find(nodes: &[(IpAddr, SmolStr)], workspace: &str) -> Vec<IpAddr> {
+fn home_addresses(nodes: &[(IpAddr, SmolStr)], workspace: &str) -> Vec<IpAddr> {
     let names: Vec<String> = nodes.iter().map(|(ip, _)| ip.to_string()).collect();
     let domains = nodes.iter().map(|(_, domain)| domain.as_str());
     let listed = names.iter().map(String::as_str).zip(domains);
--- a/crates/core/tests/quota_routing.rs
+++ b/crates/core/tests/quota_routing.rs
@@ -38,13 +38,13 @@
     let silent = router.homes(&"w".into())[0];
     let mut told: BTreeMap<IpAddr, u32> = BTreeMap::new();
     for _ in 0..60 {
-        let mut next = router.first(claim("w"));
+        let mut next = router.route(claim("w"));
         while let Ok((home, routed)) = next {
             if home != silent {
                 *told.entry(home).or_default() += 1;
                 break;
             }
-            next = router.next(routed);
+            next = router.route_to_next(routed);
         }
     }
     let counts: Vec<u32> = told.into_values().collect();
@@ -61,9 +61,9 @@
         let mut told: BTreeMap<IpAddr, u32> = BTreeMap::new();
         for _ in 0..30 {
             for _ in 0..rhythm {
-                router.first(claim("hot")).expect("a home");
+                router.route(claim("hot")).expect("a home");
             }
-            let (home, _) = router.first(claim("calm")).expect("a home");
+            let (home, _) = router.route(claim("calm")).expect("a home");
             *told.entry(home).or_default() += 1;
         }
         let counts: Vec<u32> = told.into_values().collect();
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -48,7 +48,7 @@
     pub(super) fn tell_homes(&mut self, now: Instant) {
         let claims = self.entry_quotas.take_claims(now);
         let routed = claims.into_iter();
-        let routed = routed.map(|claim| self.quota_router.first(claim));
+        let routed = routed.map(|claim| self.quota_router.route(claim));
         let routed = routed.collect();
         self.send_claims(routed, now);
     }
@@ -71,7 +71,7 @@
                 let usage = &routed.claim.usage;
                 let verdict = self.claimed(usage, now).unwrap_or(Verdict::UNLIMITED);
                 self.entry_quotas
-                    .confirm_claim(&routed.claim, routed.place, verdict, now);
+                    .confirm_claim(&routed.claim, routed.home_index, verdict, now);
             }
         }
     }
@@ -81,10 +81,10 @@
         let now = self.clock.now();
         for routed in &claims {
             self.entry_quotas
-                .discard_verdict(&routed.claim.usage.workspace, routed.place);
+                .discard_verdict(&routed.claim.usage.workspace, routed.home_index);
         }
         let next = claims.into_iter();
-        let next = next.map(|routed| self.quota_router.next(routed));
+        let next = next.map(|routed| self.quota_router.route_to_next(routed));
         let next = next.collect();
         self.send_claims(next, now);
     }
@@ -93,8 +93,12 @@
     pub(super) fn quota_heard(&mut self, notices: Vec<QuotaNotice>) {
         let now = self.clock.now();
         for notice in notices {
-            self.entry_quotas
-                .apply_verdict(&notice.workspace, notice.place, notice.verdict, now);
+            self.entry_quotas.apply_verdict(
+                &notice.workspace,
+                notice.home_index,
+                notice.verdict,
+                now,
+            );
         }
     }
 
@@ -104,7 +108,7 @@
         self.entry_quotas.node_answered(now);
         for (routed, verdict) in confirmed {
             self.entry_quotas
-                .confirm_claim(&routed.claim, routed.place, *verdict, now);
+                .confirm_claim(&routed.claim, routed.home_index, *verdict, now);
         }
     }
 
@@ -146,7 +150,7 @@
             .apply_verdict(workspace, place, verdict, now);
         let notice = QuotaNotice {
             workspace: workspace.clone(),
-            place,
+            home_index: place,
             verdict,
         };
         let others = self.quota_router.nodes().filter(|node| *node != own);
@@ -194,7 +198,7 @@
         let known = |name: &SmolStr| directory.named(name).is_some();
         self.entry_quotas.retain(known);
         self.home_quotas.retain(known);
-        self.quota_router.forget_workspaces();
+        self.quota_router.clear_workspaces();
     }
 
     fn say(&self, word: QuotaWord) {
--- a/crates/node/src/mesh/link/quota_frames.rs
+++ b/crates/node/src/mesh/link/quota_frames.rs
@@ -79,7 +79,7 @@
     fn from(notice: &QuotaNotice) -> Self {
         Self {
             workspace: notice.workspace.clone(),
-            place: u8::try_from(notice.place).unwrap_or(u8::MAX),
+            place: u8::try_from(notice.home_index).unwrap_or(u8::MAX),
             verdict: notice.verdict.into(),
         }
     }
@@ -89,7 +89,7 @@
     fn from(frame: NoticeFrame) -> Self {
         Self {
             workspace: frame.workspace,
-            place: usize::from(frame.place),
+            home_index: usize::from(frame.place),
             verdict: frame.verdict.into(),
         }
     }
