--- a/crates/core/src/workspace/quota/bound.rs
+++ b/crates/core/src/workspace/quota/bound.rs
@@ -1,18 +1,18 @@
-//! What more than its quota may run of a workspace.
+//! Limit up to which a workspace may exceed its quota.
 
 use std::time::Duration;
 
 use crate::workspace::Quota;
 
-/// How far all nodes together may go beyond a quota: in any window, the quota of that window with its burst, a share of
-/// that more, and some requests besides.
+/// Limit up to which all nodes together may exceed a quota: in any window, they may admit the quota of that window
+/// including its burst, plus a share of it and a fixed number of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBound {
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Share beyond the quota.
+    /// Share of the quota that may be admitted beyond it.
     pub overage: f64,
-    /// Requests besides.
+    /// Number of requests that may be admitted in addition.
     pub slack: f64,
 }
 
@@ -27,28 +27,32 @@
 }
 
 impl QuotaBound {
-    /// Part of the quota that entries which reach no home may let run, all together: homes give out the whole quota and more.
-    pub(super) fn alone(&self) -> f64 {
+    /// Returns the share of the quota that all entries which reach no home may admit together. It is small because
+    /// homes grant the whole quota and more.
+    pub(super) fn isolated_share(&self) -> f64 {
         0.4 * self.overage
     }
 
-    /// Requests that all entries together may let run at once before any home has told them anything.
-    pub(super) fn unheard(&self) -> f64 {
+    /// Returns the burst that all entries together may admit while they decide without verdicts of homes.
+    pub(super) fn local_burst(&self) -> f64 {
         0.05 * self.slack
     }
 
-    /// Requests a second that homes give out of a quota, all together: the rate and a part of what may run beyond it.
+    /// Returns the requests per second that all homes together grant: the rate and a part of what may be admitted
+    /// beyond it.
     ///
-    /// Which requests are within a quota depends on their order over all nodes, which nobody sees. At the rate alone a workspace
-    /// a little beyond its quota has some refused that were within it, and one of few requests has most of its slack unused.
+    /// Which requests are within a quota depends on their order over all nodes, which no node observes. At the bare
+    /// rate, a workspace slightly beyond its quota would have requests refused that were within it, and a workspace
+    /// with few requests would leave most of its slack unused.
     pub(super) fn rate(&self, quota: Quota) -> f64 {
-        let besides = 0.3 * self.slack / self.window.as_secs_f64().max(0.1);
-        quota.per_second * (1.0 + 0.25 * self.overage) + besides
+        let extra = 0.3 * self.slack / self.window.as_secs_f64().max(0.1);
+        quota.per_second * (1.0 + 0.25 * self.overage) + extra
     }
 
-    /// Requests that homes may save up besides the burst, all together: chance brings several requests of a small workspace
-    /// at once. The rest is for what entries let run before they hear of it.
-    pub(super) fn saved(&self) -> f64 {
+    /// Returns the requests that all homes together may save in addition to the burst, since a small workspace
+    /// sometimes receives several requests at once by chance. The rest of the slack is for requests that entries admit
+    /// before they receive a verdict.
+    pub(super) fn extra_savings(&self) -> f64 {
         0.5 * self.slack
     }
 }
--- a/crates/core/src/workspace/quota/demand.rs
+++ b/crates/core/src/workspace/quota/demand.rs
@@ -1,40 +1,41 @@
-//! How many requests a second come of a workspace.
+//! Measures the request rate of a workspace.
 
 use std::time::{Duration, Instant};
 
-/// Requests and the time in which they came, both forgotten with the same window.
+/// Estimates the request rate as the quotient of two sums that decay exponentially: requests, and the time in which
+/// they arrived.
 ///
-/// Their quotient is right from the first claim on; over a fixed window a home that has just started would take a surge for calm
-/// until the window has passed.
+/// The quotient is accurate from the first claim on. With a fixed window, a home that has just started would
+/// underestimate a surge until the window has passed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
     requests: f64,
     seconds: f64,
-    at: Instant,
+    updated: Instant,
 }
 
 impl Demand {
-    /// A demand that is taken to have been so high for a while, as far as nothing else is known.
-    pub(super) fn new(per_second: f64, known: Duration, now: Instant) -> Self {
-        let seconds = known.as_secs_f64();
+    /// Creates an estimate as if requests had arrived at the given rate for the time `span`.
+    pub(super) fn new(per_second: f64, span: Duration, now: Instant) -> Self {
+        let seconds = span.as_secs_f64();
         Self {
             requests: per_second * seconds,
             seconds,
-            at: now,
+            updated: now,
         }
     }
 
-    /// So many requests came up to now; what is older than the window fades.
-    pub(super) fn came(&mut self, requests: f64, window: Duration, now: Instant) {
+    /// Adds requests that arrived up to now; older ones decay with the window as time constant.
+    pub(super) fn record(&mut self, requests: f64, window: Duration, now: Instant) {
         let window = window.as_secs_f64();
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
-        let kept = (-passed / window).exp();
-        self.requests = self.requests * kept + requests;
-        self.seconds = self.seconds * kept + window * (1.0 - kept);
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.updated = now;
+        let decay = (-elapsed / window).exp();
+        self.requests = self.requests * decay + requests;
+        self.seconds = self.seconds * decay + window * (1.0 - decay);
     }
 
-    /// Requests a second.
+    /// Returns the estimated requests per second.
     pub(super) fn per_second(&self) -> f64 {
         self.requests / self.seconds.max(f64::MIN_POSITIVE)
     }
--- a/crates/core/src/workspace/quota/entry.rs
+++ b/crates/core/src/workspace/quota/entry.rs
@@ -134,7 +134,7 @@
         account.updated = now;
         account.demand = account.demand * (-elapsed / DEMAND_WINDOW).exp() + 1.0 / DEMAND_WINDOW;
         let small_burst = Quota {
-            burst: cfg.bound.unheard(),
+            burst: cfg.bound.local_burst(),
             ..quota
         };
         let share = account.share(&cfg, now);
@@ -146,9 +146,12 @@
             (false, None) => QuotaBasis::NoVerdict,
         };
         let admitted = match basis {
-            QuotaBasis::Alone => {
-                account.admit_by_bucket(small_burst, cfg.bound.alone() / nodes, elapsed, phase)
-            }
+            QuotaBasis::Alone => account.admit_by_bucket(
+                small_burst,
+                cfg.bound.isolated_share() / nodes,
+                elapsed,
+                phase,
+            ),
             QuotaBasis::Starting => {
                 account.admit_by_bucket(small_burst, 1.0 / nodes, elapsed, phase)
             }
--- a/crates/core/src/workspace/quota/entry_account.rs
+++ b/crates/core/src/workspace/quota/entry_account.rs
@@ -85,7 +85,7 @@
         let is_fresh = |at: Instant| now.saturating_duration_since(at) <= cfg.verdict_ttl;
         let known = self.verdicts.iter().flatten();
         let known = known.filter(|(_, at)| is_fresh(*at));
-        Verdict::pooled(known.map(|(verdict, _)| *verdict)).map(|pooled| pooled.share())
+        Verdict::sum(known.map(|(verdict, _)| *verdict)).map(|sum| sum.share())
     }
 
     /// Returns whether a claim has been unconfirmed for too long.
--- a/crates/core/src/workspace/quota/home.rs
+++ b/crates/core/src/workspace/quota/home.rs
@@ -172,7 +172,7 @@
         let recently = now.saturating_duration_since(account.home_since) < self.bound.window;
         let is_new = recently && account.home_since > self.started;
         let burst = if is_new { 0.0 } else { quota.burst };
-        let max_saved = (burst + self.bound.saved()) * part;
+        let max_saved = (burst + self.bound.extra_savings()) * part;
         account.apply_claim(rate * part, max_saved, asked, used, now)
     }
 
@@ -264,11 +264,11 @@
         // Debt is paid back within the window in which the quota is counted; older debt would only refuse more.
         self.saved = self.saved.max(-rate.max(1.0) * MAX_DEBT.as_secs_f64());
         let window = time_for(DEMAND_REQUESTS, rate).clamp(MIN_DEMAND_WINDOW, MAX_DEMAND_WINDOW);
-        self.demand.came(asked, window, now);
+        self.demand.record(asked, window, now);
         let verdict = Verdict {
             rate,
             saved: self.saved,
-            most_saved: max_saved,
+            max_saved,
             demand: self.demand.per_second(),
         };
         self.claims += 1;
--- a/crates/core/src/workspace/quota/verdict.rs
+++ b/crates/core/src/workspace/quota/verdict.rs
@@ -1,58 +1,59 @@
-//! What homes have to give out of a quota.
+//! Verdicts, by which homes tell entries how much of a quota is available.
 
 use std::time::Duration;
 
-/// Time in which saved or owed requests are brought back to nothing.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Time in which debt is paid back.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// Multiple of the rate that may run besides it while all is saved that can be. Measured demand fluctuates by chance far more
-/// than the rate does, so a workspace within its quota, which has most of it saved, is refused nothing; one beyond it stays
-/// near zero, where the share follows the rate. A step in place of this slope would let everything run by turns.
+/// Multiple of the rate that may be admitted on top of it while savings are at their maximum. Measured demand
+/// fluctuates far more than the rate. A workspace within its quota has most of its maximum saved and is refused
+/// nothing; for one beyond its quota, savings stay near zero, where the share follows the rate. A step instead of this
+/// slope would alternate between admitting everything and refusing.
 const SAVED_GAIN: f64 = 8.0;
 
-/// State of the part of a quota that a home keeps, or of several parts together.
+/// State of the part of a quota that a home enforces, or the sum of several parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Verdict {
-    /// Requests a second that it gives out.
+    /// Requests per second that the home grants.
     pub rate: f64,
-    /// Requests that may run besides the rate; negative where more ran than may.
+    /// Requests that may be admitted on top of the rate; negative if too many have been admitted.
     pub saved: f64,
-    /// Requests that can be saved at most.
-    pub most_saved: f64,
-    /// Requests a second that its entries are asked for.
+    /// Maximum of `saved`.
+    pub max_saved: f64,
+    /// Requests per second that entries receive and report to this home.
     pub demand: f64,
 }
 
 impl Verdict {
-    /// Refuses nothing.
+    /// Verdict that refuses nothing.
     pub const UNLIMITED: Self = Self {
         rate: 1.0,
         saved: 0.0,
-        most_saved: 0.0,
+        max_saved: 0.0,
         demand: 0.0,
     };
 
-    /// Several parts as one; `None` for no part.
+    /// Adds up several parts; returns `None` if there are none.
     ///
-    /// The mean of their shares would not do: a share can't fall below nothing, so a home that is owed much would be outweighed
-    /// by one that few claims reach.
-    pub fn pooled<I>(verdicts: I) -> Option<Self>
+    /// The mean of their shares would be wrong: a share can't be negative, so a home with a large debt would be
+    /// outweighed by one that receives few claims.
+    pub fn sum<I>(verdicts: I) -> Option<Self>
     where
         I: IntoIterator<Item = Self>,
     {
         verdicts.into_iter().reduce(|sum, part| Self {
             rate: sum.rate + part.rate,
             saved: sum.saved + part.saved,
-            most_saved: sum.most_saved + part.most_saved,
+            max_saved: sum.max_saved + part.max_saved,
             demand: sum.demand + part.demand,
         })
     }
 
-    /// Share of the requests to admit, from 0 to 1.
+    /// Returns the share of the requests to admit, from 0 to 1.
     pub fn share(&self) -> f64 {
         let extra = match self.saved >= 0.0 {
-            true => self.rate * SAVED_GAIN * self.saved / self.most_saved.max(1.0),
-            false => self.saved / SETTLE.as_secs_f64(),
+            true => self.rate * SAVED_GAIN * self.saved / self.max_saved.max(1.0),
+            false => self.saved / SETTLE_TIME.as_secs_f64(),
         };
         let allowed = (self.rate + extra).max(0.0);
         (allowed / self.demand.max(f64::MIN_POSITIVE)).min(1.0)
--- a/crates/core/tests/quota_entry.rs
+++ b/crates/core/tests/quota_entry.rs
@@ -16,7 +16,7 @@
 const GENEROUS: Verdict = Verdict {
     rate: 1000.0,
     saved: 0.0,
-    most_saved: 0.0,
+    max_saved: 0.0,
     demand: 1.0,
 };
 
@@ -24,7 +24,7 @@
 const OWED: Verdict = Verdict {
     rate: 100.0,
     saved: -400.0,
-    most_saved: 0.0,
+    max_saved: 0.0,
     demand: 300.0,
 };
 
@@ -32,7 +32,7 @@
 const SAVED: Verdict = Verdict {
     rate: 100.0,
     saved: 300.0,
-    most_saved: 400.0,
+    max_saved: 400.0,
     demand: 100.0,
 };
 
@@ -79,8 +79,8 @@
 /// Guards against one home that is owed requests being outweighed by another that few claims reach.
 #[test]
 fn debts_of_one_home_count_against_savings_of_another() {
-    let pooled = Verdict::pooled([OWED, SAVED]).expect("a verdict");
+    let sum = Verdict::sum([OWED, SAVED]).expect("a verdict");
     let mean = (OWED.share() + SAVED.share()) / 2.0;
     assert!((mean - 0.5).abs() < 1e-9, "{mean}");
-    assert!(pooled.share() <= 0.3, "{}", pooled.share());
+    assert!(sum.share() <= 0.3, "{}", sum.share());
 }
--- a/crates/node/src/mesh/link/quota_frames.rs
+++ b/crates/node/src/mesh/link/quota_frames.rs
@@ -58,7 +58,7 @@
         Self {
             rate: verdict.rate as f32,
             saved: verdict.saved as f32,
-            most_saved: verdict.most_saved as f32,
+            most_saved: verdict.max_saved as f32,
             demand: verdict.demand as f32,
         }
     }
@@ -69,7 +69,7 @@
         Self {
             rate: frame.rate.into(),
             saved: frame.saved.into(),
-            most_saved: frame.most_saved.into(),
+            max_saved: frame.most_saved.into(),
             demand: frame.demand.into(),
         }
     }
