--- a/crates/core/src/workspace/quota/tally.rs
+++ b/crates/core/src/workspace/quota/tally.rs
@@ -1,25 +1,25 @@
-//! What was decided about a quota within a reporting interval, for logs and metrics.
+//! Counts of quota decisions in a reporting interval, for logs and metrics.
 
 use smol_str::SmolStr;
 
-/// What an entry goes by when it decides about a request.
+/// Basis on which an entry admits or refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaBasis {
-    /// Fresh verdicts of homes.
+    /// Recent verdicts of homes.
     Verdicts,
-    /// No home has told a verdict lately.
+    /// No home has sent a verdict recently.
     NoVerdict,
-    /// Its own start: no home has told anything yet.
+    /// The entry has just started, and no home has sent a verdict yet.
     Starting,
-    /// No home answers.
+    /// No home answers; the entry uses its own part of the quota.
     Alone,
 }
 
 impl QuotaBasis {
-    /// All of them, in the order of their numbers.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Self; 4] = [Self::Verdicts, Self::NoVerdict, Self::Starting, Self::Alone];
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Verdicts => "verdicts",
@@ -30,7 +30,7 @@
     }
 }
 
-/// Decisions of an entry about the requests of a workspace.
+/// Decisions of an entry about the requests of a workspace, by their basis.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaTally {
     admitted: [u32; QuotaBasis::ALL.len()],
@@ -38,7 +38,7 @@
 }
 
 impl QuotaTally {
-    /// Counts a decision.
+    /// Counts one decision.
     pub(super) fn count(&mut self, basis: QuotaBasis, admitted: bool) {
         match admitted {
             true => self.admitted[basis as usize] += 1,
@@ -46,40 +46,40 @@
         }
     }
 
-    /// Requests admitted on this basis.
+    /// Returns the number of requests admitted on a basis.
     pub fn admitted(&self, basis: QuotaBasis) -> u32 {
         self.admitted[basis as usize]
     }
 
-    /// Requests refused on this basis.
+    /// Returns the number of requests refused on a basis.
     pub fn refused(&self, basis: QuotaBasis) -> u32 {
         self.refused[basis as usize]
     }
 
-    /// Requests refused in all.
-    pub fn all_refused(&self) -> u32 {
+    /// Returns the number of requests refused on any basis.
+    pub fn total_refused(&self) -> u32 {
         self.refused.iter().sum()
     }
 
-    /// Whether no request came.
+    /// Returns whether no decision was counted.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What a home took in and decided about a workspace.
+/// Claims that a home received for a workspace, and its latest state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HomeTally {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: SmolStr,
-    /// Claims taken in.
+    /// Number of claims received.
     pub claims: u32,
-    /// Requests that entries were asked for.
+    /// Requests received by entries, as reported in the claims.
     pub asked: f64,
-    /// Requests that entries let run.
+    /// Requests admitted by entries, as reported in the claims.
     pub used: f64,
-    /// Requests that may run besides the rate; negative where more ran than may.
+    /// Requests that may be admitted on top of the rate; negative if too many have been admitted.
     pub saved: f64,
-    /// Share of requests to admit, from 0 to 1.
+    /// Share of requests to admit by the latest verdict, from 0 to 1.
     pub share: f64,
 }
--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -33,17 +33,17 @@
                 let (admitted, refused) = (tally.admitted(basis), tally.refused(basis));
                 self.metrics.quota_decided(basis, admitted, refused);
             }
-            if tally.all_refused() > 0 || tally.admitted(QuotaBasis::Alone) > 0 {
+            if tally.total_refused() > 0 || tally.admitted(QuotaBasis::Alone) > 0 {
                 limited.push((workspace.clone(), tally));
             }
         }
-        limited.sort_unstable_by_key(|(_, tally)| Reverse(tally.all_refused()));
+        limited.sort_unstable_by_key(|(_, tally)| Reverse(tally.total_refused()));
         for (workspace, tally) in limited.into_iter().take(MAX_REPORTED) {
             let admitted = |basis| tally.admitted(basis);
             info!(self.journal.log(), "quota decisions"; "workspace" => workspace.as_str(),
                 "by_verdicts" => admitted(QuotaBasis::Verdicts), "without_verdict" => admitted(QuotaBasis::NoVerdict),
                 "starting" => admitted(QuotaBasis::Starting), "alone" => admitted(QuotaBasis::Alone),
-                "refused" => tally.all_refused());
+                "refused" => tally.total_refused());
         }
     }
 
