--- a/crates/core/src/workspace/quota.rs
+++ b/crates/core/src/workspace/quota.rs
@@ -1,8 +1,9 @@
-//! Quotas of workspaces over the whole fleet, without a store and without asking on the path of a request.
+//! Fleet-wide quotas of workspaces, enforced without a shared store and without a remote call in the request path.
 //!
-//! Entries admit at once and tell afterwards what they were asked for and let run. They tell the *homes* of the workspace: a
-//! few nodes, found by rendezvous hashing over the published instances. Each home has a fixed part of the quota, and answers
-//! with the share of requests that entries should admit from now on.
+//! Entries decide locally and report the requests that they received and admitted afterwards. The reports go to the
+//! *homes* of the workspace: a few nodes, selected by rendezvous hashing over the published instances. Each home
+//! enforces a fixed part of the quota and answers with a [`Verdict`], from which entries derive the share of requests
+//! to admit.
 
 mod accounts;
 mod bound;
--- a/crates/core/src/workspace/quota/homes.rs
+++ b/crates/core/src/workspace/quota/homes.rs
@@ -1,21 +1,24 @@
-//! Which nodes keep the quota of a workspace.
+//! Assignment of the homes that enforce the quota of a workspace.
 
 use std::hash::{Hash, Hasher};
 
 use crate::collections::FastHasher;
 
-/// Nodes that keep a part of a quota each: the loss of one leaves more than the usual demand of a workspace, and a fleet cut in
-/// two has homes on both sides more often than not.
+/// Number of homes of a workspace, each of which enforces an equal part of its quota. Without one of them, the
+/// remaining parts still exceed the usual demand of a workspace, and a fleet that is partitioned in two usually has
+/// homes on both sides.
 pub(super) const HOMES: usize = 3;
 
-/// The homes of a workspace among nodes with these names and failure domains, by rendezvous hashing: where one node goes,
-/// only the workspaces that it was a home of get another one, and all who see the same list agree without a message.
+/// Selects the homes of a workspace among nodes given by name and failure domain.
 ///
-/// They lie in different failure domains while there are enough: a domain that is cut off then has its part of the quota with
-/// it.
+/// Rendezvous hashing is used: if a node is removed, only the workspaces that it was a home of get another one, and all
+/// nodes with the same list agree without communication.
 ///
-/// The list is the published one, whether its nodes can be reached or not. By reachability each half of a fleet that is cut in
-/// two would make homes for the whole quota of its own.
+/// Homes are in different failure domains if there are enough of them, so that a domain that is partitioned off
+/// contains one part of the quota.
+///
+/// Nodes are taken from the published list, whether they are reachable or not. If reachability counted, each half of a
+/// partitioned fleet would select homes for the whole quota.
 pub fn homes_of<'n, I>(workspace: &str, nodes: I) -> Vec<&'n str>
 where
     I: IntoIterator<Item = (&'n str, &'n str)>,
@@ -29,19 +32,19 @@
         })
         .collect();
     scored.sort_unstable_by(|a, b| (b.score, b.node).cmp(&(a.score, a.node)));
-    let mut chosen: Vec<&Scored<'n>> = Vec::with_capacity(HOMES);
+    let mut homes: Vec<&Scored<'n>> = Vec::with_capacity(HOMES);
     for candidate in &scored {
-        if chosen.iter().all(|other| other.domain != candidate.domain) {
-            chosen.push(candidate);
+        if homes.iter().all(|home| home.domain != candidate.domain) {
+            homes.push(candidate);
         }
     }
-    chosen.truncate(HOMES);
+    homes.truncate(HOMES);
     let rest = scored
         .iter()
-        .filter(|other| !chosen.iter().any(|home| home.node == other.node));
-    let missing = HOMES.saturating_sub(chosen.len());
+        .filter(|other| !homes.iter().any(|home| home.node == other.node));
+    let missing = HOMES.saturating_sub(homes.len());
     let rest: Vec<_> = rest.take(missing).collect();
-    chosen
+    homes
         .into_iter()
         .chain(rest)
         .map(|home| home.node)
@@ -57,7 +60,7 @@
 fn score(workspace: &str, node: &str) -> u64 {
     let mut hasher = FastHasher::default();
     (workspace, node).hash(&mut hasher);
-    // The fast hasher mixes its last bytes poorly into the upper bits, by which scores are compared.
+    // The fast hasher mixes its last bytes poorly into the upper bits, which dominate the comparison of scores.
     let mut mixed = hasher.finish();
     mixed ^= mixed >> 32;
     mixed = mixed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
