--- a/crates/core/src/workspace.rs
+++ b/crates/core/src/workspace.rs
@@ -1,7 +1,7 @@
-//! Workspaces: whose requests they are, how urgent, and how many of them a second may run.
+//! Workspaces: the tenants that requests are attributed to, with their priority and quota.
 //!
-//! A published configuration names the workspaces with their keys. Requests bear a key where they enter the mesh and nowhere
-//! else; from there on only the name of the workspace travels with them.
+//! A published configuration lists the workspaces with their keys. A request carries a key only where it enters the
+//! mesh; from there on, only the name of the workspace is passed along.
 
 mod directory;
 mod key_digest;
--- a/crates/core/src/workspace/spec.rs
+++ b/crates/core/src/workspace/spec.rs
@@ -1,33 +1,33 @@
-//! A workspace as it is published, and what a directory keeps of it.
+//! Published definition of a workspace, and the part of it that a directory stores.
 
 use smol_str::SmolStr;
 
-/// Rate and burst of a workspace's requests, counted over all nodes.
+/// Limit on the requests of a workspace, counted over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub per_second: f64,
-    /// Requests that may come at once besides.
+    /// Number of requests that may arrive at once on top of the rate.
     pub burst: f64,
 }
 
-/// What a directory keeps of a workspace.
+/// A workspace as stored in a directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Name, by which targets know it.
+    /// Name under which targets know it.
     pub name: SmolStr,
-    /// Urgency, 0 for the most urgent; it goes before that of routes.
+    /// Priority, 0 for the highest; takes precedence over the rank of routes.
     pub rank: u8,
-    /// Its quota; `None` for no limit.
+    /// Quota of its requests; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// A workspace with its keys, as it is published. The keys are dropped once their digests are made.
+/// A workspace with its keys, as published. The keys are dropped once their digests are computed.
 #[derive(Clone)]
 pub struct WorkspaceSpec {
-    /// What is kept.
+    /// Part that the directory stores.
     pub workspace: Workspace,
-    /// Its keys; none where all were taken away.
+    /// Keys of the workspace; empty if all have been revoked.
     pub keys: Vec<Box<[u8]>>,
 }
 
