--- a/crates/core/src/mesh/authentication.rs
+++ b/crates/core/src/mesh/authentication.rs
@@ -42,7 +42,7 @@
         return Ok(None);
     };
     let found = match claim.presented {
-        Presented::Key(key) => directory.find(key),
+        Presented::Key(key) => directory.find_by_key(key),
         Presented::Nothing if claim.of_unknown_run => return Err(Refusal::UnknownRun),
         Presented::Nothing | Presented::Several => None,
     };
--- a/crates/core/src/workspace/directory.rs
+++ b/crates/core/src/workspace/directory.rs
@@ -1,4 +1,4 @@
-//! The workspaces of one configuration, by key.
+//! Lookup of the workspaces of one configuration, by key and by name.
 
 use smol_str::SmolStr;
 
@@ -6,13 +6,14 @@
 use super::{DirectorySecret, Quota, Workspace, WorkspaceSpec};
 use crate::collections::Map;
 
-/// Longest key in bytes. A key stands in a header, and a head of usual size has no room for a longer one.
+/// Maximum length of a key in bytes. A key is sent in a header, and longer ones exceed the usual limits on header size.
 pub const MAX_KEY_BYTES: usize = 4096;
 
-/// Highest rate and burst, in requests. Far above what any fleet serves, and low enough that sums over nodes stay exact.
-const MOST_REQUESTS: f64 = 1e9;
+/// Maximum rate and burst, in requests. Far above what any fleet serves, and low enough that sums over nodes stay
+/// exact.
+const MAX_REQUESTS: f64 = 1e9;
 
-/// Workspaces by key; checked as a whole and not changed afterwards.
+/// Immutable set of workspaces, validated as a whole.
 #[derive(Clone)]
 pub struct Directory {
     workspaces: Vec<Workspace>,
@@ -21,35 +22,35 @@
     hasher: KeyHasher,
 }
 
-/// Why a directory can't be used. Names the workspace and never a key.
+/// Validation error of a directory. Contains the name of the workspace, but never a key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryError {
-    /// Two workspaces have one name.
+    /// Two workspaces have the same name.
     #[error("two workspaces are named `{0}`")]
     DuplicateName(SmolStr),
-    /// A workspace has an empty name.
+    /// The name of a workspace is empty.
     #[error("a workspace has no name")]
-    NoName,
-    /// A key has no bytes.
+    EmptyName,
+    /// A key is empty.
     #[error("workspace `{0}`: key {1} is empty")]
     EmptyKey(SmolStr, usize),
     /// A key is longer than [`MAX_KEY_BYTES`].
     #[error("workspace `{0}`: key {1} is too long")]
-    LongKey(SmolStr, usize),
+    KeyTooLong(SmolStr, usize),
     /// A key belongs to two workspaces.
     #[error("workspaces `{0}` and `{1}` have a key in common")]
     SharedKey(SmolStr, SmolStr),
-    /// A rate or burst is negative, no number or too large.
+    /// A rate or burst is negative, not a number, or too large.
     #[error("workspace `{0}`: the quota is out of range")]
-    Quota(SmolStr),
+    QuotaOutOfRange(SmolStr),
 }
 
 impl Directory {
-    /// Checks the workspaces and makes digests of their keys.
+    /// Validates the workspaces and computes the digests of their keys.
     ///
     /// # Errors
     ///
-    /// The first fault found; nothing of a faulty directory is used.
+    /// Returns the first error found. No part of an invalid directory is used.
     pub fn new<I>(specs: I, secret: DirectorySecret) -> Result<Self, DirectoryError>
     where
         I: IntoIterator<Item = WorkspaceSpec>,
@@ -61,46 +62,46 @@
             hasher: KeyHasher::new(secret),
         };
         for spec in specs {
-            check(&spec)?;
+            validate(&spec)?;
             directory.add(spec)?;
         }
         Ok(directory)
     }
 
-    /// The workspace that holds a key.
-    pub fn find(&self, key: &[u8]) -> Option<&Workspace> {
+    /// Returns the workspace that a key belongs to.
+    pub fn find_by_key(&self, key: &[u8]) -> Option<&Workspace> {
         if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return None;
         }
-        let place = self.by_key.get(&self.hasher.digest(key))?;
-        self.workspaces.get(*place as usize)
+        let index = self.by_key.get(&self.hasher.digest(key))?;
+        self.workspaces.get(*index as usize)
     }
 
-    /// The workspace of this name.
-    pub fn named(&self, name: &str) -> Option<&Workspace> {
-        let place = self.by_name.get(name)?;
-        self.workspaces.get(*place as usize)
+    /// Returns the workspace with the given name.
+    pub fn find_by_name(&self, name: &str) -> Option<&Workspace> {
+        let index = self.by_name.get(name)?;
+        self.workspaces.get(*index as usize)
     }
 
-    /// All workspaces, in the order in which they were published.
+    /// Returns all workspaces, in the order in which they were published.
     pub fn workspaces(&self) -> &[Workspace] {
         &self.workspaces
     }
 
-    /// Number of keys.
-    pub fn keys(&self) -> usize {
+    /// Returns the number of distinct keys.
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
     fn add(&mut self, spec: WorkspaceSpec) -> Result<(), DirectoryError> {
-        let place = u32::try_from(self.workspaces.len()).unwrap_or(u32::MAX);
+        let index = u32::try_from(self.workspaces.len()).unwrap_or(u32::MAX);
         let name = &spec.workspace.name;
-        if self.by_name.insert(name.clone(), place).is_some() {
+        if self.by_name.insert(name.clone(), index).is_some() {
             return Err(DirectoryError::DuplicateName(name.clone()));
         }
         for key in &spec.keys {
-            let known = self.by_key.insert(self.hasher.digest(key), place);
-            if let Some(other) = known.filter(|other| *other != place) {
+            let previous = self.by_key.insert(self.hasher.digest(key), index);
+            if let Some(other) = previous.filter(|other| *other != index) {
                 let other = self.workspaces[other as usize].name.clone();
                 return Err(DirectoryError::SharedKey(other, spec.workspace.name));
             }
@@ -119,25 +120,25 @@
     }
 }
 
-fn check(spec: &WorkspaceSpec) -> Result<(), DirectoryError> {
+fn validate(spec: &WorkspaceSpec) -> Result<(), DirectoryError> {
     let name = &spec.workspace.name;
     if name.is_empty() {
-        return Err(DirectoryError::NoName);
+        return Err(DirectoryError::EmptyName);
     }
-    for (at, key) in spec.keys.iter().enumerate() {
+    for (index, key) in spec.keys.iter().enumerate() {
         match key.len() {
-            0 => return Err(DirectoryError::EmptyKey(name.clone(), at)),
+            0 => return Err(DirectoryError::EmptyKey(name.clone(), index)),
             1..=MAX_KEY_BYTES => {}
-            _ => return Err(DirectoryError::LongKey(name.clone(), at)),
+            _ => return Err(DirectoryError::KeyTooLong(name.clone(), index)),
         }
     }
     match spec.workspace.quota {
-        Some(quota) if !is_sane(&quota) => Err(DirectoryError::Quota(name.clone())),
+        Some(quota) if !is_in_range(&quota) => Err(DirectoryError::QuotaOutOfRange(name.clone())),
         _ => Ok(()),
     }
 }
 
-fn is_sane(quota: &Quota) -> bool {
-    let range = 0.0..=MOST_REQUESTS;
+fn is_in_range(quota: &Quota) -> bool {
+    let range = 0.0..=MAX_REQUESTS;
     range.contains(&quota.per_second) && range.contains(&quota.burst)
 }
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -50,7 +50,7 @@
         },
         Case {
             specs: vec![spec("", 0, &[b"1"])],
-            fault: DirectoryError::NoName,
+            fault: DirectoryError::EmptyName,
         },
         Case {
             specs: vec![spec("a", 0, &[b"1", b""])],
@@ -58,7 +58,7 @@
         },
         Case {
             specs: vec![spec("a", 0, &[&long])],
-            fault: DirectoryError::LongKey("a".into(), 0),
+            fault: DirectoryError::KeyTooLong("a".into(), 0),
         },
         Case {
             specs: vec![spec("a", 0, &[b"1"]), spec("b", 0, &[b"2", b"1"])],
@@ -66,15 +66,15 @@
         },
         Case {
             specs: vec![with_quota(-1.0, 0.0)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
         Case {
             specs: vec![with_quota(1.0, f64::NAN)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
         Case {
             specs: vec![with_quota(1e308, 1.0)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
     ];
     for Case { specs, fault } in cases {
@@ -89,7 +89,7 @@
         spec("a key twice", 0, &[b"k", b"k"]),
         with_quota(0.3, 0.0),
     ];
-    assert_eq!(directory(specs).map(|d| d.keys()), Ok(1));
+    assert_eq!(directory(specs).map(|d| d.key_count()), Ok(1));
     assert_eq!(directory(Vec::new()).map(|d| d.workspaces().len()), Ok(0));
 }
 
@@ -98,12 +98,12 @@
     for length in [1, 255, 256, 4000, MAX_KEY_BYTES] {
         let key = vec![0xfe; length];
         let known = directory(vec![spec("w", 0, &[&key])]).expect("valid");
-        assert!(known.find(&key).is_some(), "{length}");
-        assert!(known.find(&key[1..]).is_none(), "{length}");
+        assert!(known.find_by_key(&key).is_some(), "{length}");
+        assert!(known.find_by_key(&key[1..]).is_none(), "{length}");
     }
     let known = directory(vec![spec("w", 0, &[b"k"])]).expect("valid");
-    assert!(known.find(b"").is_none());
-    assert!(known.find(&vec![b'k'; MAX_KEY_BYTES + 1]).is_none());
+    assert!(known.find_by_key(b"").is_none());
+    assert!(known.find_by_key(&vec![b'k'; MAX_KEY_BYTES + 1]).is_none());
 }
 
 #[test]
@@ -275,10 +275,10 @@
             spec.keys.push(key.clone().into());
         }
         let known = Directory::new(specs.into_values(), DirectorySecret(secret)).expect("valid");
-        prop_assert_eq!(known.keys(), owners.len());
+        prop_assert_eq!(known.key_count(), owners.len());
         for key in owners.keys().chain(&asked) {
             let name = owners.get(key).map(|owner| format!("w{owner}"));
-            let found = known.find(key).map(|workspace| workspace.name.to_string());
+            let found = known.find_by_key(key).map(|workspace| workspace.name.to_string());
             prop_assert_eq!(found, name);
         }
     }
--- a/crates/node/src/mesh/controller/authentication.rs
+++ b/crates/node/src/mesh/controller/authentication.rs
@@ -40,7 +40,7 @@
     pub(super) fn still_holds(&self, key: Option<&HeaderValue>) -> bool {
         let directory = self.config.as_ref().and_then(|config| config.directory());
         match (directory, key) {
-            (Some(directory), Some(key)) => directory.find(key.as_bytes()).is_some(),
+            (Some(directory), Some(key)) => directory.find_by_key(key.as_bytes()).is_some(),
             _ => true,
         }
     }
--- a/crates/node/src/mesh/controller/news.rs
+++ b/crates/node/src/mesh/controller/news.rs
@@ -165,7 +165,7 @@
         info!(self.journal.log(), "config in force"; "version" => config.version().0,
             "was" => in_force.map(|version| version.0), "routes" => config.routes().len(),
             "workspaces" => config.directory().map(|known| known.workspaces().len()),
-            "keys" => config.directory().map(Directory::keys), "ranks" => config.last_shed_order() + 1);
+            "keys" => config.directory().map(Directory::key_count), "ranks" => config.last_shed_order() + 1);
         self.metrics
             .config_version
             .set(i64::try_from(config.version().0).unwrap_or(i64::MAX));
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -122,7 +122,7 @@
 
     fn claimed(&mut self, claim: &QuotaUsage, now: Instant) -> Option<Verdict> {
         let directory = self.config.as_ref()?.directory()?;
-        let Some(quota) = directory.named(&claim.workspace)?.quota else {
+        let Some(quota) = directory.find_by_name(&claim.workspace)?.quota else {
             return Some(Verdict::UNLIMITED);
         };
         let (asked, used) = (f64::from(claim.asked), f64::from(claim.used));
@@ -195,7 +195,7 @@
         let Some(directory) = self.config.as_ref().and_then(|config| config.directory()) else {
             return;
         };
-        let known = |name: &SmolStr| directory.named(name).is_some();
+        let known = |name: &SmolStr| directory.find_by_name(name).is_some();
         self.entry_quotas.retain(known);
         self.home_quotas.retain(known);
         self.quota_router.clear_workspaces();
