--- a/crates/core/src/workspace.rs
+++ b/crates/core/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: the tenants that requests are attributed to, with their priority and quota.
+//! Workspaces, which own requests and define their priority and quota.
 //!
 //! A published configuration lists the workspaces with their keys. A request carries a key only where it enters the
 //! mesh; from there on, only the name of the workspace is passed along.
--- a/crates/core/src/workspace/quota/verdict.rs
+++ b/crates/core/src/workspace/quota/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts, by which homes tell entries how much of a quota is available.
+//! Verdicts, by which homes report to entries how much of a quota is available.
 
 use std::time::Duration;
 
