--- a/crates/core/tests/quota_entry.rs
+++ b/crates/core/tests/quota_entry.rs
@@ -1,4 +1,4 @@
-//! What an entry lets run of a workspace while homes don't hear it.
+//! Requests that an entry admits while its claims don't reach the homes.
 
 use std::time::{Duration, Instant};
 
@@ -12,24 +12,24 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// A home at whose word everything would run.
-const GENEROUS: Verdict = Verdict {
+/// Verdict that admits every request.
+const ADMIT_ALL: Verdict = Verdict {
     rate: 1000.0,
     saved: 0.0,
     max_saved: 0.0,
     demand: 1.0,
 };
 
-/// A home that is owed more than its rate.
-const OWED: Verdict = Verdict {
+/// Verdict of a home with a debt larger than its rate.
+const IN_DEBT: Verdict = Verdict {
     rate: 100.0,
     saved: -400.0,
     max_saved: 0.0,
     demand: 300.0,
 };
 
-/// A home with as much saved as the other is owed.
-const SAVED: Verdict = Verdict {
+/// Verdict of a home with savings, smaller than the debt of [`IN_DEBT`].
+const WITH_SAVINGS: Verdict = Verdict {
     rate: 100.0,
     saved: 300.0,
     max_saved: 400.0,
@@ -42,45 +42,48 @@
     entry
 }
 
-/// Requests that are let run of one each step, while each step's claims are confirmed or not.
-fn let_run(entry: &mut EntryQuotas, from: Instant, steps: u32, confirmed: bool) -> usize {
+/// Offers one request per step and returns how many are admitted. Claims are either confirmed in the same step or lost.
+fn count_admitted(entry: &mut EntryQuotas, from: Instant, steps: u32, confirmed: bool) -> usize {
     let name = SmolStr::new("w");
-    let mut ran = 0;
+    let mut admitted = 0;
     for step in 0..steps {
         let now = from + STEP * step;
-        ran += usize::from(entry.admit(&name, QUOTA, now).is_ok());
+        admitted += usize::from(entry.admit(&name, QUOTA, now).is_ok());
         for claim in entry.take_claims(now) {
             if confirmed {
                 entry.node_answered(now);
-                entry.confirm_claim(&claim, 0, GENEROUS, now);
+                entry.confirm_claim(&claim, 0, ADMIT_ALL, now);
             }
         }
     }
-    ran
+    admitted
 }
 
-/// Guards against requests that no home counts: notices of homes don't show that they hear the entry.
+/// Guards against admitting requests that no home counts: notices of a home arrive although the claims to it are lost.
 #[test]
 fn notices_alone_let_nothing_run_for_long() {
     let start = Instant::now();
     let mut entry = entry(start);
     let started = start + QuotaConfig::default().startup_period;
-    assert_eq!(let_run(&mut entry, started, 100, true), 100);
+    assert_eq!(count_admitted(&mut entry, started, 100, true), 100);
     let from = started + STEP * 100;
-    let mut ran = 0;
+    let mut admitted = 0;
     for step in 0..400 {
         let now = from + STEP * step;
-        entry.apply_verdict(&"w".into(), 0, GENEROUS, now);
-        ran += let_run(&mut entry, now, 1, false);
+        entry.apply_verdict(&"w".into(), 0, ADMIT_ALL, now);
+        admitted += count_admitted(&mut entry, now, 1, false);
     }
-    assert!(ran < 100, "{ran} of 400 ran that no home has counted");
+    assert!(
+        admitted < 100,
+        "{admitted} of 400 admitted without a confirmed claim"
+    );
 }
 
-/// Guards against one home that is owed requests being outweighed by another that few claims reach.
+/// Guards against the debt of one home being outweighed by another home that receives few claims.
 #[test]
 fn debts_of_one_home_count_against_savings_of_another() {
-    let sum = Verdict::sum([OWED, SAVED]).expect("a verdict");
-    let mean = (OWED.share() + SAVED.share()) / 2.0;
+    let sum = Verdict::sum([IN_DEBT, WITH_SAVINGS]).expect("two verdicts");
+    let mean = (IN_DEBT.share() + WITH_SAVINGS.share()) / 2.0;
     assert!((mean - 0.5).abs() < 1e-9, "{mean}");
     assert!(sum.share() <= 0.3, "{}", sum.share());
 }
--- a/crates/core/tests/quota_home.rs
+++ b/crates/core/tests/quota_home.rs
@@ -1,4 +1,4 @@
-//! What a home gives out while others may have been made homes in its place.
+//! Rate that a home grants while other nodes may have replaced it.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
     burst: 60.0,
 };
 
-/// What a node sees, and whether it holds back.
+/// What a node observes, and whether it is to reduce its rate.
 struct Case {
     what: &'static str,
     publisher_silent_s: f64,
@@ -17,7 +17,8 @@
     replaced: bool,
 }
 
-/// Guards against two homes for one part of a quota, and against a part withheld while only the publisher is away.
+/// Guards against two homes that both grant the same part of a quota after a partition, and against a home that
+/// withholds its part although only the publisher is down.
 #[test]
 fn a_home_holds_back_only_while_it_may_be_cut_off_itself() {
     let case = |what, publisher_silent_s, nodes_silent, replaced| Case {
@@ -27,15 +28,15 @@
         replaced,
     };
     let cases = [
-        case("all is well", 0.0, 0.0, false),
-        case("nodes are lost", 0.0, 0.5, false),
-        case("cut off a moment ago", 2.0, 0.5, false),
-        case("cut off", 3.5, 0.5, true),
-        case("only few nodes are reached", 9.0, 0.95, true),
-        case("the nodes are back, the publisher is not", 10.0, 0.0, false),
-        case("cut off again", 11.0, 0.4, true),
-        case("the publisher is back", 0.0, 0.0, false),
-        case("the publisher is away for all", 20.0, 0.05, false),
+        case("all reachable", 0.0, 0.0, false),
+        case("nodes lost", 0.0, 0.5, false),
+        case("partitioned off, not yet replaced", 2.0, 0.5, false),
+        case("partitioned off", 3.5, 0.5, true),
+        case("partitioned off, few nodes reachable", 9.0, 0.95, true),
+        case("nodes back, publisher still silent", 10.0, 0.0, false),
+        case("partitioned off again", 11.0, 0.4, true),
+        case("publisher back", 0.0, 0.0, false),
+        case("publisher down for all nodes", 20.0, 0.05, false),
     ];
     let start = Instant::now();
     let mut home = HomeQuotas::new(QuotaBound::default(), start);
--- a/crates/core/tests/quota_tally.rs
+++ b/crates/core/tests/quota_tally.rs
@@ -1,4 +1,4 @@
-//! What is counted about decisions on quotas.
+//! Counts of quota decisions.
 
 use std::time::Instant;
 
@@ -12,7 +12,8 @@
     burst: 10.0,
 };
 
-/// Guards against a broken quota that no log explains: each decision counts under what it went by, once.
+/// Guards against an exceeded quota that logs and metrics don't explain: each decision is counted once, under its
+/// basis.
 #[test]
 fn decisions_of_an_entry_are_counted_by_what_they_went_by() {
     let (name, start) = (SmolStr::new("w"), Instant::now());
@@ -32,10 +33,10 @@
     assert_eq!(counted[0].admitted(QuotaBasis::NoVerdict), 1);
     let alone = counted[0].admitted(QuotaBasis::Alone) + counted[0].refused(QuotaBasis::Alone);
     assert_eq!(alone, 1);
-    assert!(read(&mut entry).is_empty(), "counted once");
+    assert!(read(&mut entry).is_empty(), "decisions were counted twice");
 }
 
-/// Guards against a broken quota that no log explains: a home tells what it took in, once.
+/// Guards against an exceeded quota that logs and metrics don't explain: a home counts each claim once.
 #[test]
 fn claims_of_a_home_are_counted_once() {
     let (name, start) = (SmolStr::new("w"), Instant::now());
