--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Directory of workspaces, and who may enter by it.
+//! The directory of workspaces, and authentication of requests by it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -115,7 +115,7 @@
     texts.push(format!("{:?}", directory(vec![spec])));
     for text in texts {
         assert!(!text.contains("secret-of"), "{text}");
-        assert!(!text.contains("115, 101"), "bytes of the key: {text}");
+        assert!(!text.contains("115, 101"), "key printed as bytes: {text}");
     }
 }
 
@@ -140,13 +140,13 @@
     };
     let cases = [
         Case {
-            what: "its key",
+            what: "a known key",
             presented: Presented::Key(b"key"),
             verdict: Ok(Some("w")),
             ..base
         },
         Case {
-            what: "its key, while the directory may be outdated",
+            what: "a known key, while the directory may be outdated",
             presented: Presented::Key(b"key"),
             fresh: false,
             verdict: Ok(Some("w")),
@@ -157,12 +157,12 @@
             ..base
         },
         Case {
-            what: "another key",
+            what: "an unknown key",
             presented: Presented::Key(b"Key"),
             ..base
         },
         Case {
-            what: "another key, which an outdated directory may lack",
+            what: "an unknown key, which an outdated directory may lack",
             presented: Presented::Key(b"new"),
             fresh: false,
             verdict: Err(Refusal::UnverifiedKey),
@@ -180,20 +180,20 @@
             ..base
         },
         Case {
-            what: "a key on a public route, whose workspace is nobody's business there",
+            what: "a key on a public route, where it is ignored",
             presented: Presented::Key(b"key"),
             public: true,
             verdict: Ok(None),
             ..base
         },
         Case {
-            what: "a call of a run that this start of the node has not seen",
+            what: "a call of a run from before a restart of the node",
             of_unknown_run: true,
             verdict: Err(Refusal::UnknownRun),
             ..base
         },
         Case {
-            what: "a caller that makes its id look like a call's",
+            what: "an unknown key with the id of a call",
             presented: Presented::Key(b"other"),
             of_unknown_run: true,
             ..base
@@ -231,8 +231,8 @@
     }
 }
 
-/// Symptom: a caller without a key pushes those with one aside in a surge. Sequence: requests on a public route come in
-/// thousands. Cause: they belong to no workspace and would have gone as the most urgent one's.
+/// Guards against callers without a key displacing those with one in a surge: requests on a public route belong to no
+/// workspace and must not be ranked like those of the highest-priority one.
 #[test]
 fn the_rank_of_a_workspace_goes_before_that_of_a_route() {
     let routes = vec![
@@ -261,7 +261,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The directory against a plain map of keys to names.
+    /// Compares lookups in a directory with those in a map of keys to names.
     #[test]
     fn a_directory_finds_what_a_map_finds(
         owners in prop::collection::btree_map(prop::collection::vec(any::<u8>(), 1..6), 0_u8..5, 0..40),
