--- a/crates/core/tests/quota_model/scenario.rs
+++ b/crates/core/tests/quota_model/scenario.rs
@@ -1,4 +1,4 @@
-//! One workspace on a fleet, and what came of it.
+//! Scenarios of one workspace on a fleet, and the summary of their runs.
 
 use coltsfootport_core::workspace::Quota;
 
@@ -7,54 +7,58 @@
 /// Window in which a quota is counted, in seconds.
 pub const WINDOW_S: f64 = 5.0;
 
-/// Share beyond the quota that may run, as operators are promised.
+/// Share that may be admitted beyond the quota, as documented for operators.
 const OVERAGE: f64 = 0.25;
 
-/// Requests besides.
+/// Number of requests that may be admitted in addition.
 const SLACK: f64 = 20.0;
 
-/// How nodes are cut off. All of them lose the publisher.
+/// Connectivity of the nodes that are partitioned off. All of them lose the publisher.
 #[derive(Clone, Copy, Debug)]
-pub enum CutKind {
-    /// They reach each other.
-    Together,
-    /// They reach nobody.
-    Alone,
-    /// Nothing gets to them.
-    Deaf,
-    /// Nothing gets from them to others.
-    Mute,
+pub enum PartitionKind {
+    /// They reach each other, but no other node.
+    Connected,
+    /// They reach no other node.
+    Isolated,
+    /// They receive nothing.
+    SendOnly,
+    /// Nothing they send is received.
+    ReceiveOnly,
 }
 
-/// Nodes that are cut off for a time.
+/// A temporary network partition.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
-    /// Share of the nodes.
+pub struct Partition {
+    /// Share of the nodes that are partitioned off.
     pub share: f64,
+    /// Start in seconds.
     pub from: f64,
+    /// End in seconds.
     pub until: f64,
-    pub kind: CutKind,
+    pub kind: PartitionKind,
 }
 
-/// One workspace on a fleet, from its beginning on.
+/// Load of one workspace on a fleet, and the failures during it. Times are in seconds from the start of the fleet.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub nodes: usize,
     pub quota: Quota,
-    /// Requests a second over all entries, from a moment on; none come within the first seconds after a start.
+    /// Requests per second over all entries, each from the given time on. There are none for `warmup_s` after a
+    /// restart.
     pub demand: Vec<(f64, f64)>,
-    /// Changes of the quota, from a moment on.
+    /// Time from which a lower quota applies.
     pub lowered: Option<(f64, Quota)>,
-    /// Nodes below this number can't reach the others, and these not them, during that time.
-    pub cut: Option<(usize, f64, f64)>,
-    /// Nodes that are cut off from others and from the publisher, which drops their entries in time.
-    pub cuts: Vec<Cut>,
-    /// Nodes that are gone as homes, and at this moment.
-    pub lost: Option<(f64, usize)>,
-    /// All nodes start anew at these moments.
+    /// Nodes below the given index and the others can't reach each other between the two times. All reach the
+    /// publisher.
+    pub split: Option<(usize, f64, f64)>,
+    /// Partitions from other nodes and from the publisher, which drops the entries of silent nodes after a while.
+    pub partitions: Vec<Partition>,
+    /// Time from which the given number of homes are down.
+    pub lost_homes: Option<(f64, usize)>,
+    /// Times at which all nodes restart.
     pub restarts: Vec<f64>,
-    /// Time after a restart in which no request comes: callers don't use a node until it says that it is ready.
-    pub warm_s: f64,
+    /// Time after a restart without requests: callers don't use a node until it reports that it is ready.
+    pub warmup_s: f64,
     pub seconds: f64,
 }
 
@@ -65,46 +69,48 @@
             quota: quota(35.0),
             demand: vec![(1.0, 22.0)],
             lowered: None,
-            cut: None,
-            cuts: Vec::new(),
-            lost: None,
+            split: None,
+            partitions: Vec::new(),
+            lost_homes: None,
             restarts: Vec::new(),
-            warm_s: 0.0,
+            warmup_s: 0.0,
             seconds: 20.0,
         }
     }
 }
 
-/// What came of it.
+/// Results of one run, or of several.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Found {
-    /// Most that ran in a window, as a share of the bound.
-    pub over: f64,
-    /// Share of the requests that were refused although no more came than the quota allows.
+pub struct Summary {
+    /// Maximum of the requests admitted in a window, as a share of the bound.
+    pub max_load: f64,
+    /// Share of the requests that were refused while the demand was within the quota.
     pub refused: f64,
-    /// Messages a second that one node sends.
+    /// Messages sent per second and node.
     pub messages: f64,
 }
 
-/// Plays of each pattern. A play of the smallest workspace has a hundred requests, in which a hundredth can't be measured.
-pub const PLAYS: u64 = 20;
+/// Runs of each load pattern. One run of the smallest workspace has a hundred requests, too few to measure a refusal
+/// rate of 1%.
+pub const PATTERN_RUNS: u64 = 20;
 
-/// Plays of each cut.
-pub const CUT_PLAYS: u64 = 5;
+/// Runs of each partition pattern.
+pub const PARTITION_RUNS: u64 = 5;
 
-impl Found {
-    /// The most that ran in any play, and the mean of the rest.
-    pub fn over(scenario: &Scenario, plays: u64) -> Self {
-        let share = 1.0 / plays as f64;
-        let plays = (0..plays).map(|seed| Model::new(scenario, seed).run());
-        plays.fold(Self::default(), |sum, found| Self {
-            over: sum.over.max(found.over),
-            refused: sum.refused + found.refused * share,
-            messages: sum.messages + found.messages * share,
+impl Summary {
+    /// Runs a scenario with several seeds. Returns the maximum load of all runs, and the mean of the other results.
+    pub fn of_runs(scenario: &Scenario, runs: u64) -> Self {
+        let share = 1.0 / runs as f64;
+        let runs = (0..runs).map(|seed| Model::new(scenario, seed).run());
+        runs.fold(Self::default(), |sum, run| Self {
+            max_load: sum.max_load.max(run.max_load),
+            refused: sum.refused + run.refused * share,
+            messages: sum.messages + run.messages * share,
         })
     }
 }
 
+/// Returns a quota whose burst is the requests of one second.
 pub fn quota(per_second: f64) -> Quota {
     Quota {
         per_second,
@@ -112,6 +118,7 @@
     }
 }
 
+/// Returns the maximum number of requests that may be admitted in a window.
 pub fn bound(quota: Quota) -> f64 {
     (quota.per_second * WINDOW_S + quota.burst) * (1.0 + OVERAGE) + SLACK
 }
