--- a/crates/core/src/workspace/quota/entry.rs
+++ b/crates/core/src/workspace/quota/entry.rs
@@ -126,7 +126,7 @@
     ) -> Result<(), OverQuota> {
         let (cfg, nodes, phase) = (self.cfg, self.nodes, self.phase);
         let is_starting = now.saturating_duration_since(self.started) < cfg.startup_period;
-        let cut_off = self.is_cut_off(now);
+        let entry_isolated = self.is_isolated(now);
         let account = self.account(workspace, phase, now);
         account.asked += 1;
         account.unreported_since.get_or_insert(now);
@@ -138,8 +138,8 @@
             ..quota
         };
         let share = account.share(&cfg, now);
-        let alone = cut_off || account.alone || account.is_overdue(&cfg, now);
-        let basis = match (alone, share) {
+        let isolated = entry_isolated || account.isolated || account.is_overdue(&cfg, now);
+        let basis = match (isolated, share) {
             (true, _) => QuotaBasis::Alone,
             (false, Some(_)) => QuotaBasis::Verdicts,
             (false, None) if is_starting => QuotaBasis::Starting,
@@ -232,7 +232,7 @@
     ) {
         self.apply_verdict(&claim.usage.workspace, home_index, verdict, now);
         let account = self.account(&claim.usage.workspace, self.phase, now);
-        account.alone = false;
+        account.isolated = false;
         account.remove_pending(claim);
         account.confirmed =
             account.confirmed_rate(now) + f64::from(claim.usage.used.max(0)) / DEMAND_WINDOW;
@@ -247,7 +247,7 @@
     /// Returns whether this entry reaches no other node, judging by the claims of all workspaces. If each workspace
     /// were judged by its own claims only, every entry of a partitioned fleet would admit a few uncounted requests of
     /// each workspace before noticing.
-    fn is_cut_off(&self, now: Instant) -> bool {
+    fn is_isolated(&self, now: Instant) -> bool {
         let recently = |at: Instant| now.saturating_duration_since(at) <= self.cfg.confirm_timeout;
         self.unanswered_at > self.answered_at && !self.answered_at.is_some_and(recently)
     }
@@ -266,7 +266,7 @@
             account.asked += claim.usage.asked;
             account.used += claim.usage.used;
             account.unreported_since = Some(now + REQUEUE_DELAY);
-            account.alone = true;
+            account.isolated = true;
         }
         self.unanswered_at = Some(now);
     }
--- a/crates/core/src/workspace/quota/entry_account.rs
+++ b/crates/core/src/workspace/quota/entry_account.rs
@@ -39,8 +39,8 @@
     /// Requests per second that homes had confirmed at `confirmed_at`.
     pub(super) confirmed: f64,
     pub(super) confirmed_at: Instant,
-    /// Whether no home answers.
-    pub(super) alone: bool,
+    /// Whether the last claim was not answered by any home.
+    pub(super) isolated: bool,
     /// Sum of the shares of the requests received, less the admitted ones; a request is admitted at 1.
     credit: f64,
     /// Requests per second received by this entry.
@@ -71,7 +71,7 @@
             pending: Vec::new(),
             confirmed: 0.0,
             confirmed_at: now,
-            alone: false,
+            isolated: false,
             credit: phase,
             demand: 0.0,
             tokens: f64::NAN,
--- a/crates/core/src/workspace/quota/home.rs
+++ b/crates/core/src/workspace/quota/home.rs
@@ -78,13 +78,13 @@
     started: Instant,
     /// When the list of nodes, and with it the assignment of homes, last changed.
     nodes_changed: Instant,
-    standing: Standing,
+    state: HomeState,
     accounts: Map<SmolStr, Account>,
 }
 
 /// Whether other nodes use this one as a home.
 #[derive(Clone, Copy, Debug)]
-enum Standing {
+enum HomeState {
     /// This node is a home, as far as it knows.
     Home,
     /// Other nodes may have replaced it.
@@ -121,7 +121,7 @@
             bound,
             started: now,
             nodes_changed: now,
-            standing: Standing::Home,
+            state: HomeState::Home,
             accounts: Map::default(),
         }
     }
@@ -163,10 +163,10 @@
             // A home grants less than the quota until it has observed a whole window.
             false => quota.per_second * WARMUP_SHARE,
         };
-        let part = match self.standing {
-            Standing::Home => 1.0,
-            Standing::Replaced => REPLACED_SHARE,
-            Standing::Returning(_) => RETURNING_SHARE,
+        let part = match self.state {
+            HomeState::Home => 1.0,
+            HomeState::Replaced => REPLACED_SHARE,
+            HomeState::Returning(_) => RETURNING_SHARE,
         } / HOMES as f64;
         // A new home grants no burst: the previous home may have granted one, or may still do so behind a partition.
         let recently = now.saturating_duration_since(account.home_since) < self.bound.window;
@@ -200,20 +200,20 @@
         let was_replaced = self.is_replaced();
         let has_returned = |since: Instant| now.saturating_duration_since(since) >= RETURN_PERIOD;
         let partitioned = publisher_silent >= REPLACED_AFTER && nodes_silent >= PARTITIONED_SHARE;
-        self.standing = match self.standing {
-            _ if partitioned => Standing::Replaced,
-            Standing::Replaced if publisher_silent.is_zero() => Standing::Returning(now),
+        self.state = match self.state {
+            _ if partitioned => HomeState::Replaced,
+            HomeState::Replaced if publisher_silent.is_zero() => HomeState::Returning(now),
             // The silent nodes are back without the publisher: it is down for everyone, and no home was replaced.
-            Standing::Replaced => Standing::Home,
-            Standing::Returning(since) if has_returned(since) => Standing::Home,
-            standing => standing,
+            HomeState::Replaced => HomeState::Home,
+            HomeState::Returning(since) if has_returned(since) => HomeState::Home,
+            state => state,
         };
         was_replaced != self.is_replaced()
     }
 
     /// Returns whether other nodes may have replaced this node as a home.
     pub fn is_replaced(&self) -> bool {
-        matches!(self.standing, Standing::Replaced)
+        matches!(self.state, HomeState::Replaced)
     }
 
     /// Returns and resets the tallies of workspaces with claims since the last call.
