--- a/crates/core/src/mesh/authentication.rs
+++ b/crates/core/src/mesh/authentication.rs
@@ -42,7 +42,7 @@
         return Ok(None);
     };
     let found = match request.presented {
-        PresentedKey::Key(key) => directory.find(key),
+        PresentedKey::Key(key) => directory.find_by_key(key),
         PresentedKey::Nothing if request.from_unknown_run => return Err(Refusal::UnknownRun),
         PresentedKey::Nothing | PresentedKey::Several => None,
     };
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Directory of workspaces, and who may enter by it.
+//! The directory of workspaces, and authentication of requests by it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,7 +50,7 @@
         },
         Case {
             specs: vec![spec("", 0, &[b"1"])],
-            fault: DirectoryError::NoName,
+            fault: DirectoryError::EmptyName,
         },
         Case {
             specs: vec![spec("a", 0, &[b"1", b""])],
@@ -58,7 +58,7 @@
         },
         Case {
             specs: vec![spec("a", 0, &[&long])],
-            fault: DirectoryError::LongKey("a".into(), 0),
+            fault: DirectoryError::KeyTooLong("a".into(), 0),
         },
         Case {
             specs: vec![spec("a", 0, &[b"1"]), spec("b", 0, &[b"2", b"1"])],
@@ -66,15 +66,15 @@
         },
         Case {
             specs: vec![with_quota(-1.0, 0.0)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
         Case {
             specs: vec![with_quota(1.0, f64::NAN)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
         Case {
             specs: vec![with_quota(1e308, 1.0)],
-            fault: DirectoryError::Quota("w".into()),
+            fault: DirectoryError::QuotaOutOfRange("w".into()),
         },
     ];
     for Case { specs, fault } in cases {
@@ -89,7 +89,7 @@
         spec("a key twice", 0, &[b"k", b"k"]),
         with_quota(0.3, 0.0),
     ];
-    assert_eq!(directory(specs).map(|d| d.keys()), Ok(1));
+    assert_eq!(directory(specs).map(|d| d.key_count()), Ok(1));
     assert_eq!(directory(Vec::new()).map(|d| d.workspaces().len()), Ok(0));
 }
 
@@ -98,12 +98,12 @@
     for length in [1, 255, 256, 4000, MAX_KEY_BYTES] {
         let key = vec![0xfe; length];
         let known = directory(vec![spec("w", 0, &[&key])]).expect("valid");
-        assert!(known.find(&key).is_some(), "{length}");
-        assert!(known.find(&key[1..]).is_none(), "{length}");
+        assert!(known.find_by_key(&key).is_some(), "{length}");
+        assert!(known.find_by_key(&key[1..]).is_none(), "{length}");
     }
     let known = directory(vec![spec("w", 0, &[b"k"])]).expect("valid");
-    assert!(known.find(b"").is_none());
-    assert!(known.find(&vec![b'k'; MAX_KEY_BYTES + 1]).is_none());
+    assert!(known.find_by_key(b"").is_none());
+    assert!(known.find_by_key(&vec![b'k'; MAX_KEY_BYTES + 1]).is_none());
 }
 
 #[test]
@@ -115,7 +115,7 @@
     texts.push(format!("{:?}", directory(vec![spec])));
     for text in texts {
         assert!(!text.contains("secret-of"), "{text}");
-        assert!(!text.contains("115, 101"), "bytes of the key: {text}");
+        assert!(!text.contains("115, 101"), "key printed as bytes: {text}");
     }
 }
 
@@ -140,13 +140,13 @@
     };
     let cases = [
         Case {
-            what: "its key",
+            what: "a known key",
             presented: PresentedKey::Key(b"key"),
             verdict: Ok(Some("w")),
             ..base
         },
         Case {
-            what: "its key, while the directory may be outdated",
+            what: "a known key, while the directory may be outdated",
             presented: PresentedKey::Key(b"key"),
             fresh: false,
             verdict: Ok(Some("w")),
@@ -157,12 +157,12 @@
             ..base
         },
         Case {
-            what: "another key",
+            what: "an unknown key",
             presented: PresentedKey::Key(b"Key"),
             ..base
         },
         Case {
-            what: "another key, which an outdated directory may lack",
+            what: "an unknown key, which an outdated directory may lack",
             presented: PresentedKey::Key(b"new"),
             fresh: false,
             verdict: Err(Refusal::UnverifiedKey),
@@ -180,20 +180,20 @@
             ..base
         },
         Case {
-            what: "a key on a public route, whose workspace is nobody's business there",
+            what: "a key on a public route, where it is ignored",
             presented: PresentedKey::Key(b"key"),
             public: true,
             verdict: Ok(None),
             ..base
         },
         Case {
-            what: "a call of a run that this start of the node has not seen",
+            what: "a call of a run from before a restart of the node",
             of_unknown_run: true,
             verdict: Err(Refusal::UnknownRun),
             ..base
         },
         Case {
-            what: "a caller that makes its id look like a call's",
+            what: "an unknown key with the id of a call",
             presented: PresentedKey::Key(b"other"),
             of_unknown_run: true,
             ..base
@@ -231,8 +231,8 @@
     }
 }
 
-/// Symptom: a caller without a key pushes those with one aside in a surge. Sequence: requests on a public route come in
-/// thousands. Cause: they belong to no workspace and would have gone as the most urgent one's.
+/// Guards against callers without a key displacing those with one in a surge: requests on a public route belong to no
+/// workspace and must not be ranked like those of the highest-priority one.
 #[test]
 fn the_rank_of_a_workspace_goes_before_that_of_a_route() {
     let routes = vec![
@@ -261,7 +261,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The directory against a plain map of keys to names.
+    /// Compares lookups in a directory with those in a map of keys to names.
     #[test]
     fn a_directory_finds_what_a_map_finds(
         owners in prop::collection::btree_map(prop::collection::vec(any::<u8>(), 1..6), 0_u8..5, 0..40),
@@ -275,10 +275,10 @@
             spec.keys.push(key.clone().into());
         }
         let known = Directory::new(specs.into_values(), DirectorySecret(secret)).expect("valid");
-        prop_assert_eq!(known.keys(), owners.len());
+        prop_assert_eq!(known.key_count(), owners.len());
         for key in owners.keys().chain(&asked) {
             let name = owners.get(key).map(|owner| format!("w{owner}"));
-            let found = known.find(key).map(|workspace| workspace.name.to_string());
+            let found = known.find_by_key(key).map(|workspace| workspace.name.to_string());
             prop_assert_eq!(found, name);
         }
     }
--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -30,22 +30,22 @@
     /// a refusal or an admission without any reachable home.
     fn report_entry_quotas(&mut self) {
         let mut limited: Vec<(SmolStr, QuotaTally)> = Vec::new();
-        for (workspace, tally) in self.entry_quotas.tallies() {
+        for (workspace, tally) in self.entry_quotas.take_tallies() {
             for basis in QuotaBasis::ALL {
                 let (admitted, refused) = (tally.admitted(basis), tally.refused(basis));
                 self.metrics.quota_decided(basis, admitted, refused);
             }
-            if tally.all_refused() > 0 || tally.admitted(QuotaBasis::Alone) > 0 {
+            if tally.total_refused() > 0 || tally.admitted(QuotaBasis::Alone) > 0 {
                 limited.push((workspace.clone(), tally));
             }
         }
-        limited.sort_unstable_by_key(|(_, tally)| Reverse(tally.all_refused()));
+        limited.sort_unstable_by_key(|(_, tally)| Reverse(tally.total_refused()));
         for (workspace, tally) in limited.into_iter().take(MAX_REPORTED) {
             let admitted = |basis| tally.admitted(basis);
             info!(self.journal.log(), "quota decisions"; "workspace" => workspace.as_str(),
                 "by_verdicts" => admitted(QuotaBasis::Verdicts), "without_verdict" => admitted(QuotaBasis::NoVerdict),
                 "starting" => admitted(QuotaBasis::Starting), "alone" => admitted(QuotaBasis::Alone),
-                "refused" => tally.all_refused());
+                "refused" => tally.total_refused());
         }
     }
 
@@ -54,7 +54,7 @@
     fn report_home_quotas(&mut self) {
         let mut limited: Vec<HomeTally> = self
             .home_quotas
-            .tallies()
+            .take_tallies()
             .filter(|tally| tally.share < 1.0)
             .collect();
         limited.sort_unstable_by(|a, b| b.asked.total_cmp(&a.asked));
--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -42,14 +42,14 @@
     /// Returns the quota used by a request that did not run.
     pub(super) fn release_quota(&mut self, workspace: &SmolStr) {
         let now = self.clock.now();
-        self.entry_quotas.give_back(workspace, now);
+        self.entry_quotas.release(workspace, now);
     }
 
     /// Reports to the homes how many requests arrived and how many were admitted.
     pub(super) fn send_quota_claims(&mut self, now: Instant) {
-        let claims = self.entry_quotas.claims(now);
+        let claims = self.entry_quotas.take_claims(now);
         let routes = claims.into_iter();
-        let routes = routes.map(|claim| self.quota_router.first(claim));
+        let routes = routes.map(|claim| self.quota_router.route(claim));
         let routes = routes.collect();
         self.send_routed_claims(routes, now);
     }
@@ -60,7 +60,7 @@
         for route in routes {
             match route {
                 Ok((home, routed)) => by_home.entry(home).or_default().push(routed),
-                Err(claim) => self.entry_quotas.untold(&claim, now),
+                Err(claim) => self.entry_quotas.requeue_claim(&claim, now),
             }
         }
         for (home, claims) in by_home {
@@ -72,7 +72,7 @@
                 let usage = &routed.claim.usage;
                 let verdict = self.accept_claim(usage, now).unwrap_or(Verdict::UNLIMITED);
                 self.entry_quotas
-                    .confirmed(&routed.claim, routed.place, verdict, now);
+                    .confirm_claim(&routed.claim, routed.home_index, verdict, now);
             }
         }
     }
@@ -82,10 +82,10 @@
         let now = self.clock.now();
         for routed in &claims {
             self.entry_quotas
-                .unreached(&routed.claim.usage.workspace, routed.place);
+                .discard_verdict(&routed.claim.usage.workspace, routed.home_index);
         }
         let routes = claims.into_iter();
-        let routes = routes.map(|routed| self.quota_router.next(routed));
+        let routes = routes.map(|routed| self.quota_router.route_to_next(routed));
         let routes = routes.collect();
         self.send_routed_claims(routes, now);
     }
@@ -94,18 +94,22 @@
     pub(super) fn apply_quota_notices(&mut self, notices: Vec<QuotaNotice>) {
         let now = self.clock.now();
         for notice in notices {
-            self.entry_quotas
-                .heard(&notice.workspace, notice.place, notice.verdict, now);
+            self.entry_quotas.apply_verdict(
+                &notice.workspace,
+                notice.home_index,
+                notice.verdict,
+                now,
+            );
         }
     }
 
     /// Confirms claims that homes accepted, and applies their verdicts.
     pub(super) fn confirm_claims(&mut self, confirmed: &[(RoutedClaim, Verdict)]) {
         let now = self.clock.now();
-        self.entry_quotas.reached(now);
+        self.entry_quotas.node_answered(now);
         for (routed, verdict) in confirmed {
             self.entry_quotas
-                .confirmed(&routed.claim, routed.place, *verdict, now);
+                .confirm_claim(&routed.claim, routed.home_index, *verdict, now);
         }
     }
 
@@ -120,14 +124,17 @@
     /// As a home, accounts a claim and returns the verdict, or `None` if the workspace is unknown.
     fn accept_claim(&mut self, claim: &QuotaUsage, now: Instant) -> Option<Verdict> {
         let directory = self.config.as_ref()?.directory()?;
-        let Some(quota) = directory.named(&claim.workspace)?.quota else {
+        let Some(quota) = directory.find_by_name(&claim.workspace)?.quota else {
             return Some(Verdict::UNLIMITED);
         };
         let (asked, used) = (f64::from(claim.asked), f64::from(claim.used));
         let verdict = self
             .home_quotas
-            .claimed(&claim.workspace, quota, asked, used, now);
-        if self.home_quotas.tells_all(&claim.workspace, &verdict, now) {
+            .apply_claim(&claim.workspace, quota, asked, used, now);
+        if self
+            .home_quotas
+            .begin_broadcast(&claim.workspace, &verdict, now)
+        {
             self.notify_entries(&claim.workspace, verdict, now);
         }
         Some(verdict)
@@ -142,10 +149,11 @@
         let Some(place) = homes.iter().position(|home| *home == own) else {
             return;
         };
-        self.entry_quotas.heard(workspace, place, verdict, now);
+        self.entry_quotas
+            .apply_verdict(workspace, place, verdict, now);
         let notice = QuotaNotice {
             workspace: workspace.clone(),
-            place,
+            home_index: place,
             verdict,
         };
         let others = self.quota_router.nodes().filter(|node| *node != own);
@@ -179,9 +187,9 @@
                 (instance.address.ip(), domain)
             })
             .collect();
-        self.entry_quotas.set_nodes(nodes.len());
+        self.entry_quotas.set_node_count(nodes.len());
         if self.quota_router.set_nodes(nodes) {
-            self.home_quotas.list_changed(self.clock.now());
+            self.home_quotas.node_list_changed(self.clock.now());
         }
     }
 
@@ -190,10 +198,10 @@
         let Some(directory) = self.config.as_ref().and_then(|config| config.directory()) else {
             return;
         };
-        let known = |name: &SmolStr| directory.named(name).is_some();
+        let known = |name: &SmolStr| directory.find_by_name(name).is_some();
         self.entry_quotas.retain(known);
         self.home_quotas.retain(known);
-        self.quota_router.forget_workspaces();
+        self.quota_router.clear_workspaces();
     }
 
     fn send_quota_message(&self, message: QuotaMessage) {
--- a/crates/node/src/mesh/link/quota_frames.rs
+++ b/crates/node/src/mesh/link/quota_frames.rs
@@ -58,7 +58,7 @@
         Self {
             rate: verdict.rate as f32,
             saved: verdict.saved as f32,
-            most_saved: verdict.most_saved as f32,
+            most_saved: verdict.max_saved as f32,
             demand: verdict.demand as f32,
         }
     }
@@ -69,7 +69,7 @@
         Self {
             rate: frame.rate.into(),
             saved: frame.saved.into(),
-            most_saved: frame.most_saved.into(),
+            max_saved: frame.most_saved.into(),
             demand: frame.demand.into(),
         }
     }
@@ -79,7 +79,7 @@
     fn from(notice: &QuotaNotice) -> Self {
         Self {
             workspace: notice.workspace.clone(),
-            place: u8::try_from(notice.place).unwrap_or(u8::MAX),
+            place: u8::try_from(notice.home_index).unwrap_or(u8::MAX),
             verdict: notice.verdict.into(),
         }
     }
@@ -89,7 +89,7 @@
     fn from(frame: NoticeFrame) -> Self {
         Self {
             workspace: frame.workspace,
-            place: usize::from(frame.place),
+            home_index: usize::from(frame.place),
             verdict: frame.verdict.into(),
         }
     }
