--- a/crates/node/src/mesh/news/follow.rs
+++ b/crates/node/src/mesh/feed/follow.rs
@@ -1,4 +1,4 @@
-//! Hears news from another node.
+//! Follows the change feed of another node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,83 +9,83 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::board::Listing;
-use super::frames::{FollowFrame, MAX_BODY, MAX_HEAD, NewsFrame};
+use super::change_log::Listing;
+use super::frames::{FeedFrame, FollowFrame, MAX_BODY, MAX_HEAD};
 use super::listing::read_pages;
-use super::source::{Changes, Heard, Source, What};
+use super::source::{Changes, Source, SourceEvent, SourceUpdate};
 use crate::mesh::link::{LinkHub, PeerConn, StreamHead};
 use crate::wire::FrameError;
 
-/// Time without a sign of life after which a node is given up. Well within the time in which a configuration must be in
-/// force, and long beside the pauses of a busy node.
-pub const SILENCE: Duration = Duration::from_millis(1200);
+/// Time without a frame after which a followed node is considered lost. Well below the time within which a
+/// configuration must be in force, and long compared with the pauses of a busy node.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Why nothing more comes from a node.
+/// Why a followed node was lost.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
-    #[error("it can't be reached")]
-    NoLink,
-    #[error("it has gone silent")]
+    #[error("cannot connect to the node")]
+    Unreachable,
+    #[error("no heartbeat within the timeout")]
     Silent,
-    #[error("it does not keep what is asked for")]
+    #[error("the node no longer keeps the requested changes")]
     HistoryGone,
-    #[error("its news can't be read: {0}")]
+    #[error("invalid publisher response relayed: {0}")]
     Malformed(String),
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// What is needed to follow one node.
-pub struct Follow {
-    /// The node.
+/// Follows the change feed of one node.
+pub struct Follower {
+    /// Address of the followed node.
     pub peer: SocketAddr,
-    /// The position up to which everything is known.
+    /// Position up to which this node is up to date.
     pub position: Position,
-    /// Links to nodes.
+    /// Connections to other nodes.
     pub links: LinkHub,
-    /// Reads the publisher's answers.
+    /// Decodes the publisher's responses.
     pub publisher: Arc<dyn Publisher>,
-    /// Who hears the news.
-    pub tx: mpsc::UnboundedSender<Heard>,
+    /// Receives the updates.
+    pub tx: mpsc::UnboundedSender<SourceEvent>,
 }
 
-impl Follow {
-    /// Passes on what the node tells, until it is lost.
+impl Follower {
+    /// Forwards the node's updates until the connection is lost.
     pub async fn run(self) {
         let reason = match self.listen().await {
             Ok(never) => match never {},
             Err(e) => e.to_string(),
         };
-        self.tell(What::Lost(reason));
+        self.send_update(SourceUpdate::Lost(reason));
     }
 
     async fn listen(&self) -> Result<std::convert::Infallible, FollowError> {
         let connected = self.links.connect(self.peer).await;
-        let mut conn = connected.map_err(|_| FollowError::NoLink)?.conn;
-        let asked = FollowFrame {
+        let mut conn = connected.map_err(|_| FollowError::Unreachable)?.conn;
+        let request = FollowFrame {
             position: self.position,
         };
-        let written = conn.write(&StreamHead::Follow(asked), &[]).await;
+        let written = conn.write(&StreamHead::Follow(request), &[]).await;
         written.map_err(FrameError::from)?;
         loop {
-            let told = timeout(SILENCE, self.next(&mut conn)).await;
-            self.tell(told.map_err(|_| FollowError::Silent)??);
+            let update = timeout(SILENCE_TIMEOUT, self.next(&mut conn)).await;
+            self.send_update(update.map_err(|_| FollowError::Silent)??);
         }
     }
 
-    async fn next(&self, conn: &mut PeerConn) -> Result<What, FollowError> {
-        match conn.read_head::<NewsFrame>(MAX_HEAD).await? {
-            NewsFrame::State {
-                sound,
+    async fn next(&self, conn: &mut PeerConn) -> Result<SourceUpdate, FollowError> {
+        match conn.read_head::<FeedFrame>(MAX_HEAD).await? {
+            FeedFrame::State {
+                healthy,
                 answered,
                 era,
-            } => Ok(What::State {
-                sound,
+            } => Ok(SourceUpdate::State {
+                healthy,
                 answered,
                 era,
             }),
-            NewsFrame::HistoryGone => Err(FollowError::HistoryGone),
-            NewsFrame::Listed { position, pages } => {
+            FeedFrame::HistoryGone => Err(FollowError::HistoryGone),
+            FeedFrame::Listed { position, pages } => {
                 let mut listing = Listing {
                     position,
                     pages: Vec::with_capacity(pages.len()),
@@ -95,9 +95,9 @@
                 }
                 let read = read_pages(&*self.publisher, &listing);
                 let batch = read.map_err(|e| FollowError::Malformed(e.to_string()))?;
-                Ok(What::Listed(listing, batch))
+                Ok(SourceUpdate::Listed(listing, batch))
             }
-            NewsFrame::Changes {
+            FeedFrame::Changes {
                 after,
                 until,
                 length,
@@ -106,15 +106,15 @@
                 let read = self.publisher.read_watch(&body);
                 let batch = read.map_err(|e| FollowError::Malformed(e.to_string()))?;
                 let changes = Changes { after, until, body };
-                Ok(What::Changes(changes, batch.in_era(until.era)))
+                Ok(SourceUpdate::Changes(changes, batch.in_era(until.era)))
             }
         }
     }
 
-    fn tell(&self, what: What) {
+    fn send_update(&self, update: SourceUpdate) {
         let from = Source::Node(self.peer.ip());
-        // The one who hears it lives as long as the process.
-        let _ = self.tx.send(Heard { from, what });
+        // The receiver lives as long as the process.
+        let _ = self.tx.send(SourceEvent { from, update });
     }
 }
 
--- a/crates/node/src/mesh/news/listing.rs
+++ b/crates/node/src/mesh/feed/listing.rs
@@ -1,14 +1,14 @@
-//! Reads everything published out of the publisher's answers to a list.
+//! Decodes a full listing from the publisher's responses.
 
 use coltsfootport_core::mesh::{Publisher, PublisherError, UpdateBatch};
 
-use super::board::Listing;
+use super::change_log::Listing;
 
-/// All updates of a listing.
+/// Decodes all pages of a listing into one batch.
 ///
 /// # Errors
 ///
-/// A page can't be read.
+/// Returns an error if a page can't be decoded.
 pub fn read_pages<P>(publisher: &P, listing: &Listing) -> Result<UpdateBatch, PublisherError>
 where
     P: Publisher + ?Sized,
--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -15,7 +15,7 @@
 use crate::mesh::call::{
     Body, DownstreamCalls, HostReply, HostedRequest, Refused, Report, TargetAnswer,
 };
-use crate::mesh::news::FollowFrame;
+use crate::mesh::feed::FollowFrame;
 use crate::wire::{FrameError, HeaderFrame};
 
 /// Largest head of a request or reply between nodes, in bytes.
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -18,8 +18,8 @@
 use super::quota_frames::{VerdictFrame, VerdictsFrame};
 use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, HostReply, MAX_BUFFERED_BODY};
 use crate::mesh::controller::ControllerEvent;
+use crate::mesh::feed::{FeedServer, serve_feed};
 use crate::mesh::host::Host;
-use crate::mesh::news::{Sharing, share};
 use crate::wire::FrameError;
 
 /// Time for which a connection is kept without a request. The one who sends gives it up sooner; this is for one that is
@@ -35,7 +35,7 @@
     /// Runs their requests.
     pub host: Host,
     /// Passes the publisher's news on.
-    pub sharing: Sharing,
+    pub sharing: FeedServer,
     /// Drawn at this start of the node.
     pub boot: u64,
     /// Log.
@@ -95,7 +95,7 @@
     match head {
         StreamHead::Request(head) => run(conn, *head, &serving.host).await,
         StreamHead::Follow(asked) => {
-            share(serving.sharing.clone(), conn, asked).await?;
+            serve_feed(serving.sharing.clone(), conn, asked).await?;
             Ok(false)
         }
         StreamHead::QuotaClaims(claims) => {
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -22,13 +22,13 @@
     run_controller,
 };
 use super::entry::Entry;
+use super::feed::{ChangeLog, FeedServer, FeedTask};
 use super::findings::FindingsExchange;
 use super::host::Host;
 use super::journal::Journal;
 use super::lifecycle::{Lifecycle, Signals};
 use super::link::{self, LinkHub, Serving, watch_peers};
 use super::metrics::MeshMetrics;
-use super::news::{Board, News, Sharing};
 use super::quotas::QuotaSender;
 use super::ready::{self, Ready};
 use super::settings::{MeshSettings, PublisherKind};
@@ -126,18 +126,18 @@
         metrics: metrics.clone(),
         stopping,
     };
-    let (board_tx, board) = watch::channel(Board::default());
-    let sharing = Sharing {
-        board,
+    let (change_log_tx, change_log) = watch::channel(ChangeLog::default());
+    let sharing = FeedServer {
+        change_log,
         followers: Arc::default(),
     };
-    let news = News {
+    let feed = FeedTask {
         cfg: settings.publisher,
         publisher,
         controller: controller.clone(),
         links: links.clone(),
         peers_port: settings.node.peers.port(),
-        board: board_tx,
+        change_log: change_log_tx,
         followers: Arc::clone(&sharing.followers),
         metrics,
         clock: Arc::clone(&clock),
@@ -168,7 +168,7 @@
     tokio::spawn(link::serve(peers_socket, serving));
     tokio::spawn(quotas.run(words));
     tokio::spawn(spreader.run(findings));
-    tokio::spawn(news.run());
+    tokio::spawn(feed.run());
     tokio::spawn(ready::serve(ready_socket, ready.clone()));
     if let Some(address) = settings.node.metrics {
         tokio::spawn(ready::serve(TcpListener::bind(address).await?, ready));
