--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -12,7 +12,7 @@
 use crate::mesh::call::{Body, HostReply, HostedRequest, Refused, Report, RunEnd, TargetAnswer};
 use crate::mesh::controller::{ControllerHandle, SlotGuard, SlotRefusal, SlotRequest};
 use crate::mesh::journal::Journal;
-use crate::mesh::target::{ExchangeFault, Exchanged, TargetPool, WireRequest, exchange};
+use crate::mesh::target::{CheckedResponse, ExchangeError, TargetPool, WireRequest, exchange};
 
 /// Time after its deadline for which an at-most-once request keeps its slot. The target itself stops at the deadline;
 /// the grace time leaves room for its answer to arrive, and bounds the wait for a target that fails to stop.
@@ -127,7 +127,7 @@
         &self,
         req: &mut HostedRequest,
         grace: Duration,
-    ) -> Result<Exchanged, ExchangeFailure> {
+    ) -> Result<CheckedResponse, ExchangeFailure> {
         let at_most_once = req.repeat == Repeat::AtMostOnce;
         let pooled = self.pool.take(at_most_once);
         let conn = match pooled {
@@ -149,11 +149,13 @@
         let exchanged = exchange(conn, &self.pool, wire, body, &self.dialect);
         match timeout(left + grace, exchanged).await {
             Ok(Ok(exchanged)) => Ok(exchanged),
-            Ok(Err(ExchangeFault::CallerCut)) => Err(Refused::from(Refusal::CallerGone).into()),
-            Ok(Err(fault @ ExchangeFault::Closed(_))) => {
+            Ok(Err(ExchangeError::RequestTruncated)) => {
+                Err(Refused::from(Refusal::CallerGone).into())
+            }
+            Ok(Err(fault @ ExchangeError::ConnectionClosed(_))) => {
                 Err(self.exchange_broken(req, Refusal::Lost, &fault).await)
             }
-            Ok(Err(fault @ ExchangeFault::Broken(_))) => Err(self
+            Ok(Err(fault @ ExchangeError::InvalidResponse(_))) => Err(self
                 .exchange_broken(req, Refusal::BrokenAnswer, &fault)
                 .await),
             Err(_) => Err(Refused::from(Refusal::Expired).into()),
@@ -165,9 +167,9 @@
         &self,
         req: &HostedRequest,
         refusal: Refusal,
-        fault: &ExchangeFault,
+        fault: &ExchangeError,
     ) -> ExchangeFailure {
-        let crash = self.pool.crash(self.clock.now()).await;
+        let crash = self.pool.detect_crash(self.clock.now()).await;
         if let Some(crash) = crash {
             let Self { journal, .. } = self;
             journal.crashed_under(&req.id, req.fingerprint, &req.instance, crash);
@@ -182,7 +184,7 @@
     fn check_answer(
         &self,
         req: &HostedRequest,
-        exchanged: Exchanged,
+        exchanged: CheckedResponse,
     ) -> Result<TargetAnswer, Refused> {
         let status = exchanged.answer.status;
         if status == StatusCode::MISDIRECTED_REQUEST {
--- a/crates/node/src/mesh/target.rs
+++ b/crates/node/src/mesh/target.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 towards the target beside the node.
+//! HTTP/1.1 client for the target beside the node.
 
 mod connection;
-mod crash_watch;
+mod crash_detector;
 mod exchange;
 mod pool;
 mod wire_request;
 
 pub use connection::TargetConn;
-pub use exchange::{ExchangeFault, Exchanged, exchange};
+pub use exchange::{CheckedResponse, ExchangeError, exchange};
 pub use pool::TargetPool;
 pub use wire_request::WireRequest;
--- a/crates/node/src/mesh/target/connection.rs
+++ b/crates/node/src/mesh/target/connection.rs
@@ -1,24 +1,24 @@
-//! One connection to the target.
+//! A connection to the target.
 
 use bytes::BytesMut;
 use tokio::net::TcpStream;
 
 use crate::mesh::quiet::is_quiet;
 
-/// Bytes read at a time.
+/// Buffer space reserved for a read, in bytes.
 pub const READ_SIZE: usize = 16 * 1024;
 
-/// A connection with the bytes that were read from it and not used yet.
+/// A connection and the bytes read from it but not yet consumed.
 #[derive(Debug)]
 pub struct TargetConn {
     /// The socket.
     pub stream: TcpStream,
-    /// Bytes that were read.
+    /// Unconsumed bytes.
     pub buf: BytesMut,
 }
 
 impl TargetConn {
-    /// A connection on which nothing was sent.
+    /// Wraps a stream on which nothing has been sent yet.
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether nothing has come since the last answer, neither bytes nor the end.
+    /// Whether neither data nor the end of the stream has arrived since the last response.
     pub fn is_quiet(&self) -> bool {
         self.buf.is_empty() && is_quiet(&self.stream)
     }
--- a/crates/node/src/mesh/target/exchange.rs
+++ b/crates/node/src/mesh/target/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a connection to the target.
+//! Sends a request on a connection to the target and reads its response.
 
 use std::io;
 use std::time::Duration;
@@ -20,62 +20,61 @@
     BODY_CHANNEL_CAPACITY, Body, BodyTruncated, MAX_BODY_CHUNK, MAX_BUFFERED_BODY, TargetAnswer,
 };
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD: usize = 64 * 1024;
 
-/// Answers to other requests that are passed over before the connection counts as broken.
-const MOST_STRAYS: usize = 4;
+/// Number of responses to other requests that are discarded before the connection counts as broken.
+const MAX_STALE_RESPONSES: usize = 4;
 
-/// Why there is no answer.
+/// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ExchangeFault {
-    /// The connection ended before a byte of an answer; the target may have run the request.
-    #[error("the target closed the connection without an answer: {0}")]
-    Closed(io::Error),
-    /// What came is no answer, or only a part of one.
-    #[error("the target's answer is unusable: {0}")]
-    Broken(#[from] H1Error),
-    /// The caller's body ended early; the target has a part of a request.
+pub enum ExchangeError {
+    /// The connection was closed before the first byte of a response; the target may have run the request.
+    #[error("the target closed the connection before responding: {0}")]
+    ConnectionClosed(io::Error),
+    /// The response is invalid or incomplete.
+    #[error("invalid response from the target: {0}")]
+    InvalidResponse(#[from] H1Error),
+    /// The caller's body ended early; the target received part of the request.
     #[error("the caller's body ended early")]
-    CallerCut,
+    RequestTruncated,
 }
 
-/// An answer, checked to belong to the request.
+/// A response that was checked to belong to the request.
 #[derive(Debug)]
-pub struct Exchanged {
-    /// The answer.
+pub struct CheckedResponse {
+    /// The response.
     pub answer: TargetAnswer,
-    /// Whether the target says that it did not run the request.
+    /// Whether the target states that it did not run the request.
     pub not_run: bool,
-    /// Whether the target has signed it as its own.
+    /// Whether the response carries the target's signature.
     pub signed: bool,
 }
 
-/// Sends a request and reads its answer; the connection goes back to the pool where it can be used again.
+/// Sends a request and reads its response; returns the connection to the pool if it can be reused.
 ///
 /// # Errors
 ///
-/// There is no whole answer; only [`ExchangeFault`] values that are made before anything is sent say that it has not run,
-/// and there are none here.
+/// Returns an error if no complete response arrives. The target may have run the request in every such case.
 pub async fn exchange(
     mut conn: TargetConn,
     pool: &TargetPool,
     req: WireRequest,
     body: Body,
     dialect: &Dialect,
-) -> Result<Exchanged, ExchangeFault> {
+) -> Result<CheckedResponse, ExchangeError> {
     let method = req.head.method.clone();
     let (read, write) = conn.stream.split();
-    let mut reader = AnswerReader {
+    let mut reader = ResponseReader {
         read,
         buf: &mut conn.buf,
         dialect,
         id: &req.id,
-        clean: true,
+        reusable: true,
     };
-    let mut sender = RequestSender { write, done: false };
-    // An early answer must be read while the body still goes out: a target that rejects a long body may never read the
-    // rest, and both sides would wait for each other.
+    let mut sender = RequestSender { write, sent: false };
+    // An early response must be read while the body is still being sent: a target that rejects a long body may never
+    // read the rest, and both sides would wait for each other.
     let head = {
         let sending = sender.send(&req, body);
         tokio::pin!(sending);
@@ -86,40 +85,41 @@
             head = &mut reading => head?,
             sent = &mut sending => match sent {
                 Ok(()) => reading.await?,
-                Err(SendFault::CallerCut) => return Err(ExchangeFault::CallerCut),
-                // The target may have answered before it closed.
-                Err(SendFault::Write) => reading.await?,
+                Err(SendError::RequestTruncated) => return Err(ExchangeError::RequestTruncated),
+                // The target may have responded before it closed the connection.
+                Err(SendError::Write) => reading.await?,
             },
         }
     };
-    let whole_request = sender.done;
+    let request_complete = sender.sent;
     let framing = answer_framing(&method, head.status, &head.headers)?;
-    let clean = reader.clean && whole_request && head.keep_alive && framing != Framing::UntilClose;
+    let reusable =
+        reader.reusable && request_complete && head.keep_alive && framing != Framing::UntilClose;
     let mut decoder = BodyDecoder::new(framing);
-    let (held, ended) = reader.hold(&mut decoder).await?;
-    let keep = keep_alive_time(&head.headers);
+    let (buffered, complete) = reader.read_buffered(&mut decoder).await?;
+    let keep_alive = keep_alive_time(&head.headers);
     let not_run = head.headers.contains_key(dialect.not_run);
     let signed = head.headers.contains_key(dialect.signature);
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
-    let body = match ended {
+    let body = match complete {
         true => {
-            if clean && conn.buf.is_empty() {
-                pool.put(conn, keep);
+            if reusable && conn.buf.is_empty() {
+                pool.put(conn, keep_alive);
             }
-            Body::Whole(held.freeze())
+            Body::Whole(buffered.freeze())
         }
         false => stream_rest(
             conn,
             decoder,
             framing,
-            held.freeze(),
-            clean,
-            keep,
+            buffered.freeze(),
+            reusable,
+            keep_alive,
             pool.clone(),
         ),
     };
-    Ok(Exchanged {
+    Ok(CheckedResponse {
         answer: TargetAnswer {
             status: head.status,
             headers,
@@ -132,22 +132,22 @@
 
 struct RequestSender<'c> {
     write: WriteHalf<'c>,
-    done: bool,
+    sent: bool,
 }
 
-enum SendFault {
-    CallerCut,
+enum SendError {
+    RequestTruncated,
     Write,
 }
 
-impl From<io::Error> for SendFault {
+impl From<io::Error> for SendError {
     fn from(_: io::Error) -> Self {
         Self::Write
     }
 }
 
 impl RequestSender<'_> {
-    async fn send(&mut self, req: &WireRequest, body: Body) -> Result<(), SendFault> {
+    async fn send(&mut self, req: &WireRequest, body: Body) -> Result<(), SendError> {
         match body {
             Body::Whole(bytes) => {
                 let framing = Framing::Length(bytes.len() as u64);
@@ -161,7 +161,7 @@
                     .write_all(&request_head(&req.head, framing))
                     .await?;
                 while let Some(piece) = rx.recv().await {
-                    let piece = piece.map_err(|BodyTruncated| SendFault::CallerCut)?;
+                    let piece = piece.map_err(|BodyTruncated| SendError::RequestTruncated)?;
                     match framing {
                         Framing::Chunked => self.write.write_all(&chunk(&piece)).await?,
                         _ => self.write.write_all(&piece).await?,
@@ -172,40 +172,41 @@
                 }
             }
         }
-        self.done = true;
+        self.sent = true;
         Ok(())
     }
 }
 
-struct AnswerReader<'c, 'r> {
+struct ResponseReader<'c, 'r> {
     read: ReadHalf<'c>,
     buf: &'c mut BytesMut,
     dialect: &'r Dialect,
     id: &'r str,
-    clean: bool,
+    reusable: bool,
 }
 
-impl AnswerReader<'_, '_> {
-    /// The head of this request's answer.
+impl ResponseReader<'_, '_> {
+    /// Reads the head of the response to this request.
     ///
-    /// A target may send an answer twice, the second one late, where the next answer is expected. It bears the id of its
-    /// own request; passed on it would reach another caller. So strays are read and dropped.
-    async fn head(&mut self) -> Result<AnswerHead, ExchangeFault> {
-        for _ in 0..MOST_STRAYS {
-            let head = self.any_head().await?;
-            if self.is_ours(&head) {
+    /// A target may send a response twice, with the second copy arriving where the next response is expected. It
+    /// carries the id of its own request and would reach the wrong caller if passed on, so such stale responses are
+    /// read and discarded.
+    async fn head(&mut self) -> Result<AnswerHead, ExchangeError> {
+        for _ in 0..MAX_STALE_RESPONSES {
+            let head = self.next_head().await?;
+            if self.matches_request(&head) {
                 return Ok(head);
             }
-            self.clean = false;
-            self.drop_body(&head).await?;
+            self.reusable = false;
+            self.discard_body(&head).await?;
         }
         Err(H1Error::Head.into())
     }
 
-    async fn any_head(&mut self) -> Result<AnswerHead, ExchangeFault> {
+    async fn next_head(&mut self) -> Result<AnswerHead, ExchangeError> {
         loop {
             match parse_answer(self.buf, MAX_HEAD)? {
-                // Interim answers such as 100 say nothing about the request.
+                // Interim responses such as 100 say nothing about the outcome.
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(head),
                 None => self.fill().await?,
@@ -213,17 +214,18 @@
         }
     }
 
-    fn is_ours(&self, head: &AnswerHead) -> bool {
+    fn matches_request(&self, head: &AnswerHead) -> bool {
         match head.headers.get(self.dialect.request_id) {
             Some(id) => id.as_bytes() == self.id.as_bytes(),
-            // Only a request without an id is answered without one, or one that the target could not read.
+            // A response without an id is valid only for a request without one, or for one that the target could not
+            // parse.
             None => {
                 self.id.is_empty() || head.status.is_client_error() || head.status.is_server_error()
             }
         }
     }
 
-    async fn drop_body(&mut self, head: &AnswerHead) -> Result<(), ExchangeFault> {
+    async fn discard_body(&mut self, head: &AnswerHead) -> Result<(), ExchangeError> {
         let framing = answer_framing(&Method::GET, head.status, &head.headers)?;
         if framing == Framing::UntilClose {
             return Err(H1Error::Framing.into());
@@ -238,39 +240,44 @@
         }
     }
 
-    /// Reads the body up to its end, or until more is held than may be; tells whether it has ended.
-    async fn hold(&mut self, decoder: &mut BodyDecoder) -> Result<(BytesMut, bool), ExchangeFault> {
-        let mut held = BytesMut::new();
+    /// Reads the body up to its end or the buffer limit; also returns whether the body is complete.
+    async fn read_buffered(
+        &mut self,
+        decoder: &mut BodyDecoder,
+    ) -> Result<(BytesMut, bool), ExchangeError> {
+        let mut buffered = BytesMut::new();
         loop {
-            let most = MAX_BUFFERED_BODY.saturating_sub(held.len());
-            match decoder.decode_up_to(self.buf, most)? {
-                Decoded::End => return Ok((held, true)),
+            let limit = MAX_BUFFERED_BODY.saturating_sub(buffered.len());
+            match decoder.decode_up_to(self.buf, limit)? {
+                Decoded::End => return Ok((buffered, true)),
                 Decoded::Data(data) => {
-                    held.extend_from_slice(&data);
-                    if held.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
-                        return Ok((held, false));
+                    buffered.extend_from_slice(&data);
+                    if buffered.len() >= MAX_BUFFERED_BODY && !decoder.is_done() {
+                        return Ok((buffered, false));
                     }
                 }
                 Decoded::More => match self.read_some().await {
                     Ok(0) => {
                         decoder.finish()?;
-                        return Ok((held, true));
+                        return Ok((buffered, true));
                     }
                     Ok(_) => {}
-                    // A reset is not an end: the rest may be missing.
+                    // A reset does not mark the end of the body: the rest may be missing.
                     Err(_) => return Err(H1Error::Cut.into()),
                 },
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), ExchangeFault> {
-        let began = !self.buf.is_empty();
+    async fn fill(&mut self) -> Result<(), ExchangeError> {
+        let partial = !self.buf.is_empty();
         match self.read_some().await {
-            Ok(0) if began => Err(H1Error::Cut.into()),
-            Ok(0) => Err(ExchangeFault::Closed(io::ErrorKind::UnexpectedEof.into())),
+            Ok(0) if partial => Err(H1Error::Cut.into()),
+            Ok(0) => Err(ExchangeError::ConnectionClosed(
+                io::ErrorKind::UnexpectedEof.into(),
+            )),
             Ok(_) => Ok(()),
-            Err(e) => Err(ExchangeFault::Closed(e)),
+            Err(e) => Err(ExchangeError::ConnectionClosed(e)),
         }
     }
 
@@ -280,14 +287,14 @@
     }
 }
 
-/// Passes on the rest of a long body from a task of its own.
+/// Streams the rest of a long body from a separate task.
 fn stream_rest(
     mut conn: TargetConn,
     mut decoder: BodyDecoder,
     framing: Framing,
-    held: Bytes,
-    clean: bool,
-    keep: Option<Duration>,
+    buffered: Bytes,
+    reusable: bool,
+    keep_alive: Option<Duration>,
     pool: TargetPool,
 ) -> Body {
     let length = match framing {
@@ -296,11 +303,11 @@
     };
     let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     tokio::spawn(async move {
-        if tx.send(Ok(held)).await.is_err() {
+        if tx.send(Ok(buffered)).await.is_err() {
             return;
         }
-        match pass_on(&mut conn, &mut decoder, &tx).await {
-            Ok(true) if clean && conn.buf.is_empty() => pool.put(conn, keep),
+        match forward_body(&mut conn, &mut decoder, &tx).await {
+            Ok(true) if reusable && conn.buf.is_empty() => pool.put(conn, keep_alive),
             Ok(_) => {}
             Err(BodyTruncated) => drop(tx.send(Err(BodyTruncated)).await),
         }
@@ -308,8 +315,8 @@
     Body::Stream { length, rx }
 }
 
-/// Whether the body was passed on whole; `false` where nobody reads it any more.
-async fn pass_on(
+/// Forwards the body; returns `true` if it was forwarded completely, `false` if the receiver is gone.
+async fn forward_body(
     conn: &mut TargetConn,
     decoder: &mut BodyDecoder,
     tx: &mpsc::Sender<Result<Bytes, BodyTruncated>>,
@@ -339,7 +346,7 @@
     }
 }
 
-/// How long the target keeps a connection without a request, where it says so.
+/// Returns the keep-alive timeout announced by the target, if any.
 fn keep_alive_time(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
--- a/crates/node/src/mesh/target/pool.rs
+++ b/crates/node/src/mesh/target/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the target that wait for their next request.
+//! Pool of idle connections to the target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,61 +10,62 @@
 use tokio::time::timeout;
 
 use super::TargetConn;
-use super::crash_watch::CrashWatch;
+use super::crash_detector::CrashDetector;
 use crate::clock::SharedClock;
 
-/// Longest time for a new connection; the target is on the same machine.
+/// Timeout of a new connection; the target runs on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a connection is kept without a request where the target does not say.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
+/// Idle timeout of a connection if the target announces none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time before the target's own limit at which a connection is not used any more. A request that crosses the target's
-/// close is lost; where it may run once only, nobody can send it again.
+/// Time before the target's announced timeout at which a connection is no longer used. A request that crosses the
+/// target's close is lost, and one that may run at most once can't be retried.
 const IDLE_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Share of the time to wait within which a connection may carry a request that may run once only.
-const CAREFUL_SHARE: f64 = 0.5;
+/// Fraction of the idle timeout within which a connection may carry a request that may run at most once.
+const AT_MOST_ONCE_IDLE_FRACTION: f64 = 0.5;
 
-/// Connections to one target; cheap to clone.
+/// Pool of connections to one target; cheap to clone.
 #[derive(Clone)]
 pub struct TargetPool {
     address: SocketAddr,
     clock: SharedClock,
-    crashes: CrashWatch,
-    idle: Arc<Mutex<Vec<Idle>>>,
+    crash_detector: CrashDetector,
+    idle: Arc<Mutex<Vec<IdleConn>>>,
 }
 
-struct Idle {
+struct IdleConn {
     conn: TargetConn,
     since: Instant,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl TargetPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(address: SocketAddr, clock: SharedClock) -> Self {
         Self {
             address,
-            crashes: CrashWatch::new(address, clock.clone()),
+            crash_detector: CrashDetector::new(address, clock.clone()),
             clock,
             idle: Arc::default(),
         }
     }
 
-    /// A kept connection, the one used last; `careful` for a request that may run once only.
-    pub fn take(&self, careful: bool) -> Option<TargetConn> {
+    /// Takes the most recently used idle connection; `at_most_once` is set for a request that may run at most once.
+    pub fn take(&self, at_most_once: bool) -> Option<TargetConn> {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|kept| now.saturating_duration_since(kept.since) < kept.keep);
+        idle.retain(|kept| now.saturating_duration_since(kept.since) < kept.idle_timeout);
         while let Some(kept) = idle.pop() {
             let age = now.saturating_duration_since(kept.since);
-            if careful && age > kept.keep.mul_f64(CAREFUL_SHARE) {
-                // All that are left are older.
+            if at_most_once && age > kept.idle_timeout.mul_f64(AT_MOST_ONCE_IDLE_FRACTION) {
+                // All remaining connections have been idle for longer.
                 idle.push(kept);
                 return None;
             }
-            // Bytes that nobody asked for, or an end: whatever comes next on it would be taken for another answer.
+            // Skips connections with unsolicited data or a closed stream: the data would be taken for the response to
+            // the next request.
             if kept.conn.is_quiet() {
                 return Some(kept.conn);
             }
@@ -72,44 +73,52 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// The target does not accept it; nothing was sent.
+    /// Returns an error if the target does not accept the connection; nothing was sent.
     pub async fn connect(&self) -> std::io::Result<TargetConn> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
-        self.crashes.accepted();
+        self.crash_detector.record_accepted();
         Ok(TargetConn::new(stream))
     }
 
-    /// The end of the target's process that has cost a connection at `lost_at`; `None` where the process goes on.
-    pub async fn crash(&self, lost_at: Instant) -> Option<CrashId> {
-        let outcome = self.crashes.look(lost_at).await;
-        if let Some(conn) = outcome.spare {
+    /// Returns the crash of the target's process that ended a connection at `lost_at`; `None` if the process is still
+    /// running.
+    pub async fn detect_crash(&self, lost_at: Instant) -> Option<CrashId> {
+        let check = self.crash_detector.check(lost_at).await;
+        if let Some(conn) = check.unused_conn {
             self.put(conn, None);
         }
-        outcome.crash
+        check.crash
     }
 
-    /// Keeps a connection whose answer was read whole; `keep` is how long the target says it waits.
-    pub fn put(&self, mut conn: TargetConn, keep: Option<Duration>) {
-        let keep = keep.map_or(IDLE_DEFAULT, |keep| keep.saturating_sub(IDLE_MARGIN));
-        if keep.is_zero() {
+    /// Returns a connection whose response was read completely; `idle_timeout` is the keep-alive time announced by the
+    /// target.
+    pub fn put(&self, mut conn: TargetConn, idle_timeout: Option<Duration>) {
+        let idle_timeout = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |idle_timeout| {
+            idle_timeout.saturating_sub(IDLE_MARGIN)
+        });
+        if idle_timeout.is_zero() {
             return;
         }
         let since = self.clock.now();
-        // It is empty; its room would be held for as long as the connection waits.
+        // The buffer is empty; its allocation would be held while the connection is idle.
         conn.buf = BytesMut::new();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.push(Idle { conn, since, keep });
+        idle.push(IdleConn {
+            conn,
+            since,
+            idle_timeout,
+        });
     }
 
-    /// Closes connections that have waited too long.
+    /// Closes connections whose idle timeout has passed.
     pub fn prune(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|kept| now.saturating_duration_since(kept.since) < kept.keep);
+        idle.retain(|kept| now.saturating_duration_since(kept.since) < kept.idle_timeout);
     }
 }
--- a/crates/node/src/mesh/target/wire_request.rs
+++ b/crates/node/src/mesh/target/wire_request.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to the target.
+//! A request as sent to the target.
 
 use std::time::Duration;
 
@@ -8,32 +8,33 @@
 use crate::h1::RequestHead;
 use crate::mesh::call::HostedRequest;
 
-/// The head for the target and what its answer is checked against.
+/// Request head for the target, and the id against which its response is checked.
 #[derive(Debug)]
 pub struct WireRequest {
-    /// Head with the headers that the node sets.
+    /// Head including the headers set by the node.
     pub head: RequestHead,
-    /// Id that the answer must bear; empty where the caller gave none.
+    /// Request id that the response must carry; empty if the caller sent none.
     pub id: smol_str::SmolStr,
 }
 
 impl WireRequest {
-    /// Sets what the node sets: the id, the only instance, the origin, the time that is left and the workspace.
-    pub fn new(req: &HostedRequest, left: Duration, dialect: &Dialect) -> Self {
+    /// Sets the headers for the request id, the only permitted instance, the origin, the remaining time and the
+    /// workspace.
+    pub fn new(req: &HostedRequest, remaining: Duration, dialect: &Dialect) -> Self {
         let mut head = req.head.clone();
-        let left = left.as_millis().max(1).to_string();
+        let remaining = remaining.as_millis().max(1).to_string();
         let values = [
             (dialect.only_instance, req.instance.as_str()),
             (dialect.origin_service, req.origin.as_str()),
-            (dialect.time_left_ms, left.as_str()),
+            (dialect.time_left_ms, remaining.as_str()),
         ];
         let id = (dialect.request_id, req.id.as_str());
         let id = Some(id).filter(|(_, id)| !id.is_empty());
         let workspace = req.workspace.as_deref();
         let workspace = workspace.map(|workspace| (dialect.workspace, workspace));
         for (name, value) in values.into_iter().chain(id).chain(workspace) {
-            // Names are constants, and values come from checked settings or from entries that are plain text; one that
-            // can't stand in a header is left out, and the target then refuses or ignores it.
+            // Names are constants, and values come from validated settings or from plain-text entries. A value that is
+            // not valid in a header is left out, and the target then rejects the request or ignores the omission.
             if let Ok(value) = HeaderValue::from_bytes(value.as_bytes()) {
                 head.headers.insert(HeaderName::from_static(name), value);
             }
