--- a/crates/core/tests/mesh_routes.rs
+++ b/crates/core/tests/mesh_routes.rs
@@ -177,7 +177,7 @@
 
     /// The shares of a traffic split must match its weights within the few hundred requests that one node sees.
     #[test]
-    fn traffic_split_follows_its_weights(
+    fn weighted_selection_follows_its_weights(
         weights in proptest::collection::vec(0.0_f64..100.0, 2..6),
         phase in 0.0_f64..1.0,
     ) {
--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -15,7 +15,7 @@
 use crate::mesh::call::{
     Body, DownstreamCalls, HostReply, HostedRequest, Refused, Report, TargetAnswer,
 };
-use crate::mesh::news::FollowFrame;
+use crate::mesh::feed::FollowFrame;
 use crate::wire::{FrameError, HeaderFrame};
 
 /// Maximum size of a request or reply head between nodes, in bytes.
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -18,8 +18,8 @@
 use super::quota_frames::{VerdictFrame, VerdictsFrame};
 use crate::mesh::call::{BODY_CHANNEL_CAPACITY, Body, HostReply, MAX_BUFFERED_BODY};
 use crate::mesh::controller::ControllerEvent;
+use crate::mesh::feed::{FeedServer, serve_feed};
 use crate::mesh::host::Host;
-use crate::mesh::news::{Sharing, share};
 use crate::wire::FrameError;
 
 /// How long an idle connection is kept. Senders close theirs sooner; this limit applies to peers that failed without
@@ -35,7 +35,7 @@
     /// Runs the requests.
     pub host: Host,
     /// Forwards the publisher's updates.
-    pub sharing: Sharing,
+    pub sharing: FeedServer,
     /// Random number drawn when the node's process starts.
     pub boot: u64,
     /// Logger for connection failures.
@@ -95,7 +95,7 @@
     match head {
         StreamHead::Request(head) => run_request(conn, *head, &ctx.host).await,
         StreamHead::Follow(frame) => {
-            share(ctx.sharing.clone(), conn, frame).await?;
+            serve_feed(ctx.sharing.clone(), conn, frame).await?;
             Ok(false)
         }
         StreamHead::QuotaClaims(claims) => {
