--- a/crates/node/src/mesh/callers/connection.rs
+++ b/crates/node/src/mesh/callers/connection.rs
@@ -29,7 +29,7 @@
     tokio::select! {
         () = reader.run(slots, &mut tasks) => {
             if shared.pending() > 0 {
-                journal.caller_left(usize::try_from(shared.pending()).unwrap_or(usize::MAX));
+                journal.caller_disconnected(usize::try_from(shared.pending()).unwrap_or(usize::MAX));
             }
         }
         () = writer.run(waiting) => {
--- a/crates/node/src/mesh/entry.rs
+++ b/crates/node/src/mesh/entry.rs
@@ -20,7 +20,7 @@
 use crate::mesh::call::{Body, CallerAnswer, CallerRequest, Refused};
 use crate::mesh::controller::{AdmissionRequest, ControllerHandle, Credential, Denial};
 use crate::mesh::host::Host;
-use crate::mesh::journal::{Ending, Journal};
+use crate::mesh::journal::{Journal, RequestSummary};
 use crate::mesh::link::PeerPool;
 
 /// Retry delay that is announced to callers if no better estimate is known.
@@ -157,7 +157,7 @@
     }
 
     fn log_denial(&self, id: &str, denial: Denial, arrived: Instant, time_left: Option<Duration>) {
-        self.journal.ended(Ending {
+        self.journal.request_answered(RequestSummary {
             id,
             fingerprint: None,
             route: "",
@@ -166,7 +166,7 @@
             status: denial.refusal.rule().status,
             refusal: denial.refusal.as_str(),
             attempts: 0,
-            took: self.clock.now().saturating_duration_since(arrived),
+            elapsed: self.clock.now().saturating_duration_since(arrived),
             limit: time_left.unwrap_or_default(),
             config: denial.config_version,
             inner: false,
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -18,7 +18,7 @@
 use crate::mesh::controller::{
     AdmittedRequest, ControllerEvent, InstanceGrant, InstanceRequest, RetryRequest, SendGuard,
 };
-use crate::mesh::journal::Ending;
+use crate::mesh::journal::RequestSummary;
 use crate::mesh::link::{self, LinkError};
 
 /// Maximum number of reroutes of a request after hosts refused it without involving their targets. Each one costs a
@@ -375,7 +375,7 @@
             Err(refused) => (refused.refusal.rule().status, refused.refusal.as_str()),
         };
         let now = self.entry.clock.now();
-        self.entry.journal.ended(Ending {
+        self.entry.journal.request_answered(RequestSummary {
             id: &self.id,
             fingerprint: Some(self.fingerprint),
             route: &self.route_name(),
@@ -384,7 +384,7 @@
             status,
             refusal,
             attempts: self.tried.len(),
-            took: now.saturating_duration_since(self.arrived),
+            elapsed: now.saturating_duration_since(self.arrived),
             limit: self.deadline.saturating_duration_since(self.arrived),
             config: self.admitted.config.version().0,
             inner: self.admitted.parent.is_some(),
--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -170,7 +170,7 @@
         let crash = self.pool.crash(self.clock.now()).await;
         if let Some(crash) = crash {
             let Self { journal, .. } = self;
-            journal.crashed_under(&req.id, req.fingerprint, &req.instance, crash);
+            journal.target_crashed(&req.id, req.fingerprint, &req.instance, crash);
         }
         ExchangeFailure {
             refused: self.log_failure(req, refusal, &fault.to_string()),
--- a/crates/node/tests/mesh_journal.rs
+++ b/crates/node/tests/mesh_journal.rs
@@ -9,7 +9,7 @@
 use coltsfootport::clock::Clock;
 use coltsfootport::log::{LogLevel, start_json};
 use coltsfootport::mesh::MeshMetrics;
-use coltsfootport::mesh::journal::{Ending, Journal};
+use coltsfootport::mesh::journal::{Journal, RequestSummary};
 use serde_json::Value;
 
 use support::{lines_of, sink};
@@ -58,8 +58,8 @@
     }
 }
 
-fn ending(status: u16, refusal: &'static str) -> Ending<'static> {
-    Ending {
+fn ending(status: u16, refusal: &'static str) -> RequestSummary<'static> {
+    RequestSummary {
         fingerprint: None,
         id: "4f2a",
         route: "lots",
@@ -68,7 +68,7 @@
         status,
         refusal,
         attempts: 2,
-        took: Duration::from_millis(70),
+        elapsed: Duration::from_millis(70),
         limit: Duration::from_millis(600),
         config: 7,
         inner: false,
@@ -96,15 +96,15 @@
     let (out, rx) = sink();
     let (journal, clock, metrics, guard) = journal(out);
     for _ in 0..1000 {
-        journal.ended(ending(503, "shed"));
+        journal.request_answered(ending(503, "shed"));
     }
     let left_out = dropped(&metrics);
     assert!((800..1000).contains(&left_out), "{left_out} left out");
     // Successes have a rate of their own: refusals must not use it up, nor the other way round.
-    journal.ended(ending(200, ""));
+    journal.request_answered(ending(200, ""));
     assert_eq!(dropped(&metrics), left_out);
     clock.advance(Duration::from_secs(1));
-    journal.ended(ending(504, "expired"));
+    journal.request_answered(ending(504, "expired"));
     drop((journal, guard));
     let lines = lines_of(rx);
     assert_eq!(lines.len() as u64, 1000 - left_out + 2);
@@ -134,7 +134,7 @@
     for _ in 0..200 {
         clock.advance(Duration::from_secs(1));
         for _ in 0..60 {
-            journal.ended(ending(503, "shed"));
+            journal.request_answered(ending(503, "shed"));
         }
     }
     // The guard waits for the writer, so the reader must be let go before anything is checked.
