--- a/crates/node/src/mesh/lifecycle.rs
+++ b/crates/node/src/mesh/lifecycle.rs
@@ -13,19 +13,23 @@
 use crate::mesh::controller::{ControllerEvent, ControllerHandle};
 use crate::mesh::settings::MeshSettings;
 
-/// Time for which a stopping node lives at least: some callers still send until the readiness check has told them.
-const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2500);
+/// Minimum time from the stop signal to the exit. Some callers keep sending until the readiness check has shown them
+/// that the node is stopping.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(2500);
 
-/// How long nothing must have been open before the node ends: a caller may send again on a connection just used.
+/// Time without open requests that is required before the exit, since a caller may reuse a connection for its next
+/// request.
 const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(250);
 
-/// Time between looks.
+/// Interval at which a stopping node checks for open requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time before the end of the grace period at which nothing new is accepted, and what is still open is logged.
-const BEFORE_KILL: Duration = Duration::from_millis(500);
+/// Time before the end of the grace period at which the node stops accepting callers and logs unfinished requests.
+const KILL_MARGIN: Duration = Duration::from_millis(500);
 
-/// The signals that a node takes. Until they are taken over each of them ends the process, so this is done first.
+/// Handlers for the signals of a node.
+///
+/// Each of these signals kills the process until its handler is installed, so this is done first at startup.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -33,12 +37,12 @@
 }
 
 impl Signals {
-    /// Takes the signals over.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// They can't be received.
-    pub fn take() -> std::io::Result<Self> {
+    /// Returns an error if a handler cannot be installed.
+    pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -47,43 +51,43 @@
     }
 }
 
-/// Signals and what they lead to.
+/// Handles signals: reloads the settings on SIGHUP, and shuts down gracefully on SIGTERM or SIGINT.
 pub struct Lifecycle {
-    /// The signals.
+    /// Installed signal handlers.
     pub signals: Signals,
-    /// Refuses new requests for the own target.
+    /// Controller, which refuses new requests for the local target while the node is stopping.
     pub controller: ControllerHandle,
-    /// Told when the node is about to stop.
+    /// Set to true when the shutdown starts.
     pub stopping: watch::Sender<bool>,
-    /// Told when the grace period is nearly over.
+    /// Set to true shortly before the grace period ends.
     pub grace_over: watch::Sender<bool>,
-    /// Told of each request to read the settings again.
-    pub hup: watch::Sender<u64>,
-    /// Requests of callers without an answer.
+    /// Number of SIGHUPs received; each increment makes the settings file be read again.
+    pub reloads: watch::Sender<u64>,
+    /// Number of unanswered requests from callers.
     pub open: Arc<AtomicUsize>,
-    /// Settings in force; they tell the grace period.
+    /// Settings in force, for the grace period.
     pub settings: watch::Receiver<MeshSettings>,
-    /// Time.
+    /// Clock.
     pub clock: SharedClock,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl Lifecycle {
-    /// Returns when the process may end.
+    /// Handles signals until the node has shut down; returns when the process may exit.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
                 _ = stop_signal(&mut self.signals.terminate, &mut self.signals.interrupt) => break,
-                () = received(&mut self.signals.hangup) => self.hup.send_modify(|count| *count += 1),
+                () = received(&mut self.signals.hangup) => self.reloads.send_modify(|count| *count += 1),
             }
         }
-        self.stop().await;
+        self.shut_down().await;
     }
 
-    /// Returns when nothing is open any more. Until then the node serves: ended by itself it would cut off what is at work,
-    /// which may still end before the supervisor kills the process.
-    async fn stop(&mut self) {
+    /// Serves until no requests are open. The node does not exit by itself at the end of the grace period: that would
+    /// abort running requests that may still finish before the supervisor kills the process.
+    async fn shut_down(&mut self) {
         let signalled_at = self.clock.now();
         let grace = self.settings.borrow().grace;
         info!(self.log, "stopping"; "open" => self.open.load(Ordering::SeqCst), "grace_ms" => grace.as_millis() as u64);
@@ -101,11 +105,11 @@
                 () = received(&mut self.signals.hangup) => self.log_signal("SIGHUP", signals, signalled_at),
             }
             let now = self.clock.now();
-            let passed = now.saturating_duration_since(signalled_at);
+            let elapsed = now.saturating_duration_since(signalled_at);
             let hosted = self.controller.hosted_requests().await;
             let open = self.open.load(Ordering::SeqCst);
-            if grace.saturating_sub(passed) <= BEFORE_KILL && !*self.grace_over.borrow() {
-                self.end_grace(open, hosted);
+            if grace.saturating_sub(elapsed) <= KILL_MARGIN && !*self.grace_over.borrow() {
+                self.prepare_for_kill(open, hosted);
             }
             let since = *idle_since.get_or_insert(now);
             if open + hosted > 0 {
@@ -113,28 +117,29 @@
                 continue;
             }
             let is_idle = now.saturating_duration_since(since) >= IDLE_BEFORE_EXIT;
-            if is_idle && passed >= ACCEPT_WHILE_DRAINING {
-                info!(self.log, "stopped"; "after_ms" => passed.as_millis() as u64, "signals" => signals);
+            if is_idle && elapsed >= MIN_DRAIN_TIME {
+                info!(self.log, "stopped"; "after_ms" => elapsed.as_millis() as u64, "signals" => signals);
                 return;
             }
         }
     }
 
-    /// Shortly before the supervisor is expected to kill the process: no more callers are accepted, so that the node ends with
-    /// what it has, and that is logged.
-    fn end_grace(&self, open: usize, hosted: usize) {
+    /// Stops accepting callers and logs unfinished requests, shortly before the supervisor is expected to kill the
+    /// process.
+    fn prepare_for_kill(&self, open: usize, hosted: usize) {
         self.grace_over.send_replace(true);
         warn!(self.log, "grace period nearly over"; "open" => open, "hosted" => hosted);
         self.controller.notify(ControllerEvent::LogUnfinished);
     }
 
-    fn log_signal(&self, name: &str, signals: u32, first: Instant) {
-        let after = self.clock.now().saturating_duration_since(first);
-        info!(self.log, "signal while stopping"; "signal" => name, "signals" => signals, "after_ms" => after.as_millis() as u64);
+    fn log_signal(&self, name: &str, signals: u32, signalled_at: Instant) {
+        let after = self.clock.now().saturating_duration_since(signalled_at);
+        info!(self.log, "signal while stopping"; "signal" => name, "signals" => signals,
+            "after_ms" => after.as_millis() as u64);
     }
 }
 
-/// Returns the name of the next signal that asks the node to stop.
+/// Waits for SIGTERM or SIGINT and returns the name of the signal received.
 async fn stop_signal(terminate: &mut Signal, interrupt: &mut Signal) -> &'static str {
     tokio::select! {
         () = received(terminate) => "SIGTERM",
@@ -142,6 +147,7 @@
     }
 }
 
+/// Waits for the next delivery of `signal`; never returns if the stream is closed.
 async fn received(signal: &mut Signal) {
     if signal.recv().await.is_none() {
         std::future::pending::<()>().await;
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -61,7 +61,7 @@
     text: String,
     log: Logger,
 ) -> Result<(), MeshError> {
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let clock: SharedClock = Arc::new(BootClock::start());
     let metrics = MeshMetrics::new()?;
     let journal = Journal::new(log.clone(), Arc::clone(&clock), metrics.clone());
@@ -175,7 +175,7 @@
     }
     tokio::spawn(callers::listen(callers_socket, callers_cfg));
     tokio::spawn(prune(host.pool.clone()));
-    let (hup_tx, hup) = watch::channel(0);
+    let (reloads_tx, reloads) = watch::channel(0);
     let (settings_tx, settings_rx) = watch::channel(settings);
     let file = SettingsFile {
         path,
@@ -183,7 +183,7 @@
         tx: settings_tx,
         log: log.clone(),
     };
-    tokio::spawn(file.run(hup));
+    tokio::spawn(file.run(reloads));
     tokio::spawn(apply_settings(
         settings_rx.clone(),
         service_tx,
@@ -194,7 +194,7 @@
         controller,
         stopping: stopping_tx,
         grace_over: grace_over_tx,
-        hup: hup_tx,
+        reloads: reloads_tx,
         open,
         settings: settings_rx,
         clock,
