--- a/crates/node/src/mesh/policy.rs
+++ b/crates/node/src/mesh/policy.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions under load; each mechanism can be switched off by one of them.
+//! Overload policy settings; each mechanism can be disabled by its setting.
 
 use std::time::Duration;
 
@@ -8,32 +8,34 @@
     ShedderConfig, TimeLimits,
 };
 
-/// How a node decides under load. The defaults are those of the decisions themselves.
+/// Policy of a node under load. The defaults are taken from the configuration types of the mechanisms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicySettings {
-    /// Load at which a target is full, see [`LevelConfig::target_load`]; a high one for no shedding at entries.
+    /// Load up to which requests are admitted, see [`LevelConfig::target_load`]. A high value disables load shedding.
     pub target_load: f64,
-    /// Share of its usual time that a request must have left to be started, 0 to start whatever has any.
+    /// Share of its mean service time that a request must have left to be dispatched; 0 dispatches any request before
+    /// its deadline.
     pub start_share: f64,
-    /// Whether slots are left free where the target slows down with all of them.
+    /// Whether to leave slots free when the target slows down near full concurrency.
     pub headroom: bool,
-    /// What is taken off the time limits of requests.
+    /// Margins subtracted from the time limits of requests.
     pub limits: TimeLimits,
-    /// Waits of requests from outside.
+    /// Queue timeout of external requests.
     pub queue_timeout: QueueTimeoutConfig,
-    /// What another failure domain adds to the expected time of a request, 0 to choose among all alike.
+    /// Penalty added to the score of instances in another failure domain; 0 treats all instances alike.
     pub far_penalty: f64,
-    /// Time for which the same requests are the ones that are shed.
+    /// Time for which the choice of requests to shed stays the same.
     pub shed_epoch: Duration,
-    /// Shortest time after which a shed caller is asked to come back.
-    pub back_soonest: Duration,
-    /// What a wholly shed rank adds to it.
-    pub back_later: Duration,
-    /// Level from which requests from outside are not sent again after a failure.
+    /// Minimum Retry-After of a shed request.
+    pub min_retry_after: Duration,
+    /// Added to the Retry-After in proportion to the share of the rank that is shed.
+    pub extra_retry_after: Duration,
+    /// Overload level above which failed external requests are not retried.
     pub no_repeat_level: f64,
-    /// Share of the bound of repeats that nodes use, 0 for no repeats.
+    /// Share of the retry budget that nodes use; 0 disables retries.
     pub repeat_share: f64,
-    /// How long an instance whose entry lapsed is used while its entry may come back, 0 to believe each removal.
+    /// How long an instance is kept after its entry lapsed, so that it can write the entry again; 0 applies every
+    /// removal at once.
     pub lapse_hold: Duration,
 }
 
@@ -48,8 +50,8 @@
             queue_timeout: QueueTimeoutConfig::default(),
             far_penalty: FleetConfig::default().far_penalty,
             shed_epoch: shedder.epoch,
-            back_soonest: shedder.min_retry_after,
-            back_later: shedder.extra_retry_after,
+            min_retry_after: shedder.min_retry_after,
+            extra_retry_after: shedder.extra_retry_after,
             no_repeat_level: 0.5,
             repeat_share: RetryBudgetConfig::default().used_share,
             lapse_hold: FleetConfig::default().lapse_hold,
@@ -58,7 +60,7 @@
 }
 
 impl PolicySettings {
-    /// Reads the section of the settings file.
+    /// Reads the `policy` section of the settings file.
     pub fn read(mut section: Section<'_, '_>) -> Self {
         let default = Self::default();
         let queue_timeout = QueueTimeoutConfig {
@@ -83,12 +85,16 @@
             limits,
             target_load: section.number("target_load", 0.1..=100.0, default.target_load),
             start_share: section.number("start_share", 0.0..=1.0, default.start_share),
-            headroom: section.choice("headroom", &SWITCH, default.headroom),
+            headroom: section.choice("headroom", &ON_OFF, default.headroom),
             queue_timeout,
             far_penalty: section.number("far_penalty", 0.0..=100.0, default.far_penalty),
             shed_epoch: section.millis("shed_epoch_ms", 1..=600_000, default.shed_epoch),
-            back_soonest: section.millis("back_soonest_ms", 0..=60_000, default.back_soonest),
-            back_later: section.millis("back_later_ms", 0..=60_000, default.back_later),
+            min_retry_after: section.millis("back_soonest_ms", 0..=60_000, default.min_retry_after),
+            extra_retry_after: section.millis(
+                "back_later_ms",
+                0..=60_000,
+                default.extra_retry_after,
+            ),
             no_repeat_level: section.number(
                 "no_repeat_level",
                 0.0..=100.0,
@@ -102,4 +108,4 @@
     }
 }
 
-const SWITCH: [(&str, bool); 2] = [("on", true), ("off", false)];
+const ON_OFF: [(&str, bool); 2] = [("on", true), ("off", false)];
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -255,8 +255,8 @@
         },
         shedder: ShedderConfig {
             epoch: policy.shed_epoch,
-            min_retry_after: policy.back_soonest,
-            extra_retry_after: policy.back_later,
+            min_retry_after: policy.min_retry_after,
+            extra_retry_after: policy.extra_retry_after,
             ..Default::default()
         },
         gate: GateConfig {
