--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -1,4 +1,4 @@
-//! Starts a mesh node and runs it until it is stopped.
+//! Startup of a mesh node.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -36,25 +36,27 @@
 use super::target::TargetPool;
 use crate::clock::SharedClock;
 
-/// Why a mesh node can't start.
+/// Error that prevents a mesh node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum MeshError {
-    /// A listener's address can't be bound, or signals can't be received.
-    #[error("the node can't start: {0}")]
+    /// A listener address cannot be bound, or a signal handler cannot be installed.
+    #[error("cannot start node: {0}")]
     Io(#[from] std::io::Error),
-    /// Metrics can't be registered.
-    #[error("metrics: {0}")]
+    /// Metrics cannot be registered.
+    #[error("cannot register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// Time between looks at connections to the target that have waited too long.
-const PRUNE: Duration = Duration::from_millis(500);
+/// Interval at which connections to the target are pruned after being idle for too long.
+const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a node until it is asked to stop. `path` and `text` are those of the settings, which are read again later.
+/// Runs a node until it has shut down.
+///
+/// `path` and `text` are the path and the content of the settings file, which is reloaded when it changes.
 ///
 /// # Errors
 ///
-/// It can't start.
+/// Returns an error if the node cannot start.
 pub async fn run(
     settings: MeshSettings,
     path: PathBuf,
@@ -65,27 +67,27 @@
     let clock: SharedClock = Arc::new(BootClock::start());
     let metrics = MeshMetrics::new()?;
     let journal = Journal::new(log.clone(), Arc::clone(&clock), metrics.clone());
-    let (dialect, publisher) = spoken(settings.publisher.kind);
-    let (tx, rx) = mpsc::unbounded_channel();
-    let controller = ControllerHandle::new(tx.clone());
-    let (words_tx, words) = mpsc::unbounded_channel();
+    let (dialect, publisher) = dialect_and_publisher(settings.publisher.kind);
+    let (events_tx, events) = mpsc::unbounded_channel();
+    let controller = ControllerHandle::new(events_tx.clone());
+    let (quota_messages_tx, quota_messages) = mpsc::unbounded_channel();
     let (findings_tx, findings) = mpsc::unbounded_channel();
     let (limits_tx, limits) = watch::channel(CallerLimits::default());
     let state = Controller::new(
         controller_config(&settings),
         Arc::clone(&clock),
         ControllerChannels {
-            events: tx,
+            events: events_tx,
             limits: limits_tx,
-            quota_messages: words_tx,
+            quota_messages: quota_messages_tx,
             findings: findings_tx,
         },
         journal.clone(),
         metrics.clone(),
     );
-    let callers_socket = TcpListener::bind(settings.node.callers).await?;
-    let ready_socket = TcpListener::bind(settings.node.ready).await?;
-    let peers_socket = TcpListener::bind(settings.node.peers).await?;
+    let callers_listener = TcpListener::bind(settings.node.callers).await?;
+    let ready_listener = TcpListener::bind(settings.node.ready).await?;
+    let peers_listener = TcpListener::bind(settings.node.peers).await?;
     let host = Host {
         controller: controller.clone(),
         pool: TargetPool::new(settings.node.target, Arc::clone(&clock)),
@@ -112,7 +114,7 @@
     };
     let (stopping_tx, stopping) = watch::channel(false);
     let open = Arc::new(AtomicUsize::new(0));
-    let callers_cfg = CallersConfig {
+    let callers_config = CallersConfig {
         entry,
         limits,
         grace_over,
@@ -143,19 +145,19 @@
         clock: Arc::clone(&clock),
         log: log.clone(),
     };
-    let quotas = QuotaSender {
+    let quota_sender = QuotaSender {
         controller: controller.clone(),
         links: links.clone(),
         peers_port: settings.node.peers.port(),
         log: log.clone(),
     };
-    let spreader = FindingsExchange {
+    let findings_exchange = FindingsExchange {
         controller: controller.clone(),
         links: links.clone(),
         peers_port: settings.node.peers.port(),
         log: log.clone(),
     };
-    let serving = ServerContext {
+    let server_context = ServerContext {
         host: host.clone(),
         sharing,
         boot: rand::random(),
@@ -163,27 +165,27 @@
     };
     info!(log, "started"; "callers" => settings.node.callers, "target" => settings.node.target,
         "domain" => settings.node.domain.as_str(), "version" => env!("CARGO_PKG_VERSION"));
-    tokio::spawn(run_controller(state, rx));
+    tokio::spawn(run_controller(state, events));
     tokio::spawn(monitor_peers(links, log.clone()));
-    tokio::spawn(link::serve(peers_socket, serving));
-    tokio::spawn(quotas.run(words));
-    tokio::spawn(spreader.run(findings));
+    tokio::spawn(link::serve(peers_listener, server_context));
+    tokio::spawn(quota_sender.run(quota_messages));
+    tokio::spawn(findings_exchange.run(findings));
     tokio::spawn(news.run());
-    tokio::spawn(ready::serve(ready_socket, ready.clone()));
+    tokio::spawn(ready::serve(ready_listener, ready.clone()));
     if let Some(address) = settings.node.metrics {
         tokio::spawn(ready::serve(TcpListener::bind(address).await?, ready));
     }
-    tokio::spawn(callers::listen(callers_socket, callers_cfg));
-    tokio::spawn(prune(host.pool.clone()));
+    tokio::spawn(callers::listen(callers_listener, callers_config));
+    tokio::spawn(prune_idle_connections(host.pool.clone()));
     let (reloads_tx, reloads) = watch::channel(0);
     let (settings_tx, settings_rx) = watch::channel(settings);
-    let file = SettingsFile {
+    let settings_file = SettingsFile {
         path,
         text,
         tx: settings_tx,
         log: log.clone(),
     };
-    tokio::spawn(file.run(reloads));
+    tokio::spawn(settings_file.run(reloads));
     tokio::spawn(apply_settings(
         settings_rx.clone(),
         service_tx,
@@ -204,7 +206,8 @@
     Ok(())
 }
 
-/// Passes on what can change while a node runs; for the rest see [`MeshSettings::at_next_start`].
+/// Applies changed settings to the running node, except for those that need a restart; see
+/// [`MeshSettings::at_next_start`].
 async fn apply_settings(
     mut settings: watch::Receiver<MeshSettings>,
     service: watch::Sender<coltsfootport_core::id::ServiceName>,
@@ -213,21 +216,22 @@
     let policy = settings.borrow().policy;
     while settings.changed().await.is_ok() {
         let new = settings.borrow_and_update().clone();
+        // Changes to the policy take effect at the next start.
         let cfg = controller_config(&MeshSettings { policy, ..new });
         service.send_replace(cfg.service.clone());
         controller.notify(ControllerEvent::SettingsChanged(Box::new(cfg)));
     }
 }
 
-async fn prune(pool: TargetPool) {
+async fn prune_idle_connections(pool: TargetPool) {
     loop {
-        tokio::time::sleep(PRUNE).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         pool.prune();
     }
 }
 
-/// What callers, targets and the publisher speak.
-fn spoken(kind: PublisherKind) -> (Arc<Dialect>, Arc<dyn Publisher>) {
+/// Returns the HTTP dialect and the [`Publisher`] implementation for `kind`.
+fn dialect_and_publisher(kind: PublisherKind) -> (Arc<Dialect>, Arc<dyn Publisher>) {
     match kind {
         PublisherKind::Platform => (
             Arc::new(coltsfootport_platform::DIALECT),
