--- a/crates/node/src/mesh.rs
+++ b/crates/node/src/mesh.rs
@@ -25,5 +25,5 @@
 pub use policy::PolicySettings;
 pub use run::{MeshError, run};
 pub use settings::{
-    FeedSettings, LoadSettings, MeshNodeSettings, MeshSettings, PublisherKind, RepeatSettings,
+    LoadSettings, MeshNodeSettings, MeshSettings, PublisherKind, PublisherSettings, RetrySettings,
 };
--- a/crates/node/src/mesh/news/store_reader.rs
+++ b/crates/node/src/mesh/news/store_reader.rs
@@ -22,7 +22,7 @@
 use super::source::{Changes, Heard, Source, What};
 use crate::clock::SharedClock;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::settings::FeedSettings;
+use crate::mesh::settings::PublisherSettings;
 
 /// Largest answer read, in bytes.
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
@@ -102,7 +102,7 @@
 /// Reads the publisher and passes on what it says.
 pub struct StoreReader {
     /// Where and how long.
-    pub cfg: FeedSettings,
+    pub cfg: PublisherSettings,
     /// What to ask, and how to read the answers.
     pub publisher: Arc<dyn Publisher>,
     /// Longest pause after a failure, as it is now.
--- a/crates/node/src/mesh/news/task.rs
+++ b/crates/node/src/mesh/news/task.rs
@@ -20,7 +20,7 @@
 use crate::mesh::controller::{ControllerEvent, ControllerHandle};
 use crate::mesh::link::PeerPool;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::settings::FeedSettings;
+use crate::mesh::settings::PublisherSettings;
 
 /// Time between looks at who should read.
 const LOOK: Duration = Duration::from_millis(250);
@@ -28,7 +28,7 @@
 /// What is needed to keep up with the publisher.
 pub struct News {
     /// Where it is, and who reads it.
-    pub cfg: FeedSettings,
+    pub cfg: PublisherSettings,
     /// What to ask, and how to read the answers.
     pub publisher: Arc<dyn Publisher>,
     /// Who is told.
--- a/crates/node/src/mesh/settings.rs
+++ b/crates/node/src/mesh/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a mesh node.
+//! Settings of a mesh node, parsed from its settings file.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -12,97 +12,97 @@
 use crate::log::LogLevel;
 use crate::mesh::policy::PolicySettings;
 
-/// Settings of a mesh node, as read at its start and whenever their file changes.
+/// Settings of a mesh node, read at startup and whenever the settings file changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MeshSettings {
-    /// Who this node is and where it listens.
+    /// Identity and addresses of this node.
     pub node: MeshNodeSettings,
-    /// Where configuration and instances are published.
-    pub publisher: FeedSettings,
-    /// Bounds of repeats.
-    pub retries: RepeatSettings,
-    /// How far workspaces may go beyond their quotas.
+    /// Connection to the publisher of configuration and instances.
+    pub publisher: PublisherSettings,
+    /// Retry budget.
+    pub retries: RetrySettings,
+    /// Bound on how far workspaces may exceed their quotas.
     pub quotas: QuotaBound,
-    /// Requests that crash targets.
+    /// Quarantine of requests that crash targets.
     pub quarantine: QuarantineSettings,
-    /// Work that the node takes.
+    /// Concurrency limits.
     pub load: LoadSettings,
-    /// Decisions under load.
+    /// Overload policy.
     pub policy: PolicySettings,
-    /// Time from a request to stop to the forced end.
+    /// Grace period from the stop signal until the supervisor kills the process.
     pub grace: Duration,
-    /// The least important line that is logged.
+    /// Minimum level of log lines.
     pub log_level: LogLevel,
 }
 
-/// Who a node is and where it listens.
+/// Identity and addresses of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MeshNodeSettings {
-    /// Its name, for logs.
+    /// Node name, used in logs.
     pub name: NodeName,
-    /// The service of the target beside it.
+    /// Service of the local target.
     pub service: ServiceName,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: DomainName,
-    /// The target beside it.
+    /// Address of the local target.
     pub target: SocketAddr,
-    /// HTTP for callers on its machine.
+    /// HTTP listener for callers on the same machine.
     pub callers: SocketAddr,
-    /// HTTP for the readiness check and metrics.
+    /// HTTP listener for the readiness check and metrics.
     pub ready: SocketAddr,
-    /// QUIC for other nodes; they use the same port.
+    /// QUIC listener for other nodes. All nodes use the same port.
     pub peers: SocketAddr,
-    /// HTTP for metrics, where they have an address of their own.
+    /// Additional HTTP listener for metrics, if they have a separate address.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Who publishes, and what it speaks.
+/// Kind of publisher, which determines its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublisherKind {
-    /// The users' platform.
+    /// The users' platform, see [`coltsfootport_platform`].
     Platform,
 }
 
-/// Where configuration and instances are published.
+/// Connection to the publisher of configuration and instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FeedSettings {
-    /// What the publisher, callers and targets speak.
+pub struct PublisherSettings {
+    /// Kind of publisher. Also selects the HTTP dialect of callers and targets.
     pub kind: PublisherKind,
     /// Address of the publisher.
     pub address: SocketAddr,
-    /// How long a watch waits for a change. An answer without changes shows that the connection and the node's view are
-    /// alive, so this bounds for how long a silent connection is believed.
+    /// How long a watch request waits for a change. A response without changes proves that the connection works and
+    /// that the node's state is current, so this bounds how long a silent connection is trusted.
     pub watch: Duration,
-    /// Longest time for an answer, beyond the wait of a watch.
+    /// Response timeout, in addition to the wait time of a watch request.
     pub timeout: Duration,
-    /// Who reads in a large fleet.
+    /// Which nodes poll the publisher in a large fleet.
     pub readers: ReadersConfig,
 }
 
-/// Bounds of repeats over the whole fleet.
+/// Retry budget of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatSettings {
-    /// Repeats for each first request.
+pub struct RetrySettings {
+    /// Retries allowed per first attempt of a request.
     pub ratio: f64,
-    /// Repeats in a window besides.
+    /// Additional retries allowed per window, independent of the traffic.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// Requests that crash targets.
+/// Quarantine of requests that crash targets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuarantineSettings {
-    /// Key of the fingerprints by which requests are recognised; the same on all nodes.
+    /// Key of the request fingerprints; must be the same on all nodes.
     pub key: FingerprintKey,
 }
 
-/// Work that a node takes.
+/// Concurrency limits of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadSettings {
-    /// Slots of the target until the list of instances tells them.
+    /// Concurrency limit of the target until the published list of instances gives its own.
     pub slots: u32,
-    /// Requests of one connection that are worked on at a time.
+    /// Maximum number of pipelined requests of one connection that are processed concurrently.
     pub pipelined: u32,
 }
 
@@ -110,8 +110,8 @@
     fn default() -> Self {
         Self {
             node: MeshNodeSettings::default(),
-            publisher: FeedSettings::default(),
-            retries: RepeatSettings::default(),
+            publisher: PublisherSettings::default(),
+            retries: RetrySettings::default(),
             quotas: QuotaBound::default(),
             quarantine: QuarantineSettings::default(),
             load: LoadSettings::default(),
@@ -124,21 +124,21 @@
 
 impl Default for MeshNodeSettings {
     fn default() -> Self {
-        let none = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+        let unset = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         Self {
             name: NodeName::default(),
             service: ServiceName::default(),
             domain: DomainName::default(),
-            target: none,
-            callers: none,
-            ready: none,
-            peers: none,
+            target: unset,
+            callers: unset,
+            ready: unset,
+            peers: unset,
             metrics: None,
         }
     }
 }
 
-impl Default for FeedSettings {
+impl Default for PublisherSettings {
     fn default() -> Self {
         Self {
             kind: PublisherKind::Platform,
@@ -150,7 +150,7 @@
     }
 }
 
-impl Default for RepeatSettings {
+impl Default for RetrySettings {
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -170,11 +170,11 @@
 }
 
 impl MeshSettings {
-    /// Reads settings, with the faults for which a default serves.
+    /// Parses settings. Returns them with the non-fatal faults, each of which was replaced by a default.
     ///
     /// # Errors
     ///
-    /// Every fault, where a key without a usable default is missing or wrong.
+    /// Returns all faults if a key without a usable default is missing or invalid.
     pub fn parse(text: &str) -> Result<(Self, Vec<Fault>), Vec<Fault>> {
         let parsed = jsonc::parse(text, Self::read);
         match parsed.value {
@@ -183,18 +183,18 @@
         }
     }
 
-    /// Keys in which `new` differs and that hold from the next start on: addresses are bound and told to others already,
-    /// and the log is set up once.
+    /// Returns the keys that differ in `new` and take effect only at the next start: addresses are already bound and
+    /// known to other nodes, and the logger is set up once.
     pub fn at_next_start(&self, new: &Self) -> Vec<&'static str> {
-        let (node, other) = (&self.node, &new.node);
+        let (node, new_node) = (&self.node, &new.node);
         let keys = [
-            ("node.name", node.name != other.name),
-            ("node.domain", node.domain != other.domain),
-            ("node.target", node.target != other.target),
-            ("node.callers", node.callers != other.callers),
-            ("node.ready", node.ready != other.ready),
-            ("node.peers", node.peers != other.peers),
-            ("node.metrics", node.metrics != other.metrics),
+            ("node.name", node.name != new_node.name),
+            ("node.domain", node.domain != new_node.domain),
+            ("node.target", node.target != new_node.target),
+            ("node.callers", node.callers != new_node.callers),
+            ("node.ready", node.ready != new_node.ready),
+            ("node.peers", node.peers != new_node.peers),
+            ("node.metrics", node.metrics != new_node.metrics),
             ("quotas", self.quotas != new.quotas),
             ("quarantine", self.quarantine != new.quarantine),
             ("publisher", self.publisher != new.publisher),
@@ -211,8 +211,8 @@
         let node = root.required("node").and_then(Item::section);
         let node = node.and_then(MeshNodeSettings::read);
         let publisher = root.required("publisher").and_then(Item::section);
-        let publisher = publisher.and_then(FeedSettings::read);
-        let retries = root.section("retries", RepeatSettings::read);
+        let publisher = publisher.and_then(PublisherSettings::read);
+        let retries = root.section("retries", RetrySettings::read);
         let quotas = root.section("quotas", read_quotas);
         let quarantine = root.section("quarantine", QuarantineSettings::read);
         let load = root.section("load", LoadSettings::read);
@@ -258,10 +258,10 @@
     }
 }
 
-impl FeedSettings {
+impl PublisherSettings {
     fn read(mut section: Section<'_, '_>) -> Option<Self> {
         let default = Self::default();
-        let kind = section.choice("kind", &PUBLISHERS, default.kind);
+        let kind = section.choice("kind", &PUBLISHER_KINDS, default.kind);
         let address = section.required("address").and_then(Item::peer_address);
         let watch = section.millis("watch_ms", 50..=30_000, default.watch);
         let timeout = section.millis("timeout_ms", 50..=60_000, default.timeout);
@@ -281,7 +281,7 @@
     }
 }
 
-impl RepeatSettings {
+impl RetrySettings {
     fn read(mut section: Section<'_, '_>) -> Self {
         let default = Self::default();
         let settings = Self {
@@ -327,7 +327,7 @@
     }
 }
 
-const PUBLISHERS: [(&str, PublisherKind); 1] = [("platform", PublisherKind::Platform)];
+const PUBLISHER_KINDS: [(&str, PublisherKind); 1] = [("platform", PublisherKind::Platform)];
 
 const LOG_LEVELS: [(&str, LogLevel); 4] = [
     ("error", LogLevel::Error),
@@ -336,7 +336,7 @@
     ("debug", LogLevel::Debug),
 ];
 
-/// Seconds with fractions, as the platform's own settings have them.
+/// Reads a duration in fractional seconds, the unit of the platform's own settings.
 fn seconds(
     section: &mut Section<'_, '_>,
     key: &'static str,
