--- a/crates/node/src/mesh/settings_file.rs
+++ b/crates/node/src/mesh/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file, read again on a signal and when it has changed.
+//! Reloads the settings file on SIGHUP and when it has changed.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,48 +9,51 @@
 
 use crate::mesh::settings::MeshSettings;
 
-/// Time between looks at the file: it may change without a signal.
-const LOOK: Duration = Duration::from_millis(1000);
+/// Interval at which the file is checked for changes, since it may change without a SIGHUP.
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Reads the file again and hands out settings that hold.
+/// Reloads the settings file and publishes valid settings.
 pub struct SettingsFile {
-    /// Where it stands.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Its text as read last.
+    /// Content of the file when it was last read.
     pub text: String,
-    /// Settings in force.
+    /// Publishes the settings in force.
     pub tx: watch::Sender<MeshSettings>,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl SettingsFile {
-    /// Looks at the file for as long as the process lives; `hup` tells of signals.
-    pub async fn run(mut self, mut hup: watch::Receiver<u64>) {
-        let mut looks = interval(LOOK);
+    /// Reloads the file until the sender of `reloads` is dropped. `reloads` changes with each SIGHUP.
+    pub async fn run(mut self, mut reloads: watch::Receiver<u64>) {
+        let mut poll = interval(POLL_INTERVAL);
         loop {
             tokio::select! {
-                _ = looks.tick() => self.look(false),
-                changed = hup.changed() => match changed {
-                    Ok(()) => self.look(true),
+                _ = poll.tick() => self.reload(false),
+                changed = reloads.changed() => match changed {
+                    Ok(()) => self.reload(true),
                     Err(_) => return,
                 },
             }
         }
     }
 
-    /// Settings that can't be used leave those in force as they are, whole.
-    fn look(&mut self, asked: bool) {
+    /// Reads the file and applies its settings if the content has changed. Invalid settings are rejected as a whole,
+    /// and the settings in force stay.
+    ///
+    /// With `on_signal`, an unreadable or unchanged file is logged too.
+    fn reload(&mut self, on_signal: bool) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
-            Err(e) if asked => {
-                return error!(self.log, "settings can't be read"; "reason" => e.to_string());
+            Err(e) if on_signal => {
+                return error!(self.log, "cannot read settings file"; "reason" => e.to_string());
             }
-            // The file may be between two versions; the next look finds it.
+            // The file may be missing while it is replaced; the next poll reads the new version.
             Err(_) => return,
         };
         if text == self.text {
-            if asked {
+            if on_signal {
                 info!(self.log, "settings reloaded"; "changed" => false);
             }
             return;
@@ -58,10 +61,10 @@
         match MeshSettings::parse(&text) {
             Ok((settings, warnings)) => {
                 for fault in warnings {
-                    warn!(self.log, "setting replaced by its default"; "fault" => fault.to_string());
+                    warn!(self.log, "invalid setting, using its default"; "fault" => fault.to_string());
                 }
-                let later = self.tx.borrow().at_next_start(&settings).join(" ");
-                info!(self.log, "settings reloaded"; "changed" => true, "at_next_start" => later);
+                let deferred = self.tx.borrow().at_next_start(&settings).join(" ");
+                info!(self.log, "settings reloaded"; "changed" => true, "at_next_start" => deferred);
                 self.tx.send_replace(settings);
             }
             Err(faults) => {
