--- a/crates/node/src/mesh/ready.rs
+++ b/crates/node/src/mesh/ready.rs
@@ -1,4 +1,4 @@
-//! The readiness check and metrics, over HTTP.
+//! HTTP server for the readiness check and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,48 +17,48 @@
 use crate::mesh::controller::ControllerHandle;
 use crate::mesh::metrics::MeshMetrics;
 
-/// Path of the metrics.
+/// Path at which metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// What is needed to answer; cheap to clone.
+/// State shared by the request handlers; cheap to clone.
 #[derive(Clone)]
-pub struct Ready {
-    /// Knows whether there is a configuration.
+pub struct StatusServer {
+    /// Controller, which reports whether the node is ready.
     pub controller: ControllerHandle,
-    /// Where the check stands.
+    /// HTTP dialect, which defines the path of the readiness check.
     pub dialect: Arc<Dialect>,
-    /// Counters.
+    /// Metrics to serve.
     pub metrics: MeshMetrics,
-    /// Turns true when the node is about to stop.
+    /// Set to true when the node starts to shut down; the readiness check fails from then on.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Answers for as long as the process lives.
-pub async fn serve(listener: TcpListener, ready: Ready) {
+/// Accepts connections until the process exits.
+pub async fn serve(listener: TcpListener, server: StatusServer) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve_connection(stream, ready.clone()));
+            tokio::spawn(serve_connection(stream, server.clone()));
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, ready: Ready) {
+async fn serve_connection(stream: TcpStream, server: StatusServer) {
     let service = service_fn(move |req| {
-        let ready = ready.clone();
-        async move { Ok::<_, Infallible>(ready.answer(&req).await) }
+        let server = server.clone();
+        async move { Ok::<_, Infallible>(server.respond(&req).await) }
     });
-    // A fault ends this connection; whoever asked asks again.
+    // An error closes only this connection; the client can retry.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-impl Ready {
-    async fn answer(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+impl StatusServer {
+    async fn respond(&self, req: &Request<Incoming>) -> Response<Full<Bytes>> {
         let path = req.uri().path();
         let (status, body) = match path {
             METRICS_PATH => (StatusCode::OK, Bytes::from(self.metrics.text())),
-            path if path == self.dialect.ready_path => (self.status().await, Bytes::new()),
+            path if path == self.dialect.ready_path => (self.readiness().await, Bytes::new()),
             _ => (StatusCode::NOT_FOUND, Bytes::new()),
         };
         let mut res = Response::new(Full::new(body));
@@ -66,7 +66,7 @@
         res
     }
 
-    async fn status(&self) -> StatusCode {
+    async fn readiness(&self) -> StatusCode {
         match !*self.stopping.borrow() && self.controller.is_ready().await {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/node/src/mesh/run.rs
+++ b/crates/node/src/mesh/run.rs
@@ -30,7 +30,7 @@
 use super::metrics::MeshMetrics;
 use super::news::{Board, News, Sharing};
 use super::quotas::QuotaSender;
-use super::ready::{self, Ready};
+use super::ready::{self, StatusServer};
 use super::settings::{MeshSettings, PublisherKind};
 use super::settings_file::SettingsFile;
 use super::target::TargetPool;
@@ -122,7 +122,7 @@
         stopping: stopping.clone(),
         open_requests: Arc::clone(&open),
     };
-    let ready = Ready {
+    let status_server = StatusServer {
         controller: controller.clone(),
         dialect,
         metrics: metrics.clone(),
@@ -171,9 +171,12 @@
     tokio::spawn(quota_sender.run(quota_messages));
     tokio::spawn(findings_exchange.run(findings));
     tokio::spawn(news.run());
-    tokio::spawn(ready::serve(ready_listener, ready.clone()));
+    tokio::spawn(ready::serve(ready_listener, status_server.clone()));
     if let Some(address) = settings.node.metrics {
-        tokio::spawn(ready::serve(TcpListener::bind(address).await?, ready));
+        tokio::spawn(ready::serve(
+            TcpListener::bind(address).await?,
+            status_server,
+        ));
     }
     tokio::spawn(callers::listen(callers_listener, callers_config));
     tokio::spawn(prune_idle_connections(host.pool.clone()));
