--- a/crates/node/src/mesh/boot_clock.rs
+++ b/crates/node/src/mesh/boot_clock.rs
@@ -1,4 +1,4 @@
-//! A clock that counts the time in which the machine was suspended.
+//! Monotonic clock that includes the time in which the machine was suspended.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -6,30 +6,31 @@
 
 use crate::clock::Clock;
 
-/// Monotonic time that goes on while the machine is suspended.
+/// Monotonic clock that keeps running while the machine is suspended, based on `CLOCK_BOOTTIME`.
 ///
-/// After a suspension the system's steady clock says that no time has passed. A host would then run requests whose callers
-/// left long ago, seen as work for nobody and as repeats of what another host has run meanwhile. Time since boot includes
-/// the suspension, so their deadlines are over.
+/// `CLOCK_MONOTONIC` stops during a suspension. After it, a host would run requests whose callers have disconnected
+/// long ago; this caused wasted work, and duplicates of requests that another host had run in the meantime. With the
+/// time since boot, which includes the suspension, the deadlines of these requests have expired.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     base: Instant,
-    boot: Duration,
+    /// Time since boot at `base`.
+    base_uptime: Duration,
 }
 
 impl BootClock {
-    /// A clock that agrees with the steady clock now.
+    /// Creates a clock that currently agrees with [`Instant::now`].
     pub fn start() -> Self {
         Self {
             base: Instant::now(),
-            boot: since_boot(),
+            base_uptime: time_since_boot(),
         }
     }
 }
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        self.base + since_boot().saturating_sub(self.boot)
+        self.base + time_since_boot().saturating_sub(self.base_uptime)
     }
 
     fn wall(&self) -> SystemTime {
@@ -37,7 +38,7 @@
     }
 }
 
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
     let seconds = Duration::from_secs(u64::try_from(tv_sec).unwrap_or(0));
     seconds + Duration::from_nanos(u64::try_from(tv_nsec).unwrap_or(0))
