--- a/crates/node/src/mesh.rs
+++ b/crates/node/src/mesh.rs
@@ -1,4 +1,4 @@
-//! A node that routes requests of a service mesh by host and path, beside one target.
+//! Mesh node: a sidecar of one target that routes requests of a service mesh by host and path.
 
 pub mod boot_clock;
 mod call;
