--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -33,7 +33,8 @@
         for (workspace, tally) in self.entry_quotas.take_tallies() {
             for basis in QuotaBasis::ALL {
                 let (admitted, refused) = (tally.admitted(basis), tally.refused(basis));
-                self.metrics.quota_decided(basis, admitted, refused);
+                self.metrics
+                    .record_quota_decisions(basis, admitted, refused);
             }
             if tally.total_refused() > 0 || tally.admitted(QuotaBasis::Alone) > 0 {
                 limited.push((workspace.clone(), tally));
--- a/crates/node/src/mesh/journal.rs
+++ b/crates/node/src/mesh/journal.rs
@@ -196,7 +196,7 @@
     /// Logs and counts a request that was answered.
     pub fn request_answered(&self, summary: RequestSummary<'_>) {
         self.metrics
-            .ended(summary.status, summary.refusal, summary.elapsed);
+            .record_answer(summary.status, summary.refusal, summary.elapsed);
         let is_success = summary.status < 500 && summary.refusal.is_empty();
         let allowed = if is_success {
             self.admit_success_line()
--- a/crates/node/src/mesh/metrics.rs
+++ b/crates/node/src/mesh/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a mesh node.
+//! Prometheus metrics of a mesh node.
 
 use std::time::Duration;
 
@@ -9,59 +9,61 @@
     Registry, TextEncoder,
 };
 
-/// Upper ends of the latency histogram's buckets, in seconds.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0,
 ];
 
-/// All counters; cheap to clone.
+/// All metrics of a node; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct MeshMetrics {
     registry: Registry,
-    /// Answers to callers, by status and by the reason of the node's own answers.
+    /// Responses to callers, by status and, if the node itself refused the request, by reason.
     answers: IntCounterVec,
+    /// Time from the arrival of a request to its response.
     latency: Histogram,
-    repeats: IntCounterVec,
-    /// Decisions about quotas of workspaces, by what they went by and by outcome.
+    /// Failed requests, by retry decision.
+    retries: IntCounterVec,
+    /// Decisions about workspace quotas, by basis and outcome.
     quota_decisions: IntCounterVec,
-    /// Requests recognised as calls of a run at the own target.
+    /// Requests identified as calls made by a request that is running on the local target.
     pub inner: IntCounter,
-    /// Requests that were at work at the own target when its process ended unplanned.
+    /// Requests that were running on the local target when its process crashed.
     pub ended_by_crash: IntCounter,
-    /// Unplanned ends of the own target's process.
+    /// Crashes of the local target's process.
     pub target_crashes: IntCounter,
-    /// Requests that waited until no other suspect of crashes was at work.
+    /// Requests that waited until no other request suspected of crashing targets was running.
     pub isolated: IntCounter,
-    /// Requests that are suspected of crashing targets.
+    /// Number of requests currently suspected of crashing targets.
     pub suspects: IntGauge,
-    /// Log lines above their rate.
+    /// Log lines dropped by the rate limit.
     pub lines_dropped: IntCounter,
-    /// Published configurations that could not be used.
+    /// Published configurations that were rejected.
     pub config_faults: IntCounter,
-    /// Published entries that name no instance, by reason.
+    /// Published entries that do not describe a valid instance, by reason.
     entry_faults: IntCounterVec,
-    /// Reads of the publisher, by outcome.
+    /// Requests to the publisher, by outcome.
     pub reads: IntCounterVec,
-    /// Level of overload at the own target.
+    /// Overload level of the local target.
     pub level: Gauge,
-    /// Requests running at the own target.
+    /// Requests running on the local target.
     pub running: IntGauge,
-    /// Requests waiting for the own target.
+    /// Requests queued for the local target.
     pub waiting: IntGauge,
-    /// Instances known.
+    /// Number of known instances.
     pub instances: IntGauge,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// Age of the publisher's last answer in milliseconds.
+    /// Age of the publisher's last response, in milliseconds.
     pub publisher_age_ms: IntGauge,
 }
 
 impl MeshMetrics {
-    /// Registers all counters.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// Two have the same name, which a test excludes.
+    /// Returns an error if two metrics have the same name, which a test rules out.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let gauge = |name: &str, help: &str| -> Result<IntGauge, Error> {
@@ -74,11 +76,12 @@
             registry.register(Box::new(counter.clone()))?;
             Ok(counter)
         };
-        let counters = |name: &str, help: &str, labels: &[&str]| -> Result<IntCounterVec, Error> {
-            let counters = IntCounterVec::new(opts(name, help), labels)?;
-            registry.register(Box::new(counters.clone()))?;
-            Ok(counters)
-        };
+        let counter_vec =
+            |name: &str, help: &str, labels: &[&str]| -> Result<IntCounterVec, Error> {
+                let counter = IntCounterVec::new(opts(name, help), labels)?;
+                registry.register(Box::new(counter.clone()))?;
+                Ok(counter)
+            };
         let level = Gauge::with_opts(opts("level", "level of overload at the own target"))?;
         registry.register(Box::new(level.clone()))?;
         let latency = HistogramOpts::new("answer_seconds", "time from a request to its answer")
@@ -87,14 +90,14 @@
         let latency = Histogram::with_opts(latency)?;
         registry.register(Box::new(latency.clone()))?;
         Ok(Self {
-            answers: counters(
+            answers: counter_vec(
                 "answers_total",
                 "answers to callers",
                 &["status", "refusal"],
             )?,
             latency,
-            repeats: counters("repeats_total", "requests that failed", &["decision"])?,
-            quota_decisions: counters(
+            retries: counter_vec("repeats_total", "requests that failed", &["decision"])?,
+            quota_decisions: counter_vec(
                 "quota_decisions_total",
                 "requests counted towards the quota of a workspace",
                 &["basis", "outcome"],
@@ -112,12 +115,12 @@
             suspects: gauge("suspects", "requests suspected of crashing targets")?,
             lines_dropped: counter("log_lines_dropped_total", "log lines above their rate")?,
             config_faults: counter("config_faults_total", "published configurations not usable")?,
-            entry_faults: counters(
+            entry_faults: counter_vec(
                 "entry_faults_total",
                 "published entries that name no instance",
                 &["reason"],
             )?,
-            reads: counters(
+            reads: counter_vec(
                 "publisher_reads_total",
                 "reads of the publisher",
                 &["outcome"],
@@ -132,21 +135,21 @@
         })
     }
 
-    /// A caller got its answer.
-    pub fn ended(&self, status: u16, refusal: &str, took: Duration) {
+    /// Records a response to a caller and its latency.
+    pub fn record_answer(&self, status: u16, refusal: &str, latency: Duration) {
         self.answers
             .with_label_values(&[status.to_string().as_str(), refusal])
             .inc();
-        self.latency.observe(took.as_secs_f64());
+        self.latency.observe(latency.as_secs_f64());
     }
 
-    /// A failed request was or was not sent again.
+    /// Records the retry decision for a failed request.
     pub fn repeat(&self, decision: &str) {
-        self.repeats.with_label_values(&[decision]).inc();
+        self.retries.with_label_values(&[decision]).inc();
     }
 
-    /// Requests were admitted or refused by the quotas of their workspaces.
-    pub fn quota_decided(&self, basis: QuotaBasis, admitted: u32, refused: u32) {
+    /// Records requests that were admitted or refused by the quotas of their workspaces.
+    pub fn record_quota_decisions(&self, basis: QuotaBasis, admitted: u32, refused: u32) {
         for (outcome, requests) in [("admitted", admitted), ("refused", refused)] {
             if requests > 0 {
                 self.quota_decisions
@@ -156,17 +159,17 @@
         }
     }
 
-    /// An entry has turned into one that names no instance.
+    /// Records that a published entry has become invalid.
     pub fn entry_fault(&self, fault: EntryFault) {
         self.entry_faults.with_label_values(&[fault.as_str()]).inc();
     }
 
-    /// The publisher was read.
+    /// Records a request to the publisher.
     pub fn read(&self, outcome: &str) {
         self.reads.with_label_values(&[outcome]).inc();
     }
 
-    /// All counters as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
@@ -176,6 +179,7 @@
     }
 }
 
+/// Prefix of the names of all metrics.
 const NAMESPACE: &str = "coltsfootport_mesh";
 
 fn opts(name: &str, help: &str) -> Opts {
--- a/crates/node/tests/operations_page.rs
+++ b/crates/node/tests/operations_page.rs
@@ -62,7 +62,7 @@
 #[test]
 fn every_metric_of_a_mesh_node_is_on_the_page() {
     let metrics = MeshMetrics::new().unwrap();
-    metrics.ended(503, "shed", std::time::Duration::ZERO);
+    metrics.record_answer(503, "shed", std::time::Duration::ZERO);
     metrics.repeat("sent");
     metrics.read("answered");
     let text = String::from_utf8(metrics.text()).unwrap();
