--- a/crates/node/tests/mesh_settings.rs
+++ b/crates/node/tests/mesh_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a mesh node.
+//! Parsing and reloading of mesh node settings.
 
 use coltsfootport::mesh::MeshSettings;
 use proptest::prelude::*;
@@ -76,16 +76,16 @@
         let faults = match parsed {
             Ok((_, faults)) | Err(faults) => faults,
         };
-        let told = faults
+        let is_reported = faults
             .iter()
             .any(|fault| fault.to_string().contains(case.key));
-        assert!(told, "{}: {faults:?}", case.key);
+        assert!(is_reported, "{}: {faults:?}", case.key);
     }
 }
 
-/// Symptom: an operator changes an address, is told that the settings were reloaded, and the node stays where it was.
-/// Sequence: the file changes while the node runs; what is bound once can't follow.
-/// Cause: the line about the reload did not tell which keys wait for the next start.
+/// Guards against a silent no-op on reload: an operator changed an address in the settings file of a running node. The
+/// log reported that the settings were reloaded, but not which keys take effect only at the next start, and the node
+/// kept its bound address.
 #[test]
 fn keys_that_wait_for_the_next_start_are_named() {
     struct Case {
@@ -125,25 +125,30 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 512,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(3),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
-    /// Settings with bytes that are wrong, missing or there twice are read or refused with at least one fault that tells why.
+    /// Settings with changed, missing or inserted characters are either parsed, or rejected with at least one fault.
     #[test]
     fn damaged_settings_are_read_or_refused_with_a_reason(
-        damages in prop::collection::vec((0..400_usize, 0..20_usize, prop::collection::vec(any::<char>(), 0..4)), 1..4),
+        edits in prop::collection::vec((0..400_usize, 0..20_usize, prop::collection::vec(any::<char>(), 0..4)), 1..4),
     ) {
         let mut text: Vec<char> = MINIMAL.chars().collect();
-        for (at, length, with) in damages {
-            let from = at % text.len();
+        for (position, length, replacement) in edits {
+            let from = position % text.len();
             let to = (from + length).min(text.len());
-            text.splice(from..to, with);
+            text.splice(from..to, replacement);
             if text.is_empty() {
                 return Ok(());
             }
         }
         let text: String = text.into_iter().collect();
         if let Err(faults) = MeshSettings::parse(&text) {
-            prop_assert!(!faults.is_empty(), "refused without a reason: {text}");
+            prop_assert!(!faults.is_empty(), "rejected without a fault: {text}");
         }
     }
 }
