--- a/crates/node/tests/mesh_journal.rs
+++ b/crates/node/tests/mesh_journal.rs
@@ -1,4 +1,4 @@
-//! The volume of a mesh node's lines about requests, and what a log that nobody reads does to the node.
+//! Rate limit of a mesh node's request log, and the behaviour of the node while its log output is blocked.
 
 mod support;
 
@@ -14,16 +14,16 @@
 
 use support::{lines_of, sink};
 
-/// A clock that stands still until it is moved.
-struct HandClock(Mutex<Instant>);
+/// Clock that advances only when told to.
+struct ManualClock(Mutex<Instant>);
 
-impl HandClock {
+impl ManualClock {
     fn advance(&self, by: Duration) {
         *self.0.lock().expect("no panic") += by;
     }
 }
 
-impl Clock for HandClock {
+impl Clock for ManualClock {
     fn now(&self) -> Instant {
         *self.0.lock().expect("no panic")
     }
@@ -33,22 +33,22 @@
     }
 }
 
-/// A reader that takes nothing until it is let go.
+/// Log output that blocks every write until it is released.
 #[derive(Clone, Default)]
-struct Stalled(Arc<(Mutex<bool>, Condvar)>);
+struct BlockedWriter(Arc<(Mutex<bool>, Condvar)>);
 
-impl Stalled {
-    fn let_go(&self) {
+impl BlockedWriter {
+    fn release(&self) {
         *self.0.0.lock().expect("no panic") = true;
         self.0.1.notify_all();
     }
 }
 
-impl Write for Stalled {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut free = self.0.0.lock().expect("no panic");
-        while !*free {
-            free = self.0.1.wait(free).expect("no panic");
+        let mut released = self.0.0.lock().expect("no panic");
+        while !*released {
+            released = self.0.1.wait(released).expect("no panic");
         }
         Ok(bytes.len())
     }
@@ -58,7 +58,7 @@
     }
 }
 
-fn ending(status: u16, refusal: &'static str) -> RequestSummary<'static> {
+fn summary(status: u16, refusal: &'static str) -> RequestSummary<'static> {
     RequestSummary {
         fingerprint: None,
         id: "4f2a",
@@ -75,42 +75,50 @@
     }
 }
 
-fn journal<W>(out: W) -> (Journal, Arc<HandClock>, MeshMetrics, slog_async::AsyncGuard)
+fn journal<W>(
+    out: W,
+) -> (
+    Journal,
+    Arc<ManualClock>,
+    MeshMetrics,
+    slog_async::AsyncGuard,
+)
 where
     W: Write + Send + 'static,
 {
     let (log, guard) = start_json(out, LogLevel::Info, &"n".into(), &"s".into());
-    let clock = Arc::new(HandClock(Mutex::new(Instant::now())));
+    let clock = Arc::new(ManualClock(Mutex::new(Instant::now())));
     let metrics = MeshMetrics::new().expect("names differ");
     let journal = Journal::new(log, clock.clone(), metrics.clone());
     (journal, clock, metrics, guard)
 }
 
-fn dropped(metrics: &MeshMetrics) -> u64 {
+fn dropped_lines(metrics: &MeshMetrics) -> u64 {
     metrics.lines_dropped.get()
 }
 
-/// A line for each of thousands of refusals a second: a node spent more on them than on requests.
+/// Guards against unlimited logging of refusals: with a line for each of thousands per second, a node spent more time
+/// on its log than on requests.
 #[test]
 fn lines_above_the_rate_are_counted_and_told() {
     let (out, rx) = sink();
     let (journal, clock, metrics, guard) = journal(out);
     for _ in 0..1000 {
-        journal.request_answered(ending(503, "shed"));
+        journal.request_answered(summary(503, "shed"));
     }
-    let left_out = dropped(&metrics);
-    assert!((800..1000).contains(&left_out), "{left_out} left out");
-    // Successes have a rate of their own: refusals must not use it up, nor the other way round.
-    journal.request_answered(ending(200, ""));
-    assert_eq!(dropped(&metrics), left_out);
+    let dropped = dropped_lines(&metrics);
+    assert!((800..1000).contains(&dropped), "{dropped} dropped");
+    // Successes and failures have separate rate limits, and neither may use up that of the other.
+    journal.request_answered(summary(200, ""));
+    assert_eq!(dropped_lines(&metrics), dropped);
     clock.advance(Duration::from_secs(1));
-    journal.request_answered(ending(504, "expired"));
+    journal.request_answered(summary(504, "expired"));
     drop((journal, guard));
     let lines = lines_of(rx);
-    assert_eq!(lines.len() as u64, 1000 - left_out + 2);
+    assert_eq!(lines.len() as u64, 1000 - dropped + 2);
     let last = lines.last().expect("a line");
-    assert_eq!(last["dropped"], left_out);
-    let told = [
+    assert_eq!(last["dropped"], dropped);
+    let expected = [
         ("request", Value::from("4f2a")),
         ("instance", "i-1".into()),
         ("status", 504.into()),
@@ -120,26 +128,27 @@
         ("limit_ms", 600.into()),
         ("config", 7.into()),
     ];
-    for (field, value) in told {
+    for (field, value) in expected {
         assert_eq!(last[field], value, "{field}");
     }
 }
 
-/// A full pipe behind standard output: tasks that serve requests waited for room in it.
+/// Guards against logging that blocks: while the pipe behind standard output was full, the tasks that serve requests
+/// waited for it.
 #[test]
 fn a_log_that_nobody_reads_blocks_no_request() {
-    let out = Stalled::default();
+    let out = BlockedWriter::default();
     let (journal, clock, metrics, guard) = journal(out.clone());
-    // More than the queue of lines holds, at the rate at which they may come.
+    // More lines pass the rate limit than the log queue holds.
     for _ in 0..200 {
         clock.advance(Duration::from_secs(1));
         for _ in 0..60 {
-            journal.request_answered(ending(503, "shed"));
+            journal.request_answered(summary(503, "shed"));
         }
     }
-    // The guard waits for the writer, so the reader must be let go before anything is checked.
-    out.let_go();
+    // Dropping the guard waits for the writer, so the output must be released before any assertion can fail.
+    out.release();
     drop((journal, guard));
-    let left_out = dropped(&metrics);
-    assert!(left_out > 200 * 15, "{left_out} left out");
+    let dropped = dropped_lines(&metrics);
+    assert!(dropped > 200 * 15, "{dropped} dropped");
 }
