--- a/crates/node/src/mesh.rs
+++ b/crates/node/src/mesh.rs
@@ -1,4 +1,4 @@
-//! A node that routes requests of a service mesh by host and path, beside one target.
+//! Mesh node: a sidecar of one target that routes requests of a service mesh by host and path.
 
 pub mod boot_clock;
 mod call;
@@ -25,5 +25,5 @@
 pub use policy::PolicySettings;
 pub use run::{MeshError, run};
 pub use settings::{
-    FeedSettings, LoadSettings, MeshNodeSettings, MeshSettings, PublisherKind, RepeatSettings,
+    LoadSettings, MeshNodeSettings, MeshSettings, PublisherKind, PublisherSettings, RetrySettings,
 };
--- a/crates/node/src/mesh/feed/publisher_reader.rs
+++ b/crates/node/src/mesh/feed/publisher_reader.rs
@@ -22,7 +22,7 @@
 use super::source::{Changes, Source, SourceEvent, SourceUpdate};
 use crate::clock::SharedClock;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::settings::FeedSettings;
+use crate::mesh::settings::PublisherSettings;
 
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE: usize = 64 * 1024 * 1024;
@@ -102,7 +102,7 @@
 /// Reads the publisher and forwards its updates.
 pub struct PublisherReader {
     /// Address, timeouts and watch duration.
-    pub cfg: FeedSettings,
+    pub cfg: PublisherSettings,
     /// Builds the requests and decodes the responses.
     pub publisher: Arc<dyn Publisher>,
     /// Current maximum backoff after a failure.
--- a/crates/node/src/mesh/feed/task.rs
+++ b/crates/node/src/mesh/feed/task.rs
@@ -20,7 +20,7 @@
 use crate::mesh::controller::{ControllerEvent, ControllerHandle};
 use crate::mesh::link::PeerPool;
 use crate::mesh::metrics::MeshMetrics;
-use crate::mesh::settings::FeedSettings;
+use crate::mesh::settings::PublisherSettings;
 
 /// Interval between reviews of which nodes should read the publisher.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
@@ -28,7 +28,7 @@
 /// Task that keeps the node up to date with the publisher.
 pub struct FeedTask {
     /// Address of the publisher and selection of its readers.
-    pub cfg: FeedSettings,
+    pub cfg: PublisherSettings,
     /// Builds the requests and decodes the responses.
     pub publisher: Arc<dyn Publisher>,
     /// Receives the updates.
