--- a/crates/core/src/once/identity.rs
+++ b/crates/core/src/once/identity.rs
@@ -48,7 +48,7 @@
     ///
     /// A call with a token never moves: its caller could repeat the token at the first home, which says "not run" of a
     /// call that ran at the second.
-    pub fn may_move(self) -> bool {
+    pub fn may_reroute(self) -> bool {
         self == Self::None
     }
 }
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -153,9 +153,9 @@
 // Cause: a call whose identity the caller holds ran where its token doesn't lead.
 #[test]
 fn a_token_runs_at_no_second_home() {
-    assert!(Identity::None.may_move());
-    assert!(!Identity::FirstTry.may_move());
-    assert!(!Identity::Repeat.may_move());
+    assert!(Identity::None.may_reroute());
+    assert!(!Identity::FirstTry.may_reroute());
+    assert!(!Identity::Repeat.may_reroute());
 
     let mut second = Home::new(cfg(), 2);
     assert_eq!(second.arrive(&token(1), 1), refused(HomeLost));
