--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -6,7 +6,6 @@
 mod answer_size;
 mod arrival;
 mod config;
-mod floors;
 mod identity;
 mod key_ring;
 mod minter;
@@ -17,6 +16,7 @@
 mod tick;
 mod token;
 mod try_number;
+mod watermarks;
 mod wire;
 
 pub use answer_size::AnswerSize;
--- a/crates/core/src/once/config.rs
+++ b/crates/core/src/once/config.rs
@@ -14,7 +14,7 @@
     /// refuse some unused tokens along with them.
     pub burn_capacity: usize,
     /// Number of floors; more floors refuse fewer unused tokens. Each takes 8 bytes.
-    pub floors: usize,
+    pub watermarks: usize,
     /// Age from which a token is refused, by the home's clock.
     pub retention: Duration,
     /// Time for which a record is kept beyond its token's retention.
@@ -30,7 +30,7 @@
         Self {
             capacity: 65_536,
             burn_capacity: 32_768,
-            floors: 4_096,
+            watermarks: 4_096,
             retention: Duration::from_secs(60),
             record_margin: Duration::from_secs(5),
             answer_bytes: 8 * 1024 * 1024,
--- a/crates/core/src/once/table.rs
+++ b/crates/core/src/once/table.rs
@@ -7,7 +7,7 @@
 use crate::error_kind::ErrorKind;
 use crate::id::Incarnation;
 use crate::invariant::Invariant;
-use crate::once::floors::Floors;
+use crate::once::watermarks::Watermarks;
 use crate::once::record::{Record, State};
 use crate::once::records::Records;
 use crate::once::{AnswerSize, Arrival, OnceConfig, RecordKey, Refusal, Tick, Token, Try};
@@ -30,7 +30,7 @@
     /// The latest time that the table acted on.
     latest: Tick,
     records: Records<A>,
-    floors: Floors,
+    watermarks: Watermarks,
     breach: Option<Invariant>,
 }
 
@@ -40,14 +40,14 @@
 {
     /// The empty table of an incarnation that starts now.
     pub fn new(cfg: OnceConfig, incarnation: Incarnation, started: Instant) -> Self {
-        let floors = Floors::new(cfg.floors);
+        let watermarks = Watermarks::new(cfg.watermarks);
         Self {
             cfg,
             incarnation,
             started,
             latest: Tick(0),
             records: Records::new(),
-            floors,
+            watermarks,
             breach: None,
         }
     }
@@ -78,7 +78,7 @@
         if let Some(key) = self.records.key_of(token.id) {
             return self.arrive_again(key, number);
         }
-        if self.floors.refuses(token) {
+        if self.watermarks.refuses(token) {
             return Arrival::Refused(ErrorKind::TokenRefused);
         }
         if !self.has_room() {
@@ -98,7 +98,7 @@
         if self.check(token, tick).is_err() {
             return Refusal::Unknown;
         }
-        if !self.floors.refuses(token) {
+        if !self.watermarks.refuses(token) {
             self.record_burn(token, up_to);
         }
         Refusal::RefusedForGood
@@ -207,7 +207,7 @@
             self.records.insert(Record::burned(token, up_to));
             return;
         }
-        self.floors.raise(token.id, token.tick);
+        self.watermarks.raise(token.id, token.tick);
     }
 
     fn has_room(&self) -> bool {
--- a/crates/core/src/once/table/life.rs
+++ b/crates/core/src/once/table/life.rs
@@ -97,7 +97,7 @@
             return;
         }
         if let Some(record) = self.records.remove(key) {
-            self.floors.raise(record.id, record.tick);
+            self.watermarks.raise(record.id, record.tick);
         }
     }
 
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -69,7 +69,7 @@
     OnceConfig {
         capacity: 1,
         burn_capacity,
-        floors: 1,
+        watermarks: 1,
         ..cfg()
     }
 }
--- a/crates/core/tests/once_model.rs
+++ b/crates/core/tests/once_model.rs
@@ -478,7 +478,7 @@
     OnceConfig {
         capacity: 3,
         burn_capacity: 2,
-        floors: 2,
+        watermarks: 2,
         answer_bytes: 80,
         ..roomy()
     }
