--- a/crates/core/src/once/config.rs
+++ b/crates/core/src/once/config.rs
@@ -1,27 +1,27 @@
-//! Settings of the table of a home.
+//! Configuration of the token table of a home.
 
 use std::time::Duration;
 
-/// Bounds of a home's table in records, bytes and time.
+/// Limits of the token table in records, bytes and time.
 ///
-/// A home takes `capacity / (retention + record_margin)` new tokens a second for as long as the load lasts; with the
-/// defaults about 1,000.
+/// A home accepts a sustained rate of `capacity / (retention + record_margin)` new tokens per second, about 1,000 with
+/// the defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnceConfig {
-    /// Most tokens whose call waits, runs or ran; at this number new tokens are refused.
+    /// Maximum number of tokens whose call is waiting, running or has run. New tokens are refused at this limit.
     pub capacity: usize,
-    /// Most tokens kept only because tries of them were refused. Beyond it refused tokens go into the floors, which
-    /// refuse some unused tokens along with them.
-    pub burn_capacity: usize,
-    /// Number of floors; more floors refuse fewer unused tokens. Each takes 8 bytes.
+    /// Maximum number of records that only store a refusal. Further refusals raise a watermark, which also refuses
+    /// some unused tokens.
+    pub refusal_capacity: usize,
+    /// Number of refusal watermarks, 8 bytes each. More watermarks refuse fewer unused tokens.
     pub watermarks: usize,
-    /// Age from which a token is refused, by the home's clock.
+    /// Maximum age of a token by the home's clock; older tokens are refused.
     pub retention: Duration,
-    /// Time for which a record is kept beyond its token's retention.
+    /// Additional time for which a record is kept after its token has expired.
     pub record_margin: Duration,
-    /// Most bytes of all kept answers together.
+    /// Maximum total size of all stored answers in bytes.
     pub answer_bytes: usize,
-    /// Largest answer that is kept, in bytes.
+    /// Maximum size of a single stored answer in bytes.
     pub answer_limit: usize,
 }
 
@@ -29,7 +29,7 @@
     fn default() -> Self {
         Self {
             capacity: 65_536,
-            burn_capacity: 32_768,
+            refusal_capacity: 32_768,
             watermarks: 4_096,
             retention: Duration::from_secs(60),
             record_margin: Duration::from_secs(5),
--- a/crates/core/src/once/record.rs
+++ b/crates/core/src/once/record.rs
@@ -1,81 +1,81 @@
-//! What a home keeps of one token.
+//! Record of a token at its home.
 
 use crate::once::{Tick, Token, Try};
 
 slotmap::new_key_type! {
-    /// One call that a home was told to run; a later try that runs anew has another key.
+    /// Key of a call in the table. A higher try that runs after a refusal gets a new key.
     pub struct RecordKey;
 }
 
-/// The state of a token's call.
+/// State of the call of a token.
 #[derive(Clone, Debug)]
 pub(super) enum State<A> {
-    /// Admitted or queued, not yet sent to the target.
+    /// Queued or admitted, but not yet sent to the target.
     Waiting,
-    /// Sent to the target.
+    /// Sent to the target, answer pending.
     Running,
-    /// Ran, with its answer.
+    /// Completed, answer stored.
     Ran(A),
-    /// Ran, and the answer was too large to keep.
+    /// Completed, but the answer exceeded a size limit and was not stored.
     AnswerGone,
-    /// Sent to the target, whose answer was lost.
+    /// Sent to the target, but the answer was lost.
     Lost,
-    /// Never sent to the target; kept because tries were refused.
-    Burned,
+    /// Never sent to the target; the record only stores the refused tries.
+    Refused,
 }
 
-/// The record of a token.
+/// Record of a token.
 #[derive(Clone, Debug)]
 pub(super) struct Record<A> {
     pub(super) id: u128,
     pub(super) tick: Tick,
-    /// The highest try that arrived.
-    pub(super) seen: Try,
-    /// The highest try that was refused for good; it and all below never run.
-    pub(super) burned: Try,
+    /// Highest try that arrived.
+    pub(super) highest_try: Try,
+    /// Highest permanently refused try; this try and all lower ones never run.
+    pub(super) refused_up_to: Try,
     pub(super) state: State<A>,
 }
 
 impl<A> Record<A> {
-    /// The record of a call that waits for its dispatch.
+    /// Creates the record of a call that waits for dispatch.
     pub(super) fn waiting(token: &Token, number: Try) -> Self {
         Self {
             id: token.id,
             tick: token.tick,
-            seen: number,
-            burned: Try::NONE,
+            highest_try: number,
+            refused_up_to: Try::NONE,
             state: State::Waiting,
         }
     }
 
-    /// The record of a token none of whose tries up to `up_to` may run.
-    pub(super) fn burned(token: &Token, up_to: Try) -> Self {
+    /// Creates the record of a token whose tries up to `up_to` are refused.
+    pub(super) fn refused(token: &Token, up_to: Try) -> Self {
         Self {
             id: token.id,
             tick: token.tick,
-            seen: Try::NONE,
-            burned: up_to,
-            state: State::Burned,
+            highest_try: Try::NONE,
+            refused_up_to: up_to,
+            state: State::Refused,
         }
     }
 
-    /// Whether a call waits or runs, so that the record can't be dropped.
+    /// Returns whether the call is waiting or running. Such a record must not be removed.
     pub(super) fn is_live(&self) -> bool {
         matches!(self.state, State::Waiting | State::Running)
     }
 
-    /// Whether the record is kept only because tries were refused.
-    pub(super) fn is_burned(&self) -> bool {
-        matches!(self.state, State::Burned)
+    /// Returns whether the record only stores refused tries.
+    pub(super) fn is_refusal_only(&self) -> bool {
+        matches!(self.state, State::Refused)
     }
 
-    /// Refuses all tries up to `up_to`.
-    pub(super) fn burn(&mut self, up_to: Try) {
-        self.burned = self.burned.max(up_to);
+    /// Permanently refuses all tries up to `up_to`.
+    pub(super) fn refuse_up_to(&mut self, up_to: Try) {
+        self.refused_up_to = self.refused_up_to.max(up_to);
     }
 
-    /// Whether every try that arrived was refused, so that nothing is left to dispatch.
-    pub(super) fn is_refused(&self) -> bool {
-        self.seen <= self.burned
+    /// Returns whether every try that arrived was refused, so that nothing is left to dispatch.
+    pub(super) fn all_tries_refused(&self) -> bool {
+        self.highest_try <= self.refused_up_to
     }
 }
--- a/crates/core/src/once/table.rs
+++ b/crates/core/src/once/table.rs
@@ -1,33 +1,33 @@
-//! The table of a home: which tokens run, ran or never will.
+//! Token table of a home: tracks which tokens are running, have run or were refused.
 
-mod life;
+mod lifecycle;
 
 use std::time::Instant;
 
 use crate::error_kind::ErrorKind;
 use crate::id::Incarnation;
 use crate::invariant::Invariant;
-use crate::once::watermarks::Watermarks;
 use crate::once::record::{Record, State};
 use crate::once::records::Records;
+use crate::once::watermarks::Watermarks;
 use crate::once::{AnswerSize, Arrival, OnceConfig, RecordKey, Refusal, Tick, Token, Try};
 
-/// Most records that an arrival drops on its way, more than it adds.
+/// Maximum number of expired records that an arrival removes. Larger than the one record that it may add.
 ///
-/// Under load nobody may find the time to call `expire`. Expired records would then pile up to the capacity, and be
-/// dropped in one long pause.
-const DROPPED_PER_ARRIVAL: usize = 4;
+/// Under load, `expire` may not be called for a long time. Without removal on arrival, expired records would accumulate
+/// up to the capacity and then be removed in one long pause.
+const MAX_EXPIRED_PER_ARRIVAL: usize = 4;
 
-/// Decides at a home which call of a token goes to the target, at most one for each token.
+/// Decides which call of a token is sent to the target, at most one per token.
 ///
-/// Every call that bears a token goes through [`arrive`](Self::arrive) before any other check of the home may refuse
-/// it, because only what the table has recorded stays refused.
+/// Every call that carries a token must pass [`arrive`](Self::arrive) before any other check of the home refuses it,
+/// because only refusals that the table has recorded are permanent.
 #[derive(Clone, Debug)]
 pub struct OnceTable<A> {
     cfg: OnceConfig,
     incarnation: Incarnation,
     started: Instant,
-    /// The latest time that the table acted on.
+    /// Latest time seen by the table.
     latest: Tick,
     records: Records<A>,
     watermarks: Watermarks,
@@ -38,7 +38,7 @@
 where
     A: Clone + AnswerSize,
 {
-    /// The empty table of an incarnation that starts now.
+    /// Creates the empty table of an incarnation that starts at `started`.
     pub fn new(cfg: OnceConfig, incarnation: Incarnation, started: Instant) -> Self {
         let watermarks = Watermarks::new(cfg.watermarks);
         Self {
@@ -52,27 +52,27 @@
         }
     }
 
-    /// The incarnation whose tokens run here.
+    /// Returns the incarnation whose tokens this table accepts.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The home's time at `now`, to be told to other nodes on every message; it never goes back.
+    /// Returns the home's time at `now`, which is sent to other nodes with every message. It never goes backwards.
     ///
-    /// A task may take the time, sleep, and hand it in after another task has expired records by a later time. By its
-    /// old time a token whose record is gone would look young, and its call would run a second time. A token minted
-    /// from a time that was told before would look forged.
+    /// A task may read the clock, be suspended, and pass the old time after another task has expired records by a later
+    /// time. Judged by the old time, a token whose record was removed would still be valid and its call would run a
+    /// second time, and a token minted from a time reported since then would be rejected as coming from the future.
     pub fn tick(&mut self, now: Instant) -> Tick {
         self.latest = Tick::at(self.started, now).max(self.latest);
         self.latest
     }
 
-    /// Takes in a call that bears `token`.
+    /// Handles an incoming call that carries `token`.
     pub fn arrive(&mut self, token: &Token, number: Try, now: Instant) -> Arrival<A> {
         let tick = self.tick(now);
         let number = number.max(Try::FIRST);
-        self.drop_due(DROPPED_PER_ARRIVAL);
-        if let Err(kind) = self.check(token, tick) {
+        self.remove_expired(MAX_EXPIRED_PER_ARRIVAL);
+        if let Err(kind) = self.validate(token, tick) {
             return Arrival::Refused(kind);
         }
         if let Some(key) = self.records.key_of(token.id) {
@@ -81,64 +81,66 @@
         if self.watermarks.refuses(token) {
             return Arrival::Refused(ErrorKind::TokenRefused);
         }
-        if !self.has_room() {
-            self.record_burn(token, number);
+        if !self.has_capacity() {
+            self.record_refusal(token, number);
             return Arrival::Refused(ErrorKind::TableFull);
         }
         Arrival::Run(self.records.insert(Record::waiting(token, number)))
     }
 
-    /// Refuses all tries up to `up_to` for good, for an entry that lost contact, unless the call has run.
+    /// Permanently refuses all tries up to `up_to` unless the call was sent to the target.
+    ///
+    /// Requested by an entry that lost contact with the home.
     pub fn refuse(&mut self, token: &Token, up_to: Try, now: Instant) -> Refusal<A> {
         let tick = self.tick(now);
         let up_to = up_to.max(Try::FIRST);
         if let Some(key) = self.records.key_of(token.id) {
             return self.refuse_recorded(key, up_to);
         }
-        if self.check(token, tick).is_err() {
+        if self.validate(token, tick).is_err() {
             return Refusal::Unknown;
         }
         if !self.watermarks.refuses(token) {
-            self.record_burn(token, up_to);
+            self.record_refusal(token, up_to);
         }
         Refusal::RefusedForGood
     }
 
-    /// Whether a call of the token waits or runs, so that a further try would join it.
+    /// Returns whether a call of the token is waiting or running, so that another try would join it.
     ///
-    /// A node which is leaving lets such a try [`arrive`](Self::arrive), as it adds no work, and refuses all others.
+    /// A node that is leaving lets such a try [`arrive`](Self::arrive), as it adds no work, and refuses all others.
     pub fn is_live(&self, token: &Token) -> bool {
         let key = self.records.key_of(token.id);
         key.is_some_and(|key| self.records.is_live(key))
     }
 
-    /// Drops the records whose tokens have expired, except those whose call waits or runs.
+    /// Removes all expired records, except those whose call is waiting or running.
     pub fn expire(&mut self, now: Instant) {
         self.tick(now);
-        self.drop_due(usize::MAX);
+        self.remove_expired(usize::MAX);
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether the table contains no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Size of all kept answers in bytes.
+    /// Returns the total size of all stored answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.records.answer_bytes()
     }
 
-    /// The invariant that was broken since this was last asked.
+    /// Returns and clears the last invariant that was violated since the previous call.
     pub fn take_breach(&mut self) -> Option<Invariant> {
         self.breach.take()
     }
 
-    fn check(&self, token: &Token, tick: Tick) -> Result<(), ErrorKind> {
+    fn validate(&self, token: &Token, tick: Tick) -> Result<(), ErrorKind> {
         if token.incarnation != self.incarnation {
             return Err(ErrorKind::HomeLost);
         }
@@ -161,26 +163,28 @@
             State::AnswerGone => Arrival::Refused(ErrorKind::AnswerGone),
             State::Lost => Arrival::Refused(ErrorKind::AnswerLost),
             State::Waiting => {
-                record.seen = record.seen.max(number);
-                if record.is_refused() {
+                record.highest_try = record.highest_try.max(number);
+                if record.all_tries_refused() {
                     return Arrival::Refused(ErrorKind::TokenRefused);
                 }
                 Arrival::Join(key)
             }
-            State::Burned if number <= record.burned => Arrival::Refused(ErrorKind::TokenRefused),
-            State::Burned => self.run_higher(key, number),
+            State::Refused if number <= record.refused_up_to => {
+                Arrival::Refused(ErrorKind::TokenRefused)
+            }
+            State::Refused => self.run_higher_try(key, number),
         }
     }
 
-    /// Runs a try above the refused ones.
-    fn run_higher(&mut self, key: RecordKey, number: Try) -> Arrival<A> {
-        if self.has_room()
-            && let Some(key) = self.records.revive(key, number)
+    /// Runs a try that is higher than all refused ones.
+    fn run_higher_try(&mut self, key: RecordKey, number: Try) -> Arrival<A> {
+        if self.has_capacity()
+            && let Some(key) = self.records.reopen(key, number)
         {
             return Arrival::Run(key);
         }
         if let Some(record) = self.records.get_mut(key) {
-            record.burn(number);
+            record.refuse_up_to(number);
         }
         Arrival::Refused(ErrorKind::TableFull)
     }
@@ -194,30 +198,30 @@
             State::Ran(answer) => Refusal::Ran(answer.clone()),
             State::AnswerGone => Refusal::AnswerGone,
             State::Lost => Refusal::Unknown,
-            State::Waiting | State::Burned => {
-                record.burn(up_to);
+            State::Waiting | State::Refused => {
+                record.refuse_up_to(up_to);
                 Refusal::RefusedForGood
             }
         }
     }
 
-    /// Refuses tries of a token without a record.
-    fn record_burn(&mut self, token: &Token, up_to: Try) {
-        if self.records.burned() < self.cfg.burn_capacity {
-            self.records.insert(Record::burned(token, up_to));
+    /// Refuses the tries up to `up_to` of a token without a record. Raises a watermark if the table has no room.
+    fn record_refusal(&mut self, token: &Token, up_to: Try) {
+        if self.records.refusal_count() < self.cfg.refusal_capacity {
+            self.records.insert(Record::refused(token, up_to));
             return;
         }
         self.watermarks.raise(token.id, token.tick);
     }
 
-    fn has_room(&self) -> bool {
-        self.records.used() < self.cfg.capacity
+    fn has_capacity(&self) -> bool {
+        self.records.call_count() < self.cfg.capacity
     }
 
-    fn drop_due(&mut self, limit: usize) {
+    fn remove_expired(&mut self, limit: usize) {
         let keep = self.cfg.retention.saturating_add(self.cfg.record_margin);
         let tick = self.latest;
         self.records
-            .remove_due(limit, |minted| tick.since(minted) > keep);
+            .remove_expired(limit, |minted| tick.since(minted) > keep);
     }
 }
--- a/crates/core/src/once/table/life.rs
+++ b/crates/core/src/once/table/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a call at its home, from dispatch to its end.
+//! Lifecycle of a call at its home, from dispatch to completion.
 
 use std::time::Instant;
 
@@ -11,13 +11,13 @@
 where
     A: Clone + AnswerSize,
 {
-    /// Allows the call to go to the target, right before its first byte is written.
+    /// Marks the call as running. Must be called right before its first byte is written to the target.
     ///
-    /// `deadline` is the latest of all callers that wait for the answer. After an error nothing goes to the target, the
-    /// key is closed, and the error is true for every try that arrived.
+    /// `deadline` is the latest deadline of all callers that wait for the answer. After an error nothing may be sent to
+    /// the target, the key is closed, and the error applies to every try that arrived.
     ///
-    /// The check stands here and not at arrival alone because a process may sleep in between: a call that went out
-    /// after its caller was told "not run" would show as a second bid.
+    /// Refusals and the deadline are checked here in addition to arrival, because the process may be suspended in
+    /// between. A call sent after its caller was told "not run" could run twice when the caller retries.
     pub fn dispatch(
         &mut self,
         key: RecordKey,
@@ -30,25 +30,25 @@
         };
         match record.state {
             State::Waiting => {}
-            State::Burned => return Err(ErrorKind::TokenRefused),
+            State::Refused => return Err(ErrorKind::TokenRefused),
             State::Running | State::Ran(_) | State::AnswerGone | State::Lost => {
                 self.breach = Some(Invariant::DispatchedTwice);
                 return Err(ErrorKind::AnswerLost);
             }
         }
-        if record.is_refused() {
-            self.close_as_burned(key);
+        if record.all_tries_refused() {
+            self.close_as_refused(key);
             return Err(ErrorKind::TokenRefused);
         }
         if now >= deadline {
-            self.close_as_burned(key);
+            self.close_as_refused(key);
             return Err(ErrorKind::ExpiredBeforeDispatch);
         }
         record.state = State::Running;
         Ok(())
     }
 
-    /// Takes in the whole answer of a dispatched call.
+    /// Records the complete answer of a dispatched call.
     pub fn answered(&mut self, key: RecordKey, answer: A, now: Instant) {
         self.tick(now);
         let Some(record) = self.records.get_mut(key) else {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in that the answer of a dispatched call will never be whole.
+    /// Records that the answer of a dispatched call was lost or is incomplete.
     pub fn lost(&mut self, key: RecordKey, now: Instant) {
         self.tick(now);
         let Some(record) = self.records.get_mut(key) else {
@@ -74,26 +74,26 @@
         }
     }
 
-    /// Takes in that the call was shed or cancelled before its dispatch.
+    /// Records that the call was shed or cancelled before dispatch.
     ///
-    /// Refuses every try that arrived for good, so that all of their callers may be told "not run". A higher try may
-    /// run. Of a call that was dispatched this is the same as [`lost`](Self::lost).
+    /// Permanently refuses every try that arrived, so that all of their callers can be told "not run". A higher try may
+    /// still run. For a call that was already dispatched this is equivalent to [`lost`](Self::lost).
     pub fn withdrawn(&mut self, key: RecordKey, now: Instant) {
         self.tick(now);
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
         match record.state {
-            State::Waiting => self.close_as_burned(key),
+            State::Waiting => self.close_as_refused(key),
             State::Running => record.state = State::Lost,
-            State::Ran(_) | State::AnswerGone | State::Lost | State::Burned => {}
+            State::Ran(_) | State::AnswerGone | State::Lost | State::Refused => {}
         }
     }
 
-    /// Closes a call that waits; its token goes into the floors if there is no room for one more burned record.
-    fn close_as_burned(&mut self, key: RecordKey) {
-        if self.records.burned() < self.cfg.burn_capacity {
-            self.records.close_as_burned(key);
+    /// Refuses all tries of a waiting call. Raises a watermark if the table has no room for another refusal record.
+    fn close_as_refused(&mut self, key: RecordKey) {
+        if self.records.refusal_count() < self.cfg.refusal_capacity {
+            self.records.close_as_refused(key);
             return;
         }
         if let Some(record) = self.records.remove(key) {
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -65,10 +65,10 @@
 }
 
 /// A table for one call, one burned token, and one floor.
-fn full(burn_capacity: usize) -> OnceConfig {
+fn full(refusal_capacity: usize) -> OnceConfig {
     OnceConfig {
         capacity: 1,
-        burn_capacity,
+        refusal_capacity,
         watermarks: 1,
         ..cfg()
     }
@@ -345,8 +345,8 @@
 // Cause: a refusal that found no room was forgotten.
 #[test]
 fn a_full_table_forgets_no_refusal() {
-    for burn_capacity in [0, 1] {
-        let mut home = Home::new(full(burn_capacity), 1);
+    for refusal_capacity in [0, 1] {
+        let mut home = Home::new(full(refusal_capacity), 1);
         let key = home.send(&token(1), 1);
         home.answer(key, 1);
 
--- a/crates/core/tests/once_model.rs
+++ b/crates/core/tests/once_model.rs
@@ -183,7 +183,7 @@
             (Act::Withdraw, _, Some(job)) => self.withdraw(job),
             _ => {}
         }
-        let bound = self.cfg.capacity + self.cfg.burn_capacity;
+        let bound = self.cfg.capacity + self.cfg.refusal_capacity;
         assert!(self.table.len() <= bound, "{} records", self.table.len());
         assert!(self.table.answer_bytes() <= self.cfg.answer_bytes);
     }
@@ -477,7 +477,7 @@
 fn tight() -> OnceConfig {
     OnceConfig {
         capacity: 3,
-        burn_capacity: 2,
+        refusal_capacity: 2,
         watermarks: 2,
         answer_bytes: 80,
         ..roomy()
