--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -192,7 +192,7 @@
     let mut minter = Minter::new();
     let (name, service) = ("bidding-1".into(), "bidding".into());
     assert_eq!(minter.mint(&name, &service, home.now), None);
-    minter.heard(
+    minter.update_home(
         name.clone(),
         Incarnation(1),
         home.table.tick(home.now),
@@ -212,13 +212,13 @@
     assert_eq!(HomeLost.rule().outcome, Unknown);
 
     home.now += MINUTE;
-    minter.heard(
+    minter.update_home(
         name.clone(),
         Incarnation(2),
         home.table.tick(home.now),
         home.now,
     );
-    minter.heard(name.clone(), Incarnation(2), Tick(0), home.now);
+    minter.update_home(name.clone(), Incarnation(2), Tick(0), home.now);
     let fresh = mint(&minter, home.now);
     assert_eq!(
         fresh.tick,
@@ -236,7 +236,7 @@
     let mut home = Home::new(cfg(), 1);
     let mut minter = Minter::new();
     let (name, service) = ("bidding-1".into(), "bidding".into());
-    minter.heard("bidding-1".into(), Incarnation(1), Tick(0), home.now);
+    minter.update_home("bidding-1".into(), Incarnation(1), Tick(0), home.now);
     home.now += 60 * MINUTE;
     let fresh = minter
         .mint(&name, &service, home.now)
--- a/crates/core/tests/once_model.rs
+++ b/crates/core/tests/once_model.rs
@@ -191,7 +191,7 @@
     fn hear(&mut self) {
         let now = self.at(0);
         let (incarnation, tick) = (self.table.incarnation(), self.table.tick(now));
-        self.minter.heard("n".into(), incarnation, tick, now);
+        self.minter.update_home("n".into(), incarnation, tick, now);
     }
 
     fn mint(&mut self) {
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -240,7 +240,7 @@
     fn heard(&mut self, report: &HostReport) {
         let now = self.clock.now();
         self.minter
-            .heard(report.node.clone(), report.incarnation, report.tick, now);
+            .update_home(report.node.clone(), report.incarnation, report.tick, now);
         let told = Told {
             incarnation: report.incarnation,
             state: report.state,
