--- a/crates/core/src/once/key_ring.rs
+++ b/crates/core/src/once/key_ring.rs
@@ -1,4 +1,4 @@
-//! Sealing of tokens under the keys of the fleet.
+//! Authentication of tokens with the shared keys of the fleet.
 
 use std::fmt;
 
@@ -12,28 +12,28 @@
 use crate::once::Token;
 use crate::once::wire::WireToken;
 
-/// Longest text that [`KeyRing::open`] reads, in bytes.
+/// Maximum length of a text accepted by [`KeyRing::open`], in bytes.
 const MAX_TEXT_BYTES: usize = 1024;
 
-/// Length of an HMAC-SHA256 tag.
+/// Length of an HMAC-SHA256 tag in bytes.
 const TAG_BYTES: usize = 32;
 
-/// Shortest secret that is taken as a key.
+/// Minimum length of a secret in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Separates tags of tokens from any other use of the same secret, and names the format.
-const CONTEXT: &[u8] = b"coltsfootport token 1";
+/// Domain separation from other uses of the same secret; also identifies the version of the format.
+const TAG_CONTEXT: &[u8] = b"coltsfootport token 1";
 
-/// A secret that all nodes of the fleet share.
+/// Secret key shared by all nodes of the fleet.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetKey {
-    /// Number by which a token names its key.
+    /// Key id, stored in the sealed token.
     pub id: u8,
     /// The secret, at least 16 random bytes.
     pub secret: Vec<u8>,
 }
 
-/// Leaves the secret out, so that it can't reach a log.
+/// Omits the secret, so that it can't be written to a log.
 impl fmt::Debug for FleetKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("FleetKey")
@@ -42,68 +42,68 @@
     }
 }
 
-/// A list of keys can't be used.
+/// Error for an invalid list of keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRingError {
-    /// No key to seal with.
+    /// The list contains no key to seal with.
     #[error("the fleet has no key")]
-    Empty,
+    NoKeys,
     /// Two keys have the same id.
     #[error("fleet key {0} is given twice")]
-    Twice(u8),
-    /// A secret can be guessed.
+    DuplicateId(u8),
+    /// A secret is too short to resist guessing.
     #[error("the secret of fleet key {0} is shorter than {MIN_SECRET_BYTES} bytes")]
-    Short(u8),
+    SecretTooShort(u8),
 }
 
-/// The keys of the fleet: the first one seals, all of them open.
+/// Keys of the fleet. The first key seals tokens; every key can open them.
 ///
-/// A key is rotated in three steps, each once the one before is in force on all nodes: add the new key at the end, move
-/// it to the front, remove the old one after the retention has passed.
+/// Key rotation takes three steps, each of which must be in force on all nodes before the next: append the new key,
+/// move it to the front, and remove the old key after the retention has passed.
 #[derive(Clone, Debug)]
 pub struct KeyRing {
     keys: Vec<FleetKey>,
 }
 
 impl KeyRing {
-    /// A ring of `keys`, of which the first one seals.
+    /// Creates a key ring from `keys`, of which the first one seals.
     pub fn new(keys: Vec<FleetKey>) -> Result<Self, KeyRingError> {
         if keys.is_empty() {
-            return Err(KeyRingError::Empty);
+            return Err(KeyRingError::NoKeys);
         }
         for (index, key) in keys.iter().enumerate() {
             if key.secret.len() < MIN_SECRET_BYTES {
-                return Err(KeyRingError::Short(key.id));
+                return Err(KeyRingError::SecretTooShort(key.id));
             }
             if keys[..index].iter().any(|other| other.id == key.id) {
-                return Err(KeyRingError::Twice(key.id));
+                return Err(KeyRingError::DuplicateId(key.id));
             }
         }
         Ok(Self { keys })
     }
 
-    /// The text of `token`, URL-safe.
+    /// Encodes and signs `token` as URL-safe text.
     ///
-    /// A token whose names are so long that the text passes 1,024 bytes can't be opened again.
+    /// If the names in the token are so long that the text exceeds 1,024 bytes, it can't be opened again.
     pub fn seal(&self, token: &Token) -> SmolStr {
         let key = &self.keys[0];
         let start = vec![key.id];
         let mut buf = postcard::to_extend(&WireToken::from(token), start)
             .expect("numbers and text always serialise into a growing buffer");
-        let tag = mac(key, &buf).finalize().into_bytes();
+        let tag = token_mac(key, &buf).finalize().into_bytes();
         buf.extend_from_slice(&tag);
         SmolStr::from(URL_SAFE_NO_PAD.encode(buf))
     }
 
-    /// The token that `text` was sealed from.
+    /// Verifies and decodes a sealed token.
     ///
-    /// Fails with [`ErrorKind::BadToken`] if the text is forged, cut, too long or sealed by a key which isn't in the
-    /// ring.
+    /// Fails with [`ErrorKind::BadToken`] if the text is forged, truncated, too long or sealed by a key that isn't in
+    /// the ring.
     pub fn open(&self, text: &str) -> Result<Token, ErrorKind> {
-        self.open_sealed(text).ok_or(ErrorKind::BadToken)
+        self.decode_verified(text).ok_or(ErrorKind::BadToken)
     }
 
-    fn open_sealed(&self, text: &str) -> Option<Token> {
+    fn decode_verified(&self, text: &str) -> Option<Token> {
         if text.len() > MAX_TEXT_BYTES {
             return None;
         }
@@ -112,16 +112,16 @@
         let (sealed, tag) = buf.split_at(tag_start);
         let (key_id, body) = sealed.split_first()?;
         let key = self.keys.iter().find(|key| key.id == *key_id)?;
-        mac(key, sealed).verify_slice(tag).ok()?;
+        token_mac(key, sealed).verify_slice(tag).ok()?;
         postcard::from_bytes::<WireToken>(body)
             .ok()
             .map(Token::from)
     }
 }
 
-fn mac(key: &FleetKey, sealed: &[u8]) -> Hmac<Sha256> {
+fn token_mac(key: &FleetKey, sealed: &[u8]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret).expect("HMAC takes any key length");
-    mac.update(CONTEXT);
+    mac.update(TAG_CONTEXT);
     mac.update(sealed);
     mac
 }
--- a/crates/core/tests/once_keys.rs
+++ b/crates/core/tests/once_keys.rs
@@ -59,15 +59,15 @@
     let cases = [
         Case {
             keys: vec![],
-            error: KeyRingError::Empty,
+            error: KeyRingError::NoKeys,
         },
         Case {
             keys: vec![key(1, 1), key(1, 2)],
-            error: KeyRingError::Twice(1),
+            error: KeyRingError::DuplicateId(1),
         },
         Case {
             keys: vec![key(1, 1), short],
-            error: KeyRingError::Short(3),
+            error: KeyRingError::SecretTooShort(3),
         },
     ];
     for Case { keys, error } in cases {
