--- a/crates/core/src/once/answer_size.rs
+++ b/crates/core/src/once/answer_size.rs
@@ -1,8 +1,8 @@
-//! The memory that a kept answer takes.
+//! Memory use of stored answers.
 
-/// Size of an answer, by which the table bounds the memory of the answers that it keeps.
+/// Size of an answer, used by the table to bound the memory of the answers that it stores.
 pub trait AnswerSize {
-    /// Size in bytes, headers and body together.
+    /// Total size of headers and body in bytes.
     fn answer_size(&self) -> usize;
 }
 
