--- a/crates/core/src/once/arrival.rs
+++ b/crates/core/src/once/arrival.rs
@@ -1,19 +1,19 @@
-//! What a home does with a call that bears one of its tokens.
+//! Decision of a home on a call that carries a token.
 
 use crate::error_kind::ErrorKind;
 use crate::once::RecordKey;
 
-/// The home's decision on an arriving call.
+/// Decision of the home on an incoming call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Arrival<A> {
-    /// The call is the one that may run: take it through admission, then
+    /// This call may run. Pass it through admission, then
     /// [`dispatch`](crate::once::OnceTable::dispatch) it or report it as
     /// [`withdrawn`](crate::once::OnceTable::withdrawn).
     Run(RecordKey),
-    /// The token's call waits or runs already: give this call the same answer or error.
+    /// A call with this token is already waiting or running. Return its answer or error to this call too.
     Join(RecordKey),
-    /// The token's call ran; this is its answer.
+    /// The call has already run; contains its stored answer.
     Replay(A),
-    /// The call doesn't run; the outcome of the error kind is true for the token up to this try.
+    /// The call is not run. The outcome of the error kind holds for all tries of the token up to this one.
     Refused(ErrorKind),
 }
