--- a/crates/core/src/once/identity.rs
+++ b/crates/core/src/once/identity.rs
@@ -1,24 +1,24 @@
-//! What an entry may say of a call by itself.
+//! Outcomes that an entry may report for a call without asking the home.
 
 use crate::error_kind::ErrorKind;
 use crate::once::Try;
 use crate::outcome::Outcome;
 
-/// The identity of a call, in so far as its caller holds one.
+/// Whether a call carries a token, and whether that token may have been sent before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// No token: each arrival is a request of its own.
+    /// No token: each arrival is a separate request.
     None,
-    /// A token, sent for the first time by its caller's own word.
+    /// A token that its caller declares to be sent for the first time.
     FirstTry,
-    /// A token which may have been sent before.
+    /// A token that may have been sent before.
     Repeat,
 }
 
 impl Identity {
-    /// The identity of a call with or without a token, and the number of the try if the caller gave one.
+    /// Determines the identity from the presence of a token and the try number, if the caller gave one.
     ///
-    /// A token without a number counts as a repeat: nobody vouches that it wasn't sent before.
+    /// A token without a number counts as a repeat, as it may have been sent before.
     pub fn of(has_token: bool, number: Option<Try>) -> Self {
         if !has_token {
             return Self::None;
@@ -29,25 +29,25 @@
         Self::Repeat
     }
 
-    /// The outcome to tell a caller where this entry itself ends the call with `kind` and no copy of it is under way.
+    /// Returns the outcome to report if this entry fails the call with `kind` and has no copy of it in transit.
     ///
-    /// No copy is under way where the entry has sent nothing, or where each sending was answered by
+    /// This is the case if the entry has sent nothing, or if each attempt was answered by
     /// [`Arrival::Refused`](crate::once::Arrival::Refused).
     pub fn outcome_unsent(self, kind: ErrorKind) -> Outcome {
         match (self, kind.rule().outcome) {
             (Self::None, outcome) => outcome,
             (Self::FirstTry, _) => Outcome::NotRun,
-            // Symptom: "not run" for a call that runs later. An earlier try may sit in a frozen entry and be sent on
-            // after this answer, so only the home, which refuses that try from then on, can say "not run".
+            // An earlier try may still be buffered in a suspended entry and be forwarded after this answer. Only the
+            // home can refuse that try permanently, so only the home may report "not run".
             (Self::Repeat, Outcome::NotRun) => Outcome::Unknown,
             (Self::Repeat, outcome) => outcome,
         }
     }
 
-    /// Whether the system may send the call to another target after the first one refused it.
+    /// Returns whether the call may be sent to another target after the first one refused it.
     ///
-    /// A call with a token never moves: its caller could repeat the token at the first home, which says "not run" of a
-    /// call that ran at the second.
+    /// A call with a token must not be rerouted: if its caller repeated the token at the first home, that home would
+    /// report "not run" for a call that ran at the second.
     pub fn may_reroute(self) -> bool {
         self == Self::None
     }
