--- a/crates/core/src/once/refusal.rs
+++ b/crates/core/src/once/refusal.rs
@@ -1,16 +1,17 @@
-//! What a home answers to an entry that asks it to refuse a token.
+//! Answer of a home to an entry that requests the refusal of a token.
 
-/// The home's answer to [`refuse`](crate::once::OnceTable::refuse).
+/// Result of [`refuse`](crate::once::OnceTable::refuse).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal<A> {
-    /// The call is at the target; its answer isn't known yet.
+    /// The call was sent to the target; its answer is pending.
     Running,
-    /// The call ran; this is its answer.
+    /// The call ran; contains its stored answer.
     Ran(A),
-    /// The call ran and its answer was not kept.
+    /// The call ran, but its answer was not stored.
     AnswerGone,
-    /// The home can't tell: another incarnation, a token past its retention, or an answer that was lost.
+    /// The home can't determine the outcome: the token belongs to another incarnation, is not valid by its age, or the
+    /// answer was lost.
     Unknown,
-    /// No try up to the given one has run or ever will.
+    /// No try up to the requested one has run or will ever run.
     RefusedForGood,
 }
