--- a/crates/core/src/once/tick.rs
+++ b/crates/core/src/once/tick.rs
@@ -1,29 +1,29 @@
-//! Time as one incarnation counts it.
+//! Monotonic time of an incarnation.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since the start of an incarnation, by its own monotonic clock.
+/// Milliseconds since the start of an incarnation, measured by its monotonic clock.
 ///
-/// Ticks of two incarnations can't be compared.
+/// Ticks of different incarnations are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Tick(pub u64);
 
 impl Tick {
-    /// The tick at `now` of an incarnation which started at `started`, zero if `now` lies before.
+    /// Returns the tick at `now` of an incarnation that started at `started`, or zero if `now` is earlier.
     pub fn at(started: Instant, now: Instant) -> Self {
         Self(millis(now.saturating_duration_since(started)))
     }
 
-    /// The tick `span` later, rounded down.
+    /// Returns the tick `span` later, rounded down to milliseconds.
     pub fn after(self, span: Duration) -> Self {
         Self(self.0.saturating_add(millis(span)))
     }
 
-    /// Time from `earlier` to this tick, zero if `earlier` is later.
+    /// Returns the time from `earlier` to this tick, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
