--- a/crates/core/src/once/token.rs
+++ b/crates/core/src/once/token.rs
@@ -1,21 +1,21 @@
-//! Tokens that let one call run at most once.
+//! Tokens for at-most-once execution.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{Incarnation, NodeName, ServiceName};
 use crate::once::Tick;
 
-/// The right to run one call of a service at one incarnation of one node.
+/// Permits one call of a service at one incarnation of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Token {
-    /// Random identity, unique over all tokens.
+    /// Random id, unique across all tokens.
     pub id: u128,
-    /// The service that the call is for.
+    /// Service to call.
     pub service: ServiceName,
-    /// The node where the call may run.
+    /// Node where the call may run.
     pub home: NodeName,
-    /// The run of that node where the call may run; no other run has its record.
+    /// Incarnation of that node where the call may run; no other incarnation has its record.
     pub incarnation: Incarnation,
-    /// The home's time at the minting, estimated from below by the node that minted the token.
+    /// Lower bound of the home's time at the creation of the token, estimated by the node that minted it.
     pub tick: Tick,
 }
