--- a/crates/core/src/once/wire.rs
+++ b/crates/core/src/once/wire.rs
@@ -1,4 +1,4 @@
-//! The serialised form of a token.
+//! Serialised form of a token.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -6,7 +6,7 @@
 use crate::id::{Incarnation, NodeName, ServiceName};
 use crate::once::{Tick, Token};
 
-/// Fields of a [`Token`] in the order in which they are sealed.
+/// Fields of a [`Token`] in serialisation order.
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireToken {
     id: u128,
