--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -1,7 +1,8 @@
-//! Runs at most once without a store: tokens, the table of their home and the rules of an entry.
+//! At-most-once execution without persistent storage: tokens, the token table of a home and the rules for an entry.
 //!
-//! A [`Token`] names one home, which is one incarnation of one node. A call that bears it runs at that incarnation or
-//! nowhere, and the home's [`OnceTable`] keeps what became of it for longer than the home accepts the token.
+//! A [`Token`] names one home, that is, one incarnation of one node. A call that carries the token runs at that
+//! incarnation or not at all. The home's [`OnceTable`] keeps the result of the call for longer than the home accepts
+//! the token.
 
 mod answer_size;
 mod arrival;
