--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -1,4 +1,4 @@
-//! The known ways in which a call could run twice, or after "not run" was said, one by one.
+//! Regression tests for sequences in which a call could run twice, or run after its caller was told "not run".
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A home and its time.
+/// A home with a simulated clock.
 struct Home {
     table: OnceTable<Vec<u8>>,
     now: Instant,
@@ -64,8 +64,8 @@
     }
 }
 
-/// A table for one call, one burned token, and one floor.
-fn full(refusal_capacity: usize) -> OnceConfig {
+/// Configuration of a table with room for one call, and a single watermark.
+fn tiny_table(refusal_capacity: usize) -> OnceConfig {
     OnceConfig {
         capacity: 1,
         refusal_capacity,
@@ -94,10 +94,9 @@
     Arrival::Refused(kind)
 }
 
-// Symptom: "not run" was said, and the bid is in the books.
-// Sequence: try 1 sits in a frozen entry; try 2 goes to another one, which sheds it by itself; the first one wakes up and
-// sends try 1 on.
-// Cause: an entry spoke for tries that it hadn't seen.
+// An entry must not report "not run" for tries that it has not seen. Try 1 is buffered in a suspended entry, try 2 goes
+// to another entry, which sheds it. If that entry reports "not run" and the first one then resumes and forwards try 1,
+// the call runs although its caller was told otherwise.
 #[test]
 fn an_entry_speaks_for_a_first_try_only() {
     struct Case {
@@ -135,7 +134,7 @@
         assert_ne!(second.outcome_unsent(kind), NotRun, "{kind:?}");
     }
 
-    // The entry that may not speak has the home refuse tries 1 and 2; then it may.
+    // The entry asks the home to refuse tries 1 and 2, after which it may report "not run".
     let mut home = Home::new(cfg(), 1);
     assert_eq!(home.refuse(&token(1), 2), Refusal::RefusedForGood);
     for late in [1, 2] {
@@ -147,10 +146,9 @@
     }
 }
 
-// Symptom: the first home says "not run" of a call that ran.
-// Sequence: the first home refuses, the entry moves the call to a second home, whose answer is lost; the caller repeats the
-// token at the first home.
-// Cause: a call whose identity the caller holds ran where its token doesn't lead.
+// A call with a token must not run at another home than the one named in the token. Otherwise the first home refuses
+// the call, the entry reroutes it to a second home, whose answer is lost, and when the caller repeats the token the
+// first home reports "not run" for a call that ran.
 #[test]
 fn a_token_runs_at_no_second_home() {
     assert!(Identity::None.may_reroute());
@@ -163,16 +161,20 @@
     assert!(second.table.is_empty());
 }
 
-// Symptom: the caller sends again after "not run", and the call runs twice, or after a second "not run".
-// Sequence: try 1 lies in the socket buffer of a frozen entry; the home refuses it unseen; try 2 runs; the copy of try 1
-// arrives at last. Or: the caller doesn't raise the number.
-// Cause: nothing but the number tells a new sending from an old copy.
+// Only the try number distinguishes a new try from a delayed copy of an old one. Try 1 is stuck in the socket buffer of
+// a suspended entry and the home refuses it before it arrives, then try 2 runs, and finally the copy of try 1 arrives.
+// It must not run again, and neither may a try whose caller did not increment the number. Once the call has been sent
+// to the target, a refusal must not report "not run".
 #[test]
 fn a_number_tells_a_new_try_from_an_old_copy() {
     let mut home = Home::new(cfg(), 1);
     let token = token(1);
     assert_eq!(home.refuse(&token, 1), Refusal::RefusedForGood);
-    assert_eq!(home.arrive(&token, 1), refused(TokenRefused), "not raised");
+    assert_eq!(
+        home.arrive(&token, 1),
+        refused(TokenRefused),
+        "number not incremented"
+    );
 
     let key = home.send(&token, 2);
     assert_eq!(home.arrive(&token, 1), Arrival::Join(key));
@@ -182,10 +184,9 @@
     assert_eq!(home.refuse(&token, 9), Refusal::Ran(vec![7]));
 }
 
-// Symptom: a second slab: the order ran before the node died, and again after.
-// Sequence: the node dies while its target works and comes back beside the same target; the caller repeats its token. An
-// entry that hasn't heard of the restart goes on minting for the old run.
-// Cause: the record died with the node.
+// The records of a home are lost when its node restarts. If the node dies while its target is working on a call and
+// restarts beside the same target, a repeated token must not run again. The same holds for tokens minted for the old
+// incarnation by an entry that does not know of the restart yet.
 #[test]
 fn a_restarted_home_does_not_know() {
     let mut home = Home::new(cfg(), 1);
@@ -198,7 +199,11 @@
         home.table.tick(home.now),
         home.now,
     );
-    let mint = |minter: &Minter, now| minter.mint(&name, &service, now).expect("it was heard");
+    let mint = |minter: &Minter, now| {
+        minter
+            .mint(&name, &service, now)
+            .expect("the home is known")
+    };
     let old = mint(&minter, home.now);
     home.send(&old, 1);
 
@@ -223,14 +228,13 @@
     assert_eq!(
         fresh.tick,
         Tick(60_000),
-        "a late message doesn't make tokens old"
+        "a delayed report doesn't set the time back"
     );
     home.run(&fresh, 1);
 }
 
-// Symptom: the first bid after a quiet hour is refused as expired.
-// Sequence: an entry hears a home, and then nothing for longer than the retention; it mints a token, which is used at once.
-// Cause: the token bears the time that was heard last.
+// A new token must not be refused as expired because its home was silent. This happens if an entry receives no report
+// of a home for longer than the retention and mints a token with the last reported time.
 #[test]
 fn a_silent_home_takes_fresh_tokens() {
     let mut home = Home::new(cfg(), 1);
@@ -240,7 +244,7 @@
     home.now += 60 * MINUTE;
     let fresh = minter
         .mint(&name, &service, home.now)
-        .expect("it was heard");
+        .expect("the home is known");
     assert!(
         fresh.tick < home.table.tick(home.now),
         "a clock may run slower"
@@ -248,10 +252,9 @@
     home.run(&fresh, 1);
 }
 
-// Symptom: a bid goes out for a caller who left, or was told "not run".
-// Sequence: the call is queued, the home sleeps; meanwhile the caller leaves, its deadline passes or its entry has the try
-// refused; the home wakes up and dispatches.
-// Cause: what was true at arrival isn't true any more at dispatch.
+// A call may become invalid between arrival and dispatch. While the call is queued and the home is suspended, its
+// caller disconnects, its deadline passes, or its entry has the try refused. When the home resumes, it must not
+// dispatch the call.
 #[test]
 fn a_woken_home_checks_before_dispatch() {
     struct Case {
@@ -298,9 +301,8 @@
     }
 }
 
-// Symptom: a queued call is shed, a second caller who joined it is told "not run", and its try runs when a copy arrives.
-// Sequence: try 1 waits, try 2 joins it, the call is withdrawn; a copy of try 2 comes late.
-// Cause: only the try that was first in the queue was refused for good.
+// Withdrawing a queued call must refuse all tries that joined it, not only the first one. Try 1 is waiting, try 2 joins
+// it and the call is withdrawn. Both callers are told "not run", so a delayed copy of try 2 must not run.
 #[test]
 fn a_withdrawal_refuses_all_who_joined() {
     let mut home = Home::new(cfg(), 1);
@@ -310,9 +312,8 @@
     assert_eq!(home.arrive(&token(1), 2), refused(TokenRefused));
 }
 
-// Symptom: a refused try takes a higher one with it, whose caller is told "not run" without need.
-// Sequence: try 1 waits, try 2 joins it, the entry of try 1 loses contact and has it refused.
-// Cause: the refusal closed the call and not only the tries that it named.
+// A refusal must close only the tries that it names. Try 1 is waiting, try 2 joins it, and the entry of try 1 loses
+// contact and has try 1 refused. Try 2 must still run; its caller must not be told "not run" without need.
 #[test]
 fn a_refusal_leaves_a_higher_try_alone() {
     let mut home = Home::new(cfg(), 1);
@@ -322,9 +323,9 @@
     assert_eq!(home.dispatch(key), Ok(()));
 }
 
-// Symptom: the target is sent one call twice.
-// Sequence: two tasks hold the key of one call, or a task that was told that the answer is lost tries again.
-// Cause: a defect of the node around the table, which must show in the metrics and not in the books.
+// A call must not be sent to the target twice. A fault of the node around the table, such as two tasks that hold the
+// key of one call, or a retry after the answer was reported as lost, must be rejected and reported as a violated
+// invariant.
 #[test]
 fn a_second_dispatch_is_an_error_and_a_breach() {
     let mut home = Home::new(cfg(), 1);
@@ -340,13 +341,12 @@
     assert_eq!(home.table.take_breach(), Some(Invariant::DispatchedTwice));
 }
 
-// Symptom: "not run: the table is full", and a copy of the call runs once there is room.
-// Sequence: the table is full; the call is refused, or its entry has it refused; records expire; a copy arrives.
-// Cause: a refusal that found no room was forgotten.
+// A refusal must be permanent even if the table has no room to record it. The table is full and refuses a call, or an
+// entry has the call refused. Then records expire and a copy of the call arrives, which must not run.
 #[test]
 fn a_full_table_forgets_no_refusal() {
     for refusal_capacity in [0, 1] {
-        let mut home = Home::new(full(refusal_capacity), 1);
+        let mut home = Home::new(tiny_table(refusal_capacity), 1);
         let key = home.send(&token(1), 1);
         home.answer(key, 1);
 
@@ -369,13 +369,13 @@
     }
 }
 
-// Symptom: as above, of a higher try, and of a token in the floors.
-// Sequence: a refused token comes back by a higher try while the table is full; a younger one is refused into the floors;
-// then an older call is withdrawn into the same floor, which makes room; copies arrive.
-// Cause: a refusal that isn't raised to the new try, or a floor that goes down.
+// Room that becomes free must not reopen a refused try. A refused token returns with a higher try while the table is
+// full, and a younger token is refused by raising a watermark. Then an older call with the same watermark is withdrawn,
+// which makes room, and copies arrive. This fails if the refusal is not extended to the higher try, or if the watermark
+// goes down.
 #[test]
 fn room_made_later_reopens_nothing() {
-    let mut home = Home::new(full(1), 1);
+    let mut home = Home::new(tiny_table(1), 1);
     assert_eq!(home.refuse(&token(1), 1), Refusal::RefusedForGood);
     let old = home.run(&token(2), 1);
     home.now += MINUTE;
@@ -394,9 +394,9 @@
     home.run(&token(1), 3);
 }
 
-// Symptom: an order runs again long after its record is gone.
-// Sequence: the call ran, its record expired, a copy arrives, from a task which read the time before it slept.
-// Cause: age was judged by a time older than the one by which the record was dropped.
+// A call must not run again after its record has expired. A copy arrives through a task that read the clock, was
+// suspended and passes the old time. This fails if the age of the token is checked against an older time than the one
+// by which the record was removed.
 #[test]
 fn an_expired_token_stays_expired_for_a_task_that_slept() {
     let mut home = Home::new(cfg(), 1);
@@ -411,13 +411,12 @@
     assert_eq!(
         home.arrive(&minted(2, 99 * MINUTE), 1),
         refused(BadToken),
-        "from the future"
+        "tick in the future"
     );
 }
 
-// Symptom: memory grows with large answers, or a kept answer disappears.
-// Sequence: answers larger than the limit of one, then more than the sum allows.
-// Cause: a bound that is missing, or kept by dropping answers that callers still may ask for.
+// Memory for stored answers is limited per answer and in total. Answers beyond a limit are not stored; answers that are
+// already stored must not be dropped to make room, as callers may still ask for them.
 #[test]
 fn kept_answers_are_bounded_and_stay() {
     struct Case {
