--- a/crates/core/tests/once_keys.rs
+++ b/crates/core/tests/once_keys.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening of tokens.
+//! Tests for the sealing and opening of tokens.
 
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::id::Incarnation;
@@ -79,9 +79,9 @@
     );
 }
 
-// Symptom: a caller makes its own token, or takes one to another home, and runs a call where no record forbids it.
-// Sequence: any byte of a sealed text is changed, the text is cut, lengthened, or sealed by another secret.
-// Cause: a field that the tag doesn't cover, or a tag that isn't compared whole.
+// A caller must not be able to forge a token or redirect it to another home, where no record prevents the call from
+// running. Text that has any byte changed, is truncated, extended or sealed with another secret must be rejected. This
+// fails if the tag does not cover a field or is not compared in full.
 #[test]
 fn whatever_was_not_sealed_is_refused() {
     let ring = ring(&[key(1, 1)]);
