--- a/crates/core/tests/once_model.rs
+++ b/crates/core/tests/once_model.rs
@@ -1,4 +1,4 @@
-//! Any interleaving of calls, refusals, sleeps and restarts against the table of a home.
+//! Property test of the token table with random interleavings of calls, refusals, suspensions and restarts.
 
 use std::time::{Duration, Instant};
 
@@ -16,18 +16,18 @@
 const MARGIN_MS: u64 = 100;
 const ANSWER_LIMIT: usize = 50;
 
-/// What happens next.
+/// Kind of a generated step.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    Heard,
+enum Action {
+    ReportHome,
     Mint,
-    /// The caller sends a token, through an entry which may freeze with it.
+    /// The caller sends a token through an entry that may be suspended before it forwards the call.
     Send,
-    /// An entry sheds a sending by itself.
-    EntrySheds,
-    /// An entry which lost contact asks for a refusal.
+    /// An entry sheds a try without asking the home.
+    ShedAtEntry,
+    /// An entry that lost contact requests a refusal.
     AskRefusal,
-    /// A message reaches the home; a copy of it may stay under way.
+    /// A message reaches the home; a copy of it may remain in transit.
     Deliver,
     Dispatch,
     Answer,
@@ -40,38 +40,38 @@
 
 #[derive(Clone, Debug)]
 struct Op {
-    act: Act,
-    /// Which token, message or job.
+    action: Action,
+    /// Selects the token, message or job.
     pick: usize,
-    /// Age of the home's reading of its clock.
+    /// Time since the task read the clock of the home.
     lag_ms: u64,
-    /// A copy stays under way, or the deadline has passed.
+    /// Whether a copy remains in transit, or whether the deadline has passed.
     flag: bool,
     size: usize,
 }
 
 fn op() -> impl Strategy<Value = Op> {
     let sleep = prop_oneof![4 => 1..50_u64, 1 => 1..2 * RETENTION_MS];
-    let act = prop_oneof![
-        2 => Just(Act::Heard),
-        3 => Just(Act::Mint),
-        8 => Just(Act::Send),
-        1 => Just(Act::EntrySheds),
-        3 => Just(Act::AskRefusal),
-        12 => Just(Act::Deliver),
-        6 => Just(Act::Dispatch),
-        3 => Just(Act::Answer),
-        1 => Just(Act::Lose),
-        2 => Just(Act::Withdraw),
-        1 => Just(Act::Expire),
-        2 => sleep.prop_map(Act::Sleep),
-        1 => Just(Act::Restart),
+    let action = prop_oneof![
+        2 => Just(Action::ReportHome),
+        3 => Just(Action::Mint),
+        8 => Just(Action::Send),
+        1 => Just(Action::ShedAtEntry),
+        3 => Just(Action::AskRefusal),
+        12 => Just(Action::Deliver),
+        6 => Just(Action::Dispatch),
+        3 => Just(Action::Answer),
+        1 => Just(Action::Lose),
+        2 => Just(Action::Withdraw),
+        1 => Just(Action::Expire),
+        2 => sleep.prop_map(Action::Sleep),
+        1 => Just(Action::Restart),
     ];
     let lag_ms = prop_oneof![3 => Just(0), 1 => 1..2 * RETENTION_MS];
     let flag = prop::bool::weighted(0.3);
     let rest = (0..1_000_usize, lag_ms, flag, 0..2 * ANSWER_LIMIT);
-    (act, rest).prop_map(|(act, (pick, lag_ms, flag, size))| Op {
-        act,
+    (action, rest).prop_map(|(action, (pick, lag_ms, flag, size))| Op {
+        action,
         pick,
         lag_ms,
         flag,
@@ -79,16 +79,16 @@
     })
 }
 
-/// What the world knows of one token, whatever the home remembers.
-struct Fate {
+/// Expected state of a token, tracked independently of the table.
+struct TokenHistory {
     token: Token,
     numbered: bool,
     sent: u32,
     not_run_up_to: u32,
-    /// Tries that the present home has refused.
-    burned: u32,
+    /// Highest try that the current incarnation of the home has refused.
+    refused_up_to: u32,
     dispatches: u32,
-    /// How the token's latest job ended at its home, if there was one.
+    /// Index of the latest job of the token at the current incarnation.
     job: Option<usize>,
 }
 
@@ -114,7 +114,7 @@
     phase: Phase,
 }
 
-struct World {
+struct Model {
     cfg: OnceConfig,
     start: Instant,
     now_ms: u64,
@@ -123,15 +123,15 @@
     restarts: u128,
     table: OnceTable<Vec<u8>>,
     minter: Minter,
-    fates: Vec<Fate>,
+    histories: Vec<TokenHistory>,
     messages: Vec<Message>,
     jobs: Vec<Job>,
 }
 
-impl World {
+impl Model {
     fn new(cfg: OnceConfig) -> Self {
         let start = Instant::now();
-        let mut world = Self {
+        let mut model = Self {
             table: OnceTable::new(cfg.clone(), Incarnation(0), start),
             cfg,
             start,
@@ -140,15 +140,15 @@
             boot_ms: 0,
             restarts: 0,
             minter: Minter::new(),
-            fates: Vec::new(),
+            histories: Vec::new(),
             messages: Vec::new(),
             jobs: Vec::new(),
         };
-        world.hear();
-        world
+        model.report_home();
+        model
     }
 
-    /// The time as read by a task which slept for `lag_ms` since.
+    /// Returns the time as read by a task that was then suspended for `lag_ms`.
     fn at(&mut self, lag_ms: u64) -> Instant {
         let ms = self.now_ms.saturating_sub(lag_ms).max(self.boot_ms);
         self.latest_ms = self.latest_ms.max(ms);
@@ -157,30 +157,30 @@
 
     fn apply(&mut self, op: &Op) {
         let pick = |len: usize| op.pick.checked_rem(len);
-        let (token, job) = (pick(self.fates.len()), pick(self.jobs.len()));
-        match (op.act, token, job) {
-            (Act::Heard, ..) => self.hear(),
-            (Act::Mint, ..) => self.mint(),
-            (Act::Sleep(ms), ..) => self.now_ms += ms,
-            (Act::Restart, ..) => self.restart(),
-            (Act::Expire, ..) => {
+        let (token, job) = (pick(self.histories.len()), pick(self.jobs.len()));
+        match (op.action, token, job) {
+            (Action::ReportHome, ..) => self.report_home(),
+            (Action::Mint, ..) => self.mint(),
+            (Action::Sleep(ms), ..) => self.now_ms += ms,
+            (Action::Restart, ..) => self.restart(),
+            (Action::Expire, ..) => {
                 let now = self.at(op.lag_ms);
                 self.table.expire(now);
             }
-            (Act::Send, Some(token), _) => {
-                let number = self.fates[token].next_number();
+            (Action::Send, Some(token), _) => {
+                let number = self.histories[token].next_number();
                 self.messages.push(Message::Call { token, number });
             }
-            (Act::AskRefusal, Some(token), _) => {
-                let up_to = self.fates[token].last_number();
+            (Action::AskRefusal, Some(token), _) => {
+                let up_to = self.histories[token].last_number();
                 self.messages.push(Message::Refuse { token, up_to });
             }
-            (Act::EntrySheds, Some(token), _) => self.entry_sheds(token),
-            (Act::Deliver, ..) => self.deliver(op),
-            (Act::Dispatch, _, Some(job)) => self.dispatch(job, op.flag),
-            (Act::Answer, _, Some(job)) => self.answer(job, op.size),
-            (Act::Lose, _, Some(job)) => self.lose(job),
-            (Act::Withdraw, _, Some(job)) => self.withdraw(job),
+            (Action::ShedAtEntry, Some(token), _) => self.shed_at_entry(token),
+            (Action::Deliver, ..) => self.deliver(op),
+            (Action::Dispatch, _, Some(job)) => self.dispatch(job, op.flag),
+            (Action::Answer, _, Some(job)) => self.answer(job, op.size),
+            (Action::Lose, _, Some(job)) => self.lose(job),
+            (Action::Withdraw, _, Some(job)) => self.withdraw(job),
             _ => {}
         }
         let bound = self.cfg.capacity + self.cfg.refusal_capacity;
@@ -188,7 +188,7 @@
         assert!(self.table.answer_bytes() <= self.cfg.answer_bytes);
     }
 
-    fn hear(&mut self) {
+    fn report_home(&mut self) {
         let now = self.at(0);
         let (incarnation, tick) = (self.table.incarnation(), self.table.tick(now));
         self.minter.update_home("n".into(), incarnation, tick, now);
@@ -197,12 +197,12 @@
     fn mint(&mut self) {
         let now = self.start + Duration::from_millis(self.now_ms);
         let token = self.minter.mint(&"n".into(), &"s".into(), now);
-        self.fates.push(Fate {
-            token: token.expect("the home was heard"),
-            numbered: !self.fates.len().is_multiple_of(4),
+        self.histories.push(TokenHistory {
+            token: token.expect("the home is known"),
+            numbered: !self.histories.len().is_multiple_of(4),
             sent: 0,
             not_run_up_to: 0,
-            burned: 0,
+            refused_up_to: 0,
             dispatches: 0,
             job: None,
         });
@@ -229,26 +229,31 @@
         let now = self.at(0);
         self.table = OnceTable::new(self.cfg.clone(), Incarnation(self.restarts), now);
         self.jobs.clear();
-        self.fates.iter_mut().for_each(|fate| fate.job = None);
+        self.histories
+            .iter_mut()
+            .for_each(|history| history.job = None);
     }
 
-    fn say_not_run(&mut self, token: usize, up_to: u32) {
-        let fate = &mut self.fates[token];
-        assert_eq!(fate.dispatches, 0, "said not run of {token}, which ran");
-        fate.not_run_up_to = fate.not_run_up_to.max(up_to);
+    fn report_not_run(&mut self, token: usize, up_to: u32) {
+        let history = &mut self.histories[token];
+        assert_eq!(
+            history.dispatches, 0,
+            "token {token} was reported as not run, but ran"
+        );
+        history.not_run_up_to = history.not_run_up_to.max(up_to);
     }
 
-    fn entry_sheds(&mut self, token: usize) {
-        let number = self.fates[token].next_number();
-        let header = self.fates[token].numbered.then_some(Try(number));
+    fn shed_at_entry(&mut self, token: usize) {
+        let number = self.histories[token].next_number();
+        let header = self.histories[token].numbered.then_some(Try(number));
         if Identity::of(true, header).outcome_unsent(ErrorKind::Shed) == Outcome::NotRun {
-            self.say_not_run(token, number);
+            self.report_not_run(token, number);
         }
     }
 
     fn call(&mut self, index: usize, number: u32, lag_ms: u64) {
         let now = self.at(lag_ms);
-        let token = self.fates[index].token.clone();
+        let token = self.histories[index].token.clone();
         let arrival = self.table.arrive(&token, Try(number), now);
         self.check_arrival(index, number, &arrival);
         match arrival {
@@ -259,56 +264,57 @@
                     seen: number,
                     phase: Phase::Waiting,
                 };
-                self.fates[index].job = Some(self.jobs.len());
+                self.histories[index].job = Some(self.jobs.len());
                 self.jobs.push(job);
             }
             Arrival::Refused(kind) if kind.rule().outcome == Outcome::NotRun => {
-                self.fates[index].burned = self.fates[index].burned.max(number);
-                self.say_not_run(index, number);
+                self.histories[index].refused_up_to =
+                    self.histories[index].refused_up_to.max(number);
+                self.report_not_run(index, number);
             }
             Arrival::Join(_) | Arrival::Replay(_) | Arrival::Refused(_) => {}
         }
     }
 
-    /// Checks the decision against what is known of the token; with a roomy table it is known exactly.
+    /// Checks the decision against the expected state. With a large table the expected decision is exact.
     fn check_arrival(&mut self, index: usize, number: u32, arrival: &Arrival<Vec<u8>>) {
         use Arrival::{Join, Refused, Replay, Run};
-        let fate = &self.fates[index];
-        if fate.token.incarnation != self.table.incarnation() {
+        let history = &self.histories[index];
+        if history.token.incarnation != self.table.incarnation() {
             return assert_eq!(*arrival, Refused(ErrorKind::HomeLost));
         }
-        if self.latest_ms - self.boot_ms < fate.token.tick.0 {
+        if self.latest_ms - self.boot_ms < history.token.tick.0 {
             return assert_eq!(*arrival, Refused(ErrorKind::BadToken));
         }
-        if self.latest_ms - self.boot_ms > fate.token.tick.0 + RETENTION_MS {
+        if self.latest_ms - self.boot_ms > history.token.tick.0 + RETENTION_MS {
             return assert_eq!(*arrival, Refused(ErrorKind::TokenExpired));
         }
-        let burned = fate.burned;
-        let job = fate
+        let refused_up_to = history.refused_up_to;
+        let job = history
             .job
             .map(|job| &mut self.jobs[job])
             .filter(|job| job.phase != Phase::Closed);
         let Some(job) = job else {
             match arrival {
                 Run(_) => assert!(
-                    number > burned,
-                    "try {number} runs after {burned} was burned"
+                    number > refused_up_to,
+                    "try {number} runs although tries up to {refused_up_to} were refused"
                 ),
                 Refused(ErrorKind::TokenRefused) => {
                     assert!(
-                        number <= burned || !self.cfg.is_roomy(),
-                        "refused for nothing"
+                        number <= refused_up_to || !self.cfg.is_large(),
+                        "try {number} was refused without reason"
                     );
                 }
-                Refused(ErrorKind::TableFull) => assert!(!self.cfg.is_roomy()),
-                other => panic!("{other:?} of a call that never ran"),
+                Refused(ErrorKind::TableFull) => assert!(!self.cfg.is_large()),
+                other => panic!("unexpected {other:?} for a call that never ran"),
             }
             return;
         };
         match &job.phase {
             Phase::Waiting => {
                 job.seen = job.seen.max(number);
-                let refused = job.seen <= burned;
+                let refused = job.seen <= refused_up_to;
                 let want = if refused {
                     Refused(ErrorKind::TokenRefused)
                 } else {
@@ -319,7 +325,7 @@
             Phase::Running => assert_eq!(*arrival, Join(job.key)),
             Phase::Lost => assert_eq!(*arrival, Refused(ErrorKind::AnswerLost)),
             Phase::Ran(answer) if *arrival == Refused(ErrorKind::AnswerGone) => {
-                assert!(answer.len() > ANSWER_LIMIT || !self.cfg.is_roomy());
+                assert!(answer.len() > ANSWER_LIMIT || !self.cfg.is_large());
             }
             Phase::Ran(answer) => assert_eq!(*arrival, Replay(answer.clone())),
             Phase::Closed => unreachable!("filtered above"),
@@ -328,20 +334,21 @@
 
     fn refuse(&mut self, index: usize, up_to: u32, lag_ms: u64) {
         let now = self.at(lag_ms);
-        let token = self.fates[index].token.clone();
-        let phase = self.fates[index].job.map(|job| &self.jobs[job].phase);
+        let token = self.histories[index].token.clone();
+        let phase = self.histories[index].job.map(|job| &self.jobs[job].phase);
         let live = matches!(phase, Some(Phase::Waiting | Phase::Running));
         assert_eq!(self.table.is_live(&token), live);
         let refusal = self.table.refuse(&token, Try(up_to), now);
         match (&refusal, phase) {
             (Refusal::RefusedForGood, None | Some(Phase::Waiting | Phase::Closed)) => {
-                self.fates[index].burned = self.fates[index].burned.max(up_to);
-                self.say_not_run(index, up_to);
+                self.histories[index].refused_up_to =
+                    self.histories[index].refused_up_to.max(up_to);
+                self.report_not_run(index, up_to);
             }
             (Refusal::Running, Some(Phase::Running)) | (Refusal::Unknown, _) => {}
             (Refusal::Ran(told), Some(Phase::Ran(answer))) => assert_eq!(told, answer),
             (Refusal::AnswerGone, Some(Phase::Ran(_))) => {}
-            (refusal, phase) => panic!("{refusal:?} of a call that is {phase:?}"),
+            (refusal, phase) => panic!("unexpected {refusal:?} for a call in phase {phase:?}"),
         }
     }
 
@@ -353,7 +360,7 @@
             now + Duration::from_millis(1)
         };
         let job = &mut self.jobs[index];
-        let fate = &mut self.fates[job.token];
+        let history = &mut self.histories[job.token];
         let result = self.table.dispatch(job.key, deadline, now);
         let was_sent = matches!(job.phase, Phase::Running | Phase::Ran(_) | Phase::Lost);
         let breach = self.table.take_breach();
@@ -363,28 +370,31 @@
         );
         match result {
             Ok(()) => {
-                fate.dispatches += 1;
-                assert_eq!(fate.dispatches, 1, "dispatched twice");
-                assert!(job.seen > fate.not_run_up_to, "ran after not run was said");
+                history.dispatches += 1;
+                assert_eq!(history.dispatches, 1, "dispatched twice");
+                assert!(
+                    job.seen > history.not_run_up_to,
+                    "ran after it was reported as not run"
+                );
                 assert!(!late);
                 job.phase = Phase::Running;
             }
             Err(kind) => {
-                let live = self.cfg.is_roomy() && job.phase == Phase::Waiting && !late;
+                let live = self.cfg.is_large() && job.phase == Phase::Waiting && !late;
                 assert!(
-                    !live || job.seen <= fate.burned,
-                    "{kind:?} of a call free to run"
+                    !live || job.seen <= history.refused_up_to,
+                    "unexpected {kind:?} for a call that may run"
                 );
                 if was_sent {
-                    // An expired record took the breach's memory with it; nothing can run by then.
+                    // After the record has expired, no breach is reported, but nothing can run either.
                     assert!(breach.is_none_or(|breach| breach == Invariant::DispatchedTwice));
                     return assert_eq!(kind.rule().outcome, Outcome::Unknown);
                 }
                 job.phase = Phase::Closed;
                 if kind.rule().outcome == Outcome::NotRun {
-                    fate.burned = fate.burned.max(job.seen);
+                    history.refused_up_to = history.refused_up_to.max(job.seen);
                     let (token, seen) = (job.token, job.seen);
-                    self.say_not_run(token, seen);
+                    self.report_not_run(token, seen);
                 }
             }
         }
@@ -418,15 +428,15 @@
             Phase::Waiting => {
                 job.phase = Phase::Closed;
                 let (token, seen) = (job.token, job.seen);
-                self.fates[token].burned = self.fates[token].burned.max(seen);
-                self.say_not_run(token, seen);
+                self.histories[token].refused_up_to = self.histories[token].refused_up_to.max(seen);
+                self.report_not_run(token, seen);
             }
             Phase::Running => job.phase = Phase::Lost,
             Phase::Ran(_) | Phase::Lost | Phase::Closed => {}
         }
     }
 
-    /// Ends all calls and lets all tokens expire: nothing may stay behind.
+    /// Ends all calls and lets all tokens expire, after which the table must be empty.
     fn finish(mut self) {
         for index in 0..self.jobs.len() {
             self.withdraw(index);
@@ -436,14 +446,14 @@
         self.table.expire(now);
         assert!(
             self.table.is_empty(),
-            "{} records stay behind",
+            "{} records were not removed",
             self.table.len()
         );
         assert_eq!(self.table.answer_bytes(), 0);
     }
 }
 
-impl Fate {
+impl TokenHistory {
     fn next_number(&mut self) -> u32 {
         self.sent += 1;
         self.last_number()
@@ -454,18 +464,18 @@
     }
 }
 
-/// Whether all that a run of this test can bring finds room.
-trait Roomy {
-    fn is_roomy(&self) -> bool;
+/// Distinguishes configurations whose limits no run of this test can reach.
+trait TableSize {
+    fn is_large(&self) -> bool;
 }
 
-impl Roomy for OnceConfig {
-    fn is_roomy(&self) -> bool {
+impl TableSize for OnceConfig {
+    fn is_large(&self) -> bool {
         self.capacity > 100
     }
 }
 
-fn roomy() -> OnceConfig {
+fn large_table() -> OnceConfig {
     OnceConfig {
         retention: Duration::from_millis(RETENTION_MS),
         record_margin: Duration::from_millis(MARGIN_MS),
@@ -474,13 +484,13 @@
     }
 }
 
-fn tight() -> OnceConfig {
+fn small_table() -> OnceConfig {
     OnceConfig {
         capacity: 3,
         refusal_capacity: 2,
         watermarks: 2,
         answer_bytes: 80,
-        ..roomy()
+        ..large_table()
     }
 }
 
@@ -492,15 +502,15 @@
         ..ProptestConfig::default()
     })]
 
-    // Symptom: a call runs twice, or runs after its caller was told "not run".
-    // Sequence: any order of sendings, copies, refusals, sleeps, restarts and late answers.
-    // Cause: a record forgotten or reopened while a copy of its call is still under way.
+    // Guards against a call that runs twice, or runs after its caller was told "not run", in any order of tries,
+    // copies, refusals, suspensions, restarts and late answers. This happens if a record is dropped or reopened while a
+    // copy of its call is still in transit.
     #[test]
-    fn a_token_runs_at_most_once(ops in prop::collection::vec(op(), 1..250), full in any::<bool>()) {
-        let mut world = World::new(if full { tight() } else { roomy() });
+    fn a_token_runs_at_most_once(ops in prop::collection::vec(op(), 1..250), small in any::<bool>()) {
+        let mut model = Model::new(if small { small_table() } else { large_table() });
         for op in &ops {
-            world.apply(op);
+            model.apply(op);
         }
-        world.finish();
+        model.finish();
     }
 }
