--- a/crates/core/src/admission/call.rs
+++ b/crates/core/src/admission/call.rs
@@ -31,7 +31,7 @@
     /// The target shed the call, broke its connection or ran past the deadline.
     Failed,
     /// The call failed for a further service that the target had called; says nothing of the target itself.
-    FailedBelow,
+    FailedDownstream,
     /// The caller left before the answer.
     Cancelled,
 }
--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -107,7 +107,7 @@
     }
 
     /// Notes how long the target waited for further services on behalf of a call; told before its end.
-    pub fn waited_below(&mut self, key: CallKey, time: Duration) {
+    pub fn record_downstream_wait(&mut self, key: CallKey, time: Duration) {
         if let Some(call) = self.calls.get_mut(key) {
             call.below = time;
         }
@@ -133,7 +133,7 @@
         let counters = self.count(call.class);
         match finish {
             Finish::Served => counters.served += 1,
-            Finish::Failed | Finish::FailedBelow => counters.failed += 1,
+            Finish::Failed | Finish::FailedDownstream => counters.failed += 1,
             Finish::Cancelled => counters.cancelled += 1,
         }
         self.advance(now);
--- a/crates/core/tests/admission_below.rs
+++ b/crates/core/tests/admission_below.rs
@@ -49,7 +49,7 @@
         }
         now += phase.took;
         for key in &started[..served] {
-            admission.waited_below(*key, phase.below);
+            admission.record_downstream_wait(*key, phase.below);
             admission.finish(*key, Finish::Served, now);
         }
     }
@@ -91,7 +91,7 @@
             slow: Phase {
                 took: ms(20),
                 below: ms(0),
-                fails: Some(Finish::FailedBelow),
+                fails: Some(Finish::FailedDownstream),
             },
             falls: false,
         },
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -83,7 +83,7 @@
             FlightPhase::Queued | FlightPhase::Admitted => self.lifecycle.withdrawn(),
         }
         let waited = flight.below.total(now);
-        self.admission.waited_below(flight.call, waited);
+        self.admission.record_downstream_wait(flight.call, waited);
         let finish = admission_end(&end, flight.below.may_have_failed());
         self.admission.finish(flight.call, finish, now);
         if let Some(record) = flight.record {
@@ -123,9 +123,9 @@
 fn admission_end(end: &FlightEnd, below: bool) -> Finish {
     match end {
         FlightEnd::Answered(answer) if answer.status.is_server_error() && below => {
-            Finish::FailedBelow
+            Finish::FailedDownstream
         }
-        FlightEnd::Lost(_) if below => Finish::FailedBelow,
+        FlightEnd::Lost(_) if below => Finish::FailedDownstream,
         FlightEnd::Answered(answer) if answer.status.is_server_error() => Finish::Failed,
         FlightEnd::Answered(_) => Finish::Served,
         FlightEnd::Lost(_) => Finish::Failed,
