--- a/crates/core/src/admission/level_board.rs
+++ b/crates/core/src/admission/downstream_levels.rs
@@ -9,10 +9,10 @@
 use crate::collections::Map;
 use crate::id::ServiceName;
 
-/// Settings of [`LevelBoard`].
+/// Settings of [`DownstreamLevels`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct LevelBoardConfig {
+pub struct DownstreamLevelsConfig {
     /// Time for which a heard level stands unchanged.
     pub hold: Duration,
     /// Time after `hold` over which a level rises to open from the floor.
@@ -21,7 +21,7 @@
     pub weight: f64,
 }
 
-impl Default for LevelBoardConfig {
+impl Default for DownstreamLevelsConfig {
     fn default() -> Self {
         Self {
             hold: Duration::from_secs(1),
@@ -36,8 +36,8 @@
 /// A service's instances have levels of their own. The board keeps their moving average, so that one overloaded instance
 /// out of four sheds about a quarter of the calls here and not all of them.
 #[derive(Clone, Debug, Default)]
-pub struct LevelBoard {
-    cfg: LevelBoardConfig,
+pub struct DownstreamLevels {
+    cfg: DownstreamLevelsConfig,
     heard: Map<ServiceName, Heard>,
 }
 
@@ -47,9 +47,9 @@
     at: Instant,
 }
 
-impl LevelBoard {
+impl DownstreamLevels {
     /// An empty board: every service is open.
-    pub fn new(cfg: LevelBoardConfig) -> Self {
+    pub fn new(cfg: DownstreamLevelsConfig) -> Self {
         Self {
             cfg,
             heard: Map::default(),
@@ -57,7 +57,7 @@
     }
 
     /// Takes in the level that an answer of this service carried.
-    pub fn heard(&mut self, service: &ServiceName, level: Level, now: Instant) {
+    pub fn record(&mut self, service: &ServiceName, level: Level, now: Instant) {
         let heard = f64::from(level.position());
         let Some(before) = self.heard.get_mut(service) else {
             if level < Level::OPEN {
@@ -110,7 +110,7 @@
     }
 }
 
-impl LevelBoardConfig {
+impl DownstreamLevelsConfig {
     /// The position after ageing.
     ///
     /// Without ageing an entry that sheds all calls of a service hears no answer any more and sheds for good; one would
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -6,8 +6,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 use coltsfootport_core::admission::{
-    Action, Admission, AdmissionConfig, AdmissionMode, CallKey, Finish, Level, LevelBoard,
-    LevelBoardConfig, Offer,
+    Action, Admission, AdmissionConfig, AdmissionMode, CallKey, DownstreamLevels,
+    DownstreamLevelsConfig, Finish, Level, Offer,
 };
 use coltsfootport_core::class::Class;
 use coltsfootport_core::collections::Map;
@@ -423,14 +423,14 @@
 #[test]
 fn heard_levels_age_out() {
     let now = Instant::now();
-    let cfg = LevelBoardConfig {
+    let cfg = DownstreamLevelsConfig {
         hold: ms(1000),
         rise: ms(4000),
         weight: 0.5,
     };
-    let mut board = LevelBoard::new(cfg);
+    let mut board = DownstreamLevels::new(cfg);
     let [archive, orders] = ["archive", "orders"].map(ServiceName::from);
-    board.heard(&archive, Level::FLOOR, now);
+    board.record(&archive, Level::FLOOR, now);
     let lowest = Class::LOWEST;
     assert!(
         !board.admits(&archive, Class(0), 1, now + ms(999)),
@@ -457,7 +457,7 @@
         (board.lowest(now), board.lowest(now + ms(5000))),
         (Level::FLOOR, Level::OPEN)
     );
-    board.heard(&archive, Level::OPEN, now);
+    board.record(&archive, Level::OPEN, now);
     let half = Level::from_position(1025);
     assert_eq!(
         board.level(&archive, now),
@@ -465,10 +465,10 @@
         "one of two instances is overloaded"
     );
     for _ in 0..16 {
-        board.heard(&archive, Level::OPEN, now);
+        board.record(&archive, Level::OPEN, now);
     }
     assert_eq!(board.level(&archive, now), Level::OPEN);
-    board.heard(&archive, Level::FLOOR, now);
+    board.record(&archive, Level::FLOOR, now);
     board.expire(now + ms(5000));
     assert_eq!(board.level(&archive, now), Level::OPEN, "forgotten");
 }
--- a/crates/core/tests/admission_chain_trials.rs
+++ b/crates/core/tests/admission_chain_trials.rs
@@ -8,7 +8,8 @@
 use rand::{Rng, SeedableRng};
 
 use coltsfootport_core::admission::{
-    Action, Admission, AdmissionConfig, CallKey, Finish, LevelBoard, LevelBoardConfig, Offer,
+    Action, Admission, AdmissionConfig, CallKey, DownstreamLevels, DownstreamLevelsConfig, Finish,
+    Offer,
 };
 use coltsfootport_core::class::Class;
 use coltsfootport_core::collections::Map;
@@ -64,7 +65,7 @@
     now: Duration,
     rng: SmallRng,
     admission: Admission,
-    board: LevelBoard,
+    board: DownstreamLevels,
     service: ServiceName,
     slots: Vec<Duration>,
     requests: Map<CallKey, Request>,
@@ -88,7 +89,7 @@
             now: Duration::ZERO,
             rng: SmallRng::seed_from_u64(31),
             admission: Admission::new(cfg, epoch),
-            board: LevelBoard::new(LevelBoardConfig::default()),
+            board: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             service: "archive".into(),
             slots: vec![Duration::ZERO; SLOTS as usize],
             requests: Map::default(),
@@ -206,7 +207,8 @@
 
     fn hear(&mut self) {
         let now = self.epoch + self.now;
-        self.board.heard(&self.service, self.admission.level(), now);
+        self.board
+            .record(&self.service, self.admission.level(), now);
     }
 
     fn at(&mut self, time: Duration, event: Event) {
--- a/crates/node/src/gate/serving.rs
+++ b/crates/node/src/gate/serving.rs
@@ -47,6 +47,6 @@
             return;
         };
         let operation = ServiceName(flight.operation.clone());
-        self.below.heard(&operation, level, self.clock.now());
+        self.below.record(&operation, level, self.clock.now());
     }
 }
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::admission::{
-    Action, Admission, AdmissionConfig, CallKey, LevelBoard, LevelBoardConfig,
+    Action, Admission, AdmissionConfig, CallKey, DownstreamLevels, DownstreamLevelsConfig,
 };
 use coltsfootport_core::collections::Map;
 use coltsfootport_core::id::{Incarnation, NodeName, ServiceName};
@@ -63,7 +63,7 @@
     pub(super) by_call: Map<CallKey, FlightKey>,
     pub(super) by_record: Map<RecordKey, FlightKey>,
     pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<Entered>>>,
-    pub(super) below: LevelBoard,
+    pub(super) below: DownstreamLevels,
     /// A call that asked to run by the message at hand.
     pub(super) entering: Option<FlightKey>,
     pub(super) actions: Vec<Action>,
@@ -91,7 +91,7 @@
             by_call: Map::default(),
             by_record: Map::default(),
             joined: Map::default(),
-            below: LevelBoard::new(LevelBoardConfig::default()),
+            below: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             actions: Vec::new(),
             drained: Vec::new(),
             rng: SmallRng::from_os_rng(),
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use coltsfootport_core::admission::{LevelBoard, LevelBoardConfig};
+use coltsfootport_core::admission::{DownstreamLevels, DownstreamLevelsConfig};
 use coltsfootport_core::allowance::{
     EdgeBudget, EdgeBudgetConfig, RetryAfterConfig, TargetState, retry_after,
 };
@@ -44,7 +44,7 @@
 /// The task that owns routing, levels, budgets and minting.
 pub struct Routes {
     router: Router,
-    levels: LevelBoard,
+    levels: DownstreamLevels,
     level_shedding: bool,
     budget: EdgeBudgetConfig,
     budgets: Map<ServiceName, EdgeBudget>,
@@ -74,7 +74,7 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let routes = Self {
             router: Router::new(setup.routing),
-            levels: LevelBoard::new(LevelBoardConfig::default()),
+            levels: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             level_shedding: setup.level_shedding,
             budget: setup.budget,
             budgets: Map::default(),
@@ -233,7 +233,7 @@
         }
         let Some(report) = end.report else { return };
         self.levels
-            .heard(&edge(&end.service, &end.operation), report.level, now);
+            .record(&edge(&end.service, &end.operation), report.level, now);
         self.heard(&report);
     }
 
