--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission of calls at the node beside a target: how many run, which wait and which are refused.
+//! Admission control at the node beside a target: which calls run, which are queued and which are refused.
 //!
-//! [`Admission`] takes offers, ends of calls and the time, and answers with [`Action`]s. [`DownstreamLevels`] keeps what
-//! was heard of the levels of services further down, so that an entry refuses early what would be shed deep below.
+//! [`Admission`] is driven by offers, finished calls and the time, and returns [`Action`]s. [`DownstreamLevels`] tracks
+//! the admission levels of downstream services, so that an entry refuses early the calls that would be shed there.
 
 mod call;
 mod config;
