--- a/crates/core/src/admission/call.rs
+++ b/crates/core/src/admission/call.rs
@@ -1,4 +1,4 @@
-//! Calls as admission sees them.
+//! Calls and their transitions in admission control.
 
 use std::time::Instant;
 
@@ -8,39 +8,39 @@
 use crate::error_kind::ErrorKind;
 
 new_key_type! {
-    /// Key of a call from its offer to its end.
+    /// Identifies a call from its offer until it is finished, cancelled or refused.
     pub struct CallKey;
 }
 
-/// A call that asks to run at the target.
+/// A call offered for execution at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Rank of the call for shedding.
+    /// Priority class; lower classes are shed first.
     pub class: Class,
-    /// Hash of the request id, the same at every hop; higher buckets are shed earlier within a class.
+    /// Hash of the request id, the same at every hop. Within a class, higher buckets are shed first.
     pub bucket: u8,
-    /// When the caller stops waiting for the answer.
+    /// Time at which the caller stops waiting for the answer.
     pub deadline: Instant,
 }
 
-/// How a started call ended.
+/// Result of a started call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
     /// The target answered.
     Served,
-    /// The target shed the call, broke its connection or ran past the deadline.
+    /// The target shed the call, closed the connection or exceeded the deadline.
     Failed,
-    /// The call failed for a further service that the target had called; says nothing of the target itself.
+    /// The call failed because of a downstream service that the target had called; not counted against the target.
     FailedDownstream,
-    /// The caller left before the answer.
+    /// The caller disconnected or gave up before the answer.
     Cancelled,
 }
 
-/// What the node has to do with a call.
+/// What the node must do with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the call to the target now; answer with [`Admission::finish`](super::Admission::finish) when it ends.
+    /// Send the call to the target now and report its end with [`Admission::finish`](super::Admission::finish).
     Start(CallKey),
-    /// Answer the call with this error now; its key is gone.
+    /// Answer the call with this error now. The key is no longer valid.
     Refuse(CallKey, ErrorKind),
 }
