--- a/crates/core/src/admission/config.rs
+++ b/crates/core/src/admission/config.rs
@@ -1,4 +1,4 @@
-//! Settings of admission.
+//! Configuration of admission control.
 
 use std::time::Duration;
 
@@ -8,61 +8,61 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdmissionMode {
-    /// Every call starts at once.
+    /// No limit: every call starts immediately.
     Off,
-    /// The limit stays at `initial_limit`.
+    /// The limit is fixed at `initial_limit`.
     Static,
-    /// The limit is learnt from service times and failures, starting from `initial_limit`.
+    /// The limit starts at `initial_limit` and adapts to service times and failures.
     #[default]
     Adaptive,
 }
 
-/// The rule by which an adaptive limit moves.
+/// Algorithm that adjusts an adaptive limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitRule {
-    /// Adds one per window, cuts by a tenth when service times or failures rise.
+    /// Increases by one per window and decreases by 10 % when service times or failures rise.
     Aimd,
-    /// Moves by the ratio of the uncongested to the observed service time.
+    /// Adjusts by the ratio of the uncongested to the observed service time.
     #[default]
     Gradient,
 }
 
-/// Settings of [`Admission`](super::Admission).
+/// Configuration of [`Admission`](super::Admission).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionConfig {
     /// How the concurrency limit is set.
     pub mode: AdmissionMode,
-    /// The rule of an adaptive limit.
+    /// Algorithm that adjusts an adaptive limit.
     pub limit_rule: LimitRule,
-    /// Limit at the start; the slots of the target where known.
+    /// Initial limit; the number of slots of the target if it is known.
     pub initial_limit: u32,
-    /// The limit never falls below this.
+    /// Lower bound of the adaptive limit of a warm target.
     pub min_limit: u32,
-    /// The limit never rises above this.
+    /// Upper bound of the adaptive limit.
     pub max_limit: u32,
-    /// Most calls that wait for a slot.
+    /// Maximum number of queued calls.
     pub queue_length: usize,
     /// Whether calls above the admission level are refused on arrival.
     pub level_shedding: bool,
-    /// Whether calls that can't finish in time are refused before they start.
+    /// Whether calls that can't finish before their deadline are refused before they start.
     pub deadline_check: bool,
-    /// Time over which the limit of a cold target rises to its full value.
+    /// Time over which the limit of a cold target ramps up to its full value.
     pub cold_start: Duration,
-    /// Share of the limit that a cold target starts with.
+    /// Fraction of the limit that applies at the start of the ramp.
     pub cold_share: f64,
-    /// Shortest time between two moves of the limit or the level.
+    /// Minimum time between two adjustments of the limit or the level.
     pub window: Duration,
-    /// Samples that a move of the limit needs.
+    /// Number of samples required to adjust the limit.
     pub window_samples: usize,
-    /// Service time, as a multiple of the uncongested one, above which the target counts as congested.
+    /// Service time, as a multiple of the uncongested one, above which the target is considered congested.
     pub tolerance: f64,
-    /// Share of failed calls above that of a quiet time from which the limit is cut.
+    /// Failure ratio in excess of the normal one above which the limit is cut.
     pub failure_share: f64,
     /// Time after which the uncongested service time is measured again.
     pub base_lifetime: Duration,
-    /// Time without a finished call after which the estimate of the service time is halved.
+    /// Half-life of the service time estimate while no call finishes.
     pub estimate_half_life: Duration,
 }
 
