--- a/crates/core/src/admission/counters.rs
+++ b/crates/core/src/admission/counters.rs
@@ -1,6 +1,6 @@
-//! Counts of calls by class.
+//! Call counters per class.
 
-/// Calls of one class since the start.
+/// Number of calls of one class since the controller was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
     /// Calls offered.
@@ -11,12 +11,12 @@
     pub served: u64,
     /// Calls that failed at the target.
     pub failed: u64,
-    /// Calls whose caller left, queued or started.
+    /// Queued or started calls that were cancelled by their caller.
     pub cancelled: u64,
-    /// Calls refused because their class or bucket was above the level.
+    /// Calls shed because their class and bucket were above the admission level, on arrival or while queued.
     pub shed_by_level: u64,
-    /// Calls refused because the queue was full.
+    /// Calls shed because the queue was full.
     pub shed_by_queue: u64,
-    /// Calls refused because they could not finish in time.
+    /// Calls refused because they could not finish before their deadline.
     pub refused_by_deadline: u64,
 }
