--- a/crates/core/src/admission/estimate.rs
+++ b/crates/core/src/admission/estimate.rs
@@ -1,14 +1,14 @@
-//! Estimate of the service time of the next call.
+//! Estimator of the service time.
 
 use std::time::{Duration, Instant};
 
-/// Weight of the newest window's median.
-const WEIGHT: f64 = 0.5;
+/// Weight of the latest window's median in the moving average.
+const MEDIAN_WEIGHT: f64 = 0.5;
 
-/// Most halvings of an estimate without new samples.
+/// Maximum number of times that an estimate is halved without new samples.
 const MAX_HALVINGS: u32 = 16;
 
-/// Moving median of service times, which fades while no call finishes.
+/// Exponential moving average of window medians, which decays while no call finishes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceEstimate {
     seconds: f64,
@@ -25,23 +25,23 @@
         }
     }
 
-    /// Takes in the median of a window.
+    /// Adds the median of a window to the average.
     pub(super) fn update(&mut self, median: Duration, now: Instant) {
         let median = median.as_secs_f64();
-        let before = if self.seconds == 0.0 {
+        let previous = if self.seconds == 0.0 {
             median
         } else {
             self.seconds
         };
-        self.seconds = before + (median - before) * WEIGHT;
+        self.seconds = previous + (median - previous) * MEDIAN_WEIGHT;
         self.updated = now;
     }
 
-    /// The service time to reckon with; zero where nothing is known.
+    /// Returns the estimated service time, or zero before the first sample.
     ///
-    /// A target that was slow for a while would keep an estimate above every deadline: each call is refused before it
-    /// starts, none finishes, and the estimate never falls. It would show as refusals by deadline at an idle target.
-    /// Halving it while nothing finishes lets calls through again.
+    /// The estimate is halved once per half-life without new samples. Otherwise, after a period of slow calls, it could
+    /// exceed every deadline: all calls would be refused before they start, none would finish to correct the estimate,
+    /// and an idle target would receive no calls.
     pub(super) fn get(&self, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.updated).as_nanos();
         let halvings = age / self.half_life.as_nanos().max(1);
