--- a/crates/core/src/admission/downstream_levels.rs
+++ b/crates/core/src/admission/downstream_levels.rs
@@ -1,4 +1,4 @@
-//! Levels last heard from services further down.
+//! Admission levels reported by downstream services.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +9,15 @@
 use crate::collections::Map;
 use crate::id::ServiceName;
 
-/// Settings of [`DownstreamLevels`].
+/// Configuration of [`DownstreamLevels`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DownstreamLevelsConfig {
-    /// Time for which a heard level stands unchanged.
+    /// Time for which a reported level stays unchanged.
     pub hold: Duration,
-    /// Time after `hold` over which a level rises to open from the floor.
+    /// Time after `hold` in which a level rises from the floor to open.
     pub rise: Duration,
-    /// Weight of a newly heard level against the older ones, above 0 and up to 1.
+    /// Weight of a new report in the moving average, above 0 and at most 1.
     pub weight: f64,
 }
 
@@ -31,99 +31,104 @@
     }
 }
 
-/// The last heard level of each service.
+/// Moving average of the admission levels reported by each service.
 ///
-/// A service's instances have levels of their own. The board keeps their moving average, so that one overloaded instance
-/// out of four sheds about a quarter of the calls here and not all of them.
+/// Each instance of a service has its own level. The levels are averaged so that one overloaded instance out of four
+/// sheds about a quarter of the calls here rather than all of them.
 #[derive(Clone, Debug, Default)]
 pub struct DownstreamLevels {
     cfg: DownstreamLevelsConfig,
-    heard: Map<ServiceName, Heard>,
+    levels: Map<ServiceName, AveragedLevel>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct AveragedLevel {
+    /// Average of [`Level::position`].
     position: f64,
-    at: Instant,
+    updated: Instant,
 }
 
 impl DownstreamLevels {
-    /// An empty board: every service is open.
+    /// Creates an empty set, in which every service is open.
     pub fn new(cfg: DownstreamLevelsConfig) -> Self {
         Self {
             cfg,
-            heard: Map::default(),
+            levels: Map::default(),
         }
     }
 
-    /// Takes in the level that an answer of this service carried.
+    /// Records the level reported with an answer of this service.
     pub fn record(&mut self, service: &ServiceName, level: Level, now: Instant) {
-        let heard = f64::from(level.position());
-        let Some(before) = self.heard.get_mut(service) else {
+        let reported = f64::from(level.position());
+        let Some(average) = self.levels.get_mut(service) else {
             if level < Level::OPEN {
-                self.heard.insert(
+                self.levels.insert(
                     service.clone(),
-                    Heard {
-                        position: heard,
-                        at: now,
+                    AveragedLevel {
+                        position: reported,
+                        updated: now,
                     },
                 );
             }
             return;
         };
-        let aged = self.cfg.aged(*before, now);
-        let position = aged + (heard - aged) * self.cfg.weight.clamp(f64::EPSILON, 1.0);
+        let aged = self.cfg.aged_position(*average, now);
+        let position = aged + (reported - aged) * self.cfg.weight.clamp(f64::EPSILON, 1.0);
         if position >= f64::from(Level::OPEN.position()) - 0.5 {
-            self.heard.remove(service);
+            self.levels.remove(service);
             return;
         }
-        *before = Heard { position, at: now };
+        *average = AveragedLevel {
+            position,
+            updated: now,
+        };
     }
 
-    /// Whether a call to this service is likely to be admitted below.
+    /// Returns whether a call to this service is likely to be admitted downstream.
     pub fn admits(&self, service: &ServiceName, class: Class, bucket: u8, now: Instant) -> bool {
         self.level(service, now).admits(class, bucket)
     }
 
-    /// The level of a service as known now; open where nothing was heard or all of it has aged out.
+    /// Returns the current level of a service; open without a report or after all reports have aged out.
     pub fn level(&self, service: &ServiceName, now: Instant) -> Level {
-        let Some(heard) = self.heard.get(service) else {
+        let Some(average) = self.levels.get(service) else {
             return Level::OPEN;
         };
-        Level::from_position(self.cfg.aged(*heard, now).round() as u16)
+        Level::from_position(self.cfg.aged_position(*average, now).round() as u16)
     }
 
-    /// The lowest level of all services, to be told upwards together with the own level.
+    /// Returns the lowest level of all services, to be reported upstream together with the local level.
     pub fn lowest(&self, now: Instant) -> Level {
-        self.heard
+        self.levels
             .keys()
             .map(|service| self.level(service, now))
             .min()
             .unwrap_or(Level::OPEN)
     }
 
-    /// Forgets levels that have aged out.
+    /// Removes levels that have aged out.
     pub fn expire(&mut self, now: Instant) {
         let cfg = &self.cfg;
         let open = f64::from(Level::OPEN.position());
-        self.heard.retain(|_, heard| cfg.aged(*heard, now) < open);
+        self.levels
+            .retain(|_, average| cfg.aged_position(*average, now) < open);
     }
 }
 
 impl DownstreamLevelsConfig {
-    /// The position after ageing.
+    /// Returns the position of a level after ageing.
     ///
-    /// Without ageing an entry that sheds all calls of a service hears no answer any more and sheds for good; one would
-    /// see refusals at the entry while the service idles. The rise is gradual so that calls don't come back at once.
-    fn aged(&self, heard: Heard, now: Instant) -> f64 {
+    /// Without ageing, an entry that sheds all calls to a service receives no further answers and would keep shedding
+    /// while the service is idle. The gradual rise prevents all calls from returning at once.
+    fn aged_position(&self, average: AveragedLevel, now: Instant) -> f64 {
         let open = f64::from(Level::OPEN.position());
         let age = now
-            .saturating_duration_since(heard.at)
+            .saturating_duration_since(average.updated)
             .saturating_sub(self.hold);
         if age.is_zero() {
-            return heard.position;
+            return average.position;
         }
         let risen = age.as_secs_f64() / self.rise.as_secs_f64().max(f64::EPSILON);
-        (heard.position + risen * open).min(open)
+        (average.position + risen * open).min(open)
     }
 }
