--- a/crates/core/src/admission/refusal.rs
+++ b/crates/core/src/admission/refusal.rs
@@ -1,22 +1,22 @@
-//! Why admission refuses a call.
+//! Reasons for refusing a call.
 
 use crate::error_kind::ErrorKind;
 
-/// A refusal, by its cause.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// Above the admission level.
+    /// The call is above the admission level.
     Level,
-    /// The queue was full of calls that go first.
+    /// The queue was full of calls that rank before this one.
     Queue,
-    /// Too little time even if it started at once.
+    /// The time left is shorter than the estimated service time.
     Deadline,
-    /// Too little time for the wait and the service.
+    /// The time left is shorter than the estimated queueing and service time.
     Wait,
 }
 
 impl Refusal {
-    /// The error that the caller is answered.
+    /// Returns the error reported to the caller.
     pub(super) fn kind(self) -> ErrorKind {
         match self {
             Self::Level | Self::Queue => ErrorKind::Shed,
