--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -1,4 +1,4 @@
-//! The admission controller of one target.
+//! Admission controller of one target.
 
 use std::time::{Duration, Instant};
 
@@ -11,50 +11,50 @@
 use super::level::Level;
 use super::level_control::LevelControl;
 use super::limit::LimitControl;
-use super::queue::{Order, Queue, doomed_at};
+use super::queue::{Order, Queue, latest_start};
 use super::refusal::Refusal;
 use super::window::Window;
 use crate::class::Class;
 use crate::invariant::Invariant;
 
-/// Decides which calls start at a target, which wait and which are refused.
+/// Decides which calls start at a target, which are queued and which are refused.
 ///
-/// After each call of another method, [`poll`](Self::poll) drains what is to be done; [`next_wakeup`](Self::next_wakeup)
-/// says when to poll without an event. A refusal is final and is handed out at once.
+/// Call [`poll`](Self::poll) after every other method to collect the resulting actions, and at the time returned by
+/// [`next_wakeup`](Self::next_wakeup) if no event occurs before. A refusal is final and is returned by the next poll.
 #[derive(Clone, Debug)]
 pub struct Admission {
     cfg: AdmissionConfig,
     calls: SlotMap<CallKey, Call>,
     queue: Queue,
     in_flight: u32,
-    /// When slots of calls that failed early are given back.
+    /// Release times of slots held after early failures.
     held: Vec<Instant>,
     limit: LimitControl,
     level: LevelControl,
     window: Window,
     estimate: ServiceEstimate,
     cold_since: Instant,
-    /// The latest time that was passed in.
-    latest: Instant,
+    /// Latest time passed to any method.
+    last_seen: Instant,
     actions: Vec<Action>,
     counters: [ClassCounters; Class::COUNT],
 }
 
-/// Shortest time for which the slot of a failed call is held, where no service time is known.
-const LEAST_HOLD: Duration = Duration::from_millis(5);
+/// Lower bound of the expected service time, which also applies while the service time is unknown.
+const MIN_EXPECTED_TIME: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     class: Class,
     deadline: Instant,
-    /// When the call went to the target; none while it waits.
+    /// Time at which the call was started; `None` while it is queued.
     started: Option<Instant>,
-    /// Time in which the target waited for further services.
-    below: Duration,
+    /// Time that the target spent waiting for downstream services.
+    downstream_wait: Duration,
 }
 
 impl Admission {
-    /// Admission for a target that is cold at `now`.
+    /// Creates a controller for a target that is cold at `now`.
     pub fn new(cfg: AdmissionConfig, now: Instant) -> Self {
         Self {
             calls: SlotMap::with_key(),
@@ -66,23 +66,23 @@
             window: Window::new(0, now),
             estimate: ServiceEstimate::new(cfg.estimate_half_life, now),
             cold_since: now,
-            latest: now,
+            last_seen: now,
             actions: Vec::new(),
             counters: [ClassCounters::default(); Class::COUNT],
             cfg,
         }
     }
 
-    /// Takes a call that wants to run.
+    /// Offers a call: starts, queues or refuses it.
     pub fn offer(&mut self, offer: Offer, now: Instant) -> CallKey {
         let offer = Offer {
             class: offer.class.min(Class::LOWEST),
             ..offer
         };
         self.advance(now);
-        self.fill(now);
-        self.count(offer.class).offered += 1;
-        self.level.offered(offer.class, offer.bucket);
+        self.start_queued(now);
+        self.counters_mut(offer.class).offered += 1;
+        self.level.record_offer(offer.class, offer.bucket);
         let Offer {
             class, deadline, ..
         } = offer;
@@ -90,7 +90,7 @@
             class,
             deadline,
             started: None,
-            below: Duration::ZERO,
+            downstream_wait: Duration::ZERO,
         });
         if let Some(refusal) = self.refusal(&offer, now) {
             self.refuse(key, refusal);
@@ -106,14 +106,15 @@
         key
     }
 
-    /// Notes how long the target waited for further services on behalf of a call; told before its end.
+    /// Records how long the target waited for downstream services during a call. Must be called before the call is
+    /// finished.
     pub fn record_downstream_wait(&mut self, key: CallKey, time: Duration) {
         if let Some(call) = self.calls.get_mut(key) {
-            call.below = time;
+            call.downstream_wait = time;
         }
     }
 
-    /// Takes the end of a started call.
+    /// Records the end of a started call.
     pub fn finish(&mut self, key: CallKey, finish: Finish, now: Instant) {
         let Some(call) = self.calls.get(key).copied() else {
             return;
@@ -129,18 +130,18 @@
         if finish == Finish::Failed && early {
             self.hold_slot(started, now);
         }
-        self.learn(started, call.below, finish, early, now);
-        let counters = self.count(call.class);
+        self.record_finish(started, call.downstream_wait, finish, early, now);
+        let counters = self.counters_mut(call.class);
         match finish {
             Finish::Served => counters.served += 1,
             Finish::Failed | Finish::FailedDownstream => counters.failed += 1,
             Finish::Cancelled => counters.cancelled += 1,
         }
         self.advance(now);
-        self.fill(now);
+        self.start_queued(now);
     }
 
-    /// Takes a call out whose caller left, whether it waits or runs.
+    /// Cancels a queued or started call whose caller has left.
     pub fn cancel(&mut self, key: CallKey, now: Instant) {
         let Some(call) = self.calls.get(key).copied() else {
             return;
@@ -151,29 +152,33 @@
         }
         self.calls.remove(key);
         self.queue.remove(key);
-        self.count(call.class).cancelled += 1;
-        self.note_queue();
+        self.counters_mut(call.class).cancelled += 1;
+        self.record_queue_state();
     }
 
-    /// Appends what is to be done now.
+    /// Appends all pending actions.
     pub fn poll(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.advance(now);
-        self.fill(now);
+        self.start_queued(now);
         actions.append(&mut self.actions);
     }
 
-    /// When to poll even if nothing happens.
+    /// Returns the time of the next poll that is required even without an event.
     pub fn next_wakeup(&self) -> Option<Instant> {
         let service = self.estimate.get(self.level.window_end());
-        let doomed = self.queue.iter().map(|call| doomed_at(call, service)).min();
-        let moving = !self.queue.is_empty() || self.level() < Level::OPEN;
-        let window_end = moving.then(|| self.level.window_end());
+        let expiry = self
+            .queue
+            .iter()
+            .map(|call| latest_start(call, service))
+            .min();
+        let adjusting = !self.queue.is_empty() || self.level() < Level::OPEN;
+        let window_end = adjusting.then(|| self.level.window_end());
         let waiting = !self.queue.is_empty();
         let free = self.held.iter().copied().min().filter(|_| waiting);
-        [doomed, window_end, free].into_iter().flatten().min()
+        [expiry, window_end, free].into_iter().flatten().min()
     }
 
-    /// Begins the slow start anew, as the target was restarted.
+    /// Restarts the cold start and discards what was learnt about the limit, after a restart of the target.
     pub fn restarted(&mut self, now: Instant) {
         self.cold_since = now;
         self.limit = LimitControl::new(&self.cfg);
@@ -181,7 +186,7 @@
         self.held.clear();
     }
 
-    /// The level below which calls are admitted now; told upwards with each answer.
+    /// Returns the current admission level, which is reported upstream with each answer.
     pub fn level(&self) -> Level {
         if self.cfg.level_shedding {
             self.level.level()
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Calls that may run at once.
+    /// Returns the current concurrency limit.
     pub fn limit(&self) -> u32 {
         match self.cfg.mode {
             AdmissionMode::Off => u32::MAX,
@@ -199,32 +204,32 @@
         }
     }
 
-    /// Calls at the target.
+    /// Returns the number of calls running at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Slots that are held after early failures at the target.
+    /// Returns the number of slots held after early failures at the target.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Calls that wait.
+    /// Returns the number of queued calls.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Estimated service time of a call that starts now; zero where nothing is known.
+    /// Returns the estimated service time of a call that starts now, or zero if it is unknown.
     pub fn service_time(&self, now: Instant) -> Duration {
         self.estimate.get(now)
     }
 
-    /// Counts of a class since the start.
+    /// Returns the counters of a class.
     pub fn counters(&self, class: Class) -> ClassCounters {
         self.counters[usize::from(class.min(Class::LOWEST).0)]
     }
 
-    /// Checks that the queue is within its bound.
+    /// Checks the invariant that the queue is within its bound.
     pub fn check(&self) -> Result<(), Invariant> {
         if self.queue.len() > self.cfg.queue_length {
             return Err(Invariant::QueuePastBound);
@@ -234,7 +239,7 @@
 
     fn adaptive_limit(&self) -> u32 {
         let age = self
-            .latest
+            .last_seen
             .saturating_duration_since(self.cold_since)
             .as_secs_f64();
         let cold_start = self.cfg.cold_start.as_secs_f64();
@@ -244,7 +249,7 @@
             age / cold_start
         };
         let share = self.cfg.cold_share + (1.0 - self.cfg.cold_share) * warm;
-        // The share comes last: a cold target is spared below the least limit, too.
+        // Applied after `min_limit`, so that the limit of a cold target can be lower than that.
         let limit = self.limit.get().max(f64::from(self.cfg.min_limit));
         ((limit * share).floor() as u32).max(1)
     }
@@ -253,17 +258,17 @@
         self.occupied() < self.limit()
     }
 
-    /// Slots in use by calls or held after their failure.
+    /// Returns the number of slots in use, including those held after early failures.
     fn occupied(&self) -> u32 {
         self.in_flight + self.held.len() as u32
     }
 
-    /// Keeps the slot of a call that failed early for as long as a served call would have taken.
+    /// Holds the slot of a call that failed early until a served call would have finished.
     ///
-    /// A target that sheds answers at once, without regard of classes. If its failures freed their slots at once, one
-    /// slot above what the target takes would burn the whole queue, bids included: one would see few calls queued here
-    /// and many of each class shed by the target. Held slots let a surplus slot fail one call per service time only, and
-    /// the limit has time to come down.
+    /// A target that sheds load by itself responds immediately and ignores classes. If its failures released their
+    /// slots immediately, a limit one above the target's capacity would drain the whole queue into failures, including
+    /// calls of the highest class. With held slots, each surplus slot fails only one call per service time, which
+    /// leaves time to lower the limit.
     fn hold_slot(&mut self, started: Instant, now: Instant) {
         if self.cfg.mode != AdmissionMode::Off {
             self.held.push(started + self.expected_time(now));
@@ -271,10 +276,10 @@
     }
 
     fn expected_time(&self, now: Instant) -> Duration {
-        self.estimate.get(now).max(LEAST_HOLD)
+        self.estimate.get(now).max(MIN_EXPECTED_TIME)
     }
 
-    /// Why a call is refused on arrival.
+    /// Returns the reason to refuse a call on arrival, if any.
     fn refusal(&self, offer: &Offer, now: Instant) -> Option<Refusal> {
         if self.cfg.mode == AdmissionMode::Off {
             return None;
@@ -302,32 +307,34 @@
     }
 
     fn order(&self) -> Order {
-        if self.level.standing() {
+        if self.level.queue_standing() {
             Order::Newest
         } else {
             Order::Oldest
         }
     }
 
-    /// Starts waiting calls while there are slots, after refusing those that can't finish any more.
-    fn fill(&mut self, now: Instant) {
-        self.refuse_doomed(now);
+    /// Starts queued calls while slots are free, after refusing those that can no longer finish in time.
+    fn start_queued(&mut self, now: Instant) {
+        self.refuse_expired(now);
         while self.has_slot() {
             let Some(call) = self.queue.pop(self.order()) else {
                 break;
             };
             self.start(call.key, now);
         }
-        self.note_queue();
+        self.record_queue_state();
     }
 
-    fn refuse_doomed(&mut self, now: Instant) {
+    fn refuse_expired(&mut self, now: Instant) {
         if !self.cfg.deadline_check {
             return;
         }
         let service = self.estimate.get(now);
-        let doomed = self.queue.take_if(|call| doomed_at(call, service) <= now);
-        for call in doomed {
+        let expired = self
+            .queue
+            .extract_if(|call| latest_start(call, service) <= now);
+        for call in expired {
             self.refuse(call.key, Refusal::Wait);
         }
     }
@@ -339,8 +346,8 @@
         call.started = Some(now);
         let class = call.class;
         self.in_flight += 1;
-        self.window.started(self.occupied());
-        self.count(class).started += 1;
+        self.window.record_start(self.occupied());
+        self.counters_mut(class).started += 1;
         self.actions.push(Action::Start(key));
     }
 
@@ -349,9 +356,9 @@
             return;
         };
         if matches!(refusal, Refusal::Queue | Refusal::Wait) {
-            self.level.refused(call.class);
+            self.level.record_refusal(call.class);
         }
-        let counters = self.count(call.class);
+        let counters = self.counters_mut(call.class);
         match refusal {
             Refusal::Level => counters.shed_by_level += 1,
             Refusal::Queue => counters.shed_by_queue += 1,
@@ -360,17 +367,17 @@
         self.actions.push(Action::Refuse(key, refusal.kind()));
     }
 
-    /// Closes windows that are over.
+    /// Closes elapsed windows, adjusts limit and level, and releases held slots.
     fn advance(&mut self, now: Instant) {
-        self.latest = self.latest.max(now);
+        self.last_seen = self.last_seen.max(now);
         if self.cfg.mode == AdmissionMode::Off {
             return;
         }
         self.held.retain(|until| *until > now);
         let (min, samples) = (self.cfg.window, self.cfg.window_samples);
-        if let Some(seen) = self.window.close(min, samples, self.occupied(), now) {
-            self.limit.update(&self.cfg, seen, now);
-            if let Some(times) = seen.times {
+        if let Some(summary) = self.window.close(min, samples, self.occupied(), now) {
+            self.limit.update(&self.cfg, summary, now);
+            if let Some(times) = summary.times {
                 self.estimate.update(times.median, now);
             }
         }
@@ -380,49 +387,50 @@
         }
     }
 
-    /// Refuses waiting calls above a lower level now, as they would only be refused later.
+    /// Refuses queued calls above the lowered level.
     fn shed_above_level(&mut self) {
         let level = self.level();
         let shed = self
             .queue
-            .take_if(|call| !level.admits(call.offer.class, call.offer.bucket));
+            .extract_if(|call| !level.admits(call.offer.class, call.offer.bucket));
         for call in shed {
             self.refuse(call.key, Refusal::Level);
         }
     }
 
-    fn learn(
+    fn record_finish(
         &mut self,
         started: Instant,
-        below: Duration,
+        downstream_wait: Duration,
         finish: Finish,
         early: bool,
         now: Instant,
     ) {
-        // Failures past the deadline or the usual time are seen in the service times; early ones tell that the target
-        // sheds or is broken.
-        self.window.finished();
+        // Failures after the deadline or the expected service time count as service time samples. Early failures mean
+        // that the target sheds calls or is broken.
+        self.window.record_finish();
         if finish == Finish::Failed && early {
-            self.window.failed_early(self.in_flight);
+            self.window.record_early_failure(self.in_flight);
         }
         if finish == Finish::Served {
-            self.level.served();
+            self.level.record_served();
         }
-        // A call that was given up after a long time took at least so long. Without it a target that answers nothing
-        // in time would keep the estimate of its good days, seen as calls started that all run past their deadlines.
+        // A call that was given up took at least this long. Without these samples, the estimate for a target that no
+        // longer answers in time would stay low, and calls would be started that all exceed their deadlines.
         let long = now >= started + self.expected_time(now);
         if finish == Finish::Served || long {
-            self.window.sample(started, below, now);
+            self.window
+                .record_service_time(started, downstream_wait, now);
         }
     }
 
-    fn note_queue(&mut self) {
+    fn record_queue_state(&mut self) {
         if self.queue.is_empty() {
-            self.level.queue_empty();
+            self.level.record_empty_queue();
         }
     }
 
-    fn count(&mut self, class: Class) -> &mut ClassCounters {
+    fn counters_mut(&mut self, class: Class) -> &mut ClassCounters {
         &mut self.counters[usize::from(class.0)]
     }
 }
--- a/crates/core/src/admission/level_control.rs
+++ b/crates/core/src/admission/level_control.rs
@@ -1,84 +1,89 @@
-//! Moves the admission level of this node.
+//! Adjusts the admission level of this node.
 
 use std::time::{Duration, Instant};
 
 use super::Level;
 use crate::class::Class;
 
-/// Weight of a window's arrivals in the demand of a class.
+/// Weight of the latest window in the demand of a class.
 const DEMAND_WEIGHT: f64 = 0.5;
 
-/// Weight of a window's served calls in their rate; their noise would else be taken for a loss of capacity.
+/// Weight of the latest window in the served rate. A low weight keeps noise from being mistaken for lost capacity.
 const SERVED_WEIGHT: f64 = 0.25;
 
-/// Least share of a class that counts when its demand is reckoned from its admitted part.
-const MIN_SHARE: f64 = 0.1;
+/// Lower bound of the admitted share as a weight when the demand of a class is extrapolated from its admitted part.
+const MIN_ADMITTED_SHARE: f64 = 0.1;
 
-/// Factor per window by which the demand of a class that is shed as a whole is forgotten.
-const DEMAND_FADE: f64 = 0.95;
+/// Decay factor per window of the demand of a class that is shed completely.
+const DEMAND_DECAY: f64 = 0.95;
 
-/// Admitted demand after a window of overload, as a share of that before; DAGOR's 5 %.
+/// Admitted demand after an overloaded window, relative to the previous one; 5 % less, as in DAGOR.
 const OVERLOAD_SHARE: f64 = 0.95;
 
-/// Admitted demand after a window of overload, as a share of what was served: keeps the slots in use.
-const SERVED_SHARE: f64 = 1.15;
+/// Upper bound of the admitted demand after an overloaded window, relative to the served rate; keeps the slots in use.
+const MAX_SERVED_SHARE: f64 = 1.15;
 
-/// Least admitted demand after a window of overload, as a share of what was served: the queue drains at this load, and
-/// lower steps only add up to idle slots and calls shed in vain.
-const DRAIN_SHARE: f64 = 0.95;
+/// Lower bound of the admitted demand after an overloaded window, relative to the served rate. The queue drains at this
+/// load; lower values would accumulate over windows into idle slots and needless shedding.
+const MIN_SERVED_SHARE: f64 = 0.95;
 
-/// Growth of the admitted demand after the first calm window.
+/// Growth of the admitted demand after the first window without overload.
 const GROWTH: f64 = 0.05;
 
-/// Most growth per window.
+/// Maximum growth per window.
 const MAX_GROWTH: f64 = 0.5;
 
-/// Least rise of the level's position after the first calm window.
-const STEP: u16 = 4;
+/// Minimum rise of the level's position after the first window without overload.
+const MIN_RISE: u16 = 4;
 
-/// Most doublings of growth and step.
+/// Maximum number of doublings of the growth and the minimum rise.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Share of refused calls (one in this many) from which a window counts as overloaded.
-const REFUSED_ONE_IN: u32 = 20;
+/// A window counts as overloaded if at least one in this many offered calls was refused.
+const OVERLOAD_REFUSAL_DIVISOR: u32 = 20;
 
-/// Windows without an arrival after which the level is open again.
+/// Number of windows without an arrival after which the level is opened.
 const IDLE_WINDOWS: u32 = 20;
 
-/// Counts arrivals by class and moves the level once a window.
+/// Counts arrivals per class and adjusts the level once per window.
 ///
-/// As in DAGOR, the load to admit is computed from what was admitted and then turned into a threshold by the arrivals
-/// per class. Three things differ. Overload is seen by a queue that did not empty within a window, as in CoDel, and by
-/// refusals. The load to admit is capped by what the target served in the window, so that the level reaches the
-/// capacity in a few windows at any surge. And the rise doubles from window to window while calm lasts.
+/// As in DAGOR, the load to admit is derived from the previously admitted load and converted into a threshold with the
+/// demand per class. There are three differences:
+///
+/// - Overload is detected by refusals and, as in CoDel, by a queue that was never empty during a window.
+/// - The load to admit is bounded by the served rate, so that the level reaches the capacity within a few windows
+///   regardless of the size of the surge.
+/// - The rise doubles with every further window without overload.
 #[derive(Clone, Debug)]
 pub(super) struct LevelControl {
     level: Level,
-    begun: Instant,
+    window_started: Instant,
     window: Duration,
+    /// Calls offered in this window, per class.
     offered: [u32; Class::COUNT],
-    within: [u32; Class::COUNT],
-    /// Calls per second of each class, wherever they were shed.
+    /// Calls offered in this window that were within the level, per class.
+    within_level: [u32; Class::COUNT],
+    /// Estimated calls per second of each class, including calls shed upstream.
     demand: [f64; Class::COUNT],
     served: u32,
-    /// Calls served per second, smoothed.
+    /// Moving average of the calls served per second.
     served_rate: f64,
     refused: u32,
-    /// Those of the highest class among them.
+    /// Refused calls of the highest class.
     refused_highest: u32,
     queue_was_empty: bool,
     calm_windows: u32,
-    standing: bool,
+    queue_standing: bool,
 }
 
 impl LevelControl {
     pub(super) fn new(window: Duration, now: Instant) -> Self {
         Self {
             level: Level::OPEN,
-            begun: now,
+            window_started: now,
             window: window.max(Duration::from_millis(1)),
             offered: [0; Class::COUNT],
-            within: [0; Class::COUNT],
+            within_level: [0; Class::COUNT],
             demand: [0.0; Class::COUNT],
             served: 0,
             served_rate: 0.0,
@@ -86,7 +91,7 @@
             refused_highest: 0,
             queue_was_empty: true,
             calm_windows: 0,
-            standing: false,
+            queue_standing: false,
         }
     }
 
@@ -94,63 +99,63 @@
         self.level
     }
 
-    /// Whether the queue stood over the whole last window.
-    pub(super) fn standing(&self) -> bool {
-        self.standing
+    /// Returns whether the queue was never empty during the last window.
+    pub(super) fn queue_standing(&self) -> bool {
+        self.queue_standing
     }
 
-    /// When the current window ends.
+    /// Returns the end of the current window.
     pub(super) fn window_end(&self) -> Instant {
-        self.begun + self.window
+        self.window_started + self.window
     }
 
-    pub(super) fn offered(&mut self, class: Class, bucket: u8) {
+    pub(super) fn record_offer(&mut self, class: Class, bucket: u8) {
         let index = usize::from(class.min(Class::LOWEST).0);
         self.offered[index] += 1;
-        self.within[index] += u32::from(self.level.admits(class, bucket));
+        self.within_level[index] += u32::from(self.level.admits(class, bucket));
     }
 
-    pub(super) fn served(&mut self) {
+    pub(super) fn record_served(&mut self) {
         self.served += 1;
     }
 
-    /// Counts a call that found no place although it was within the level.
-    pub(super) fn refused(&mut self, class: Class) {
+    /// Records a call that was within the level but was refused for lack of queue space or time.
+    pub(super) fn record_refusal(&mut self, class: Class) {
         self.refused += 1;
         self.refused_highest += u32::from(class == Class::HIGHEST);
     }
 
-    pub(super) fn queue_empty(&mut self) {
+    pub(super) fn record_empty_queue(&mut self) {
         self.queue_was_empty = true;
     }
 
-    /// Ends the window if it is over; true where the level fell.
+    /// Closes the window if it has elapsed. Returns whether the level was lowered.
     pub(super) fn advance(&mut self, queue_empty: bool, now: Instant) -> bool {
-        let elapsed = now.saturating_duration_since(self.begun);
+        let elapsed = now.saturating_duration_since(self.window_started);
         if elapsed < self.window {
             return false;
         }
         let before = self.level;
         let windows = (elapsed.as_secs_f64() / self.window.as_secs_f64()) as u32;
-        self.learn(elapsed.as_secs_f64());
-        self.standing = !self.queue_was_empty;
+        self.update_demand(elapsed.as_secs_f64());
+        self.queue_standing = !self.queue_was_empty;
         self.level = self.next_level(windows);
         self.reset(queue_empty, now);
         self.level < before
     }
 
-    /// Takes the window's arrivals into the demand.
-    fn learn(&mut self, seconds: f64) {
+    /// Updates the demand and the served rate with the counts of the window.
+    fn update_demand(&mut self, seconds: f64) {
         for index in 0..Class::COUNT {
             let share = self.level.share_of(Class(index as u8));
             let offered = f64::from(self.offered[index]) / seconds;
-            let within = f64::from(self.within[index]) / seconds;
+            let within_level = f64::from(self.within_level[index]) / seconds;
             let demand = &mut self.demand[index];
             if share > 0.0 {
-                let seen = (within / share).max(offered);
-                *demand += (seen - *demand) * DEMAND_WEIGHT * share.max(MIN_SHARE);
+                let extrapolated = (within_level / share).max(offered);
+                *demand += (extrapolated - *demand) * DEMAND_WEIGHT * share.max(MIN_ADMITTED_SHARE);
             } else {
-                *demand *= DEMAND_FADE;
+                *demand *= DEMAND_DECAY;
             }
             *demand = demand.max(offered * DEMAND_WEIGHT);
         }
@@ -165,8 +170,8 @@
 
     fn next_level(&mut self, windows: u32) -> Level {
         let offered = self.offered.iter().sum::<u32>();
-        let refused = self.refused > 0 && self.refused * REFUSED_ONE_IN >= offered;
-        if self.standing || refused {
+        let refused = self.refused > 0 && self.refused * OVERLOAD_REFUSAL_DIVISOR >= offered;
+        if self.queue_standing || refused {
             self.calm_windows = 0;
             return self.lowered();
         }
@@ -179,19 +184,19 @@
     }
 
     fn lowered(&self) -> Level {
-        let admitted = self.admitted() * OVERLOAD_SHARE;
-        let least = self.served_rate * DRAIN_SHARE;
-        let most = self.served_rate * SERVED_SHARE;
+        let admitted = self.admitted_demand() * OVERLOAD_SHARE;
+        let least = self.served_rate * MIN_SERVED_SHARE;
+        let most = self.served_rate * MAX_SERVED_SHARE;
         let level = self.level_for(admitted.clamp(least, most));
-        level.max(self.lowest_next()).min(self.level)
+        level.max(self.lowest_next_level()).min(self.level)
     }
 
-    /// The lowest level that may follow.
+    /// Returns the lowest level that the next window may have.
     ///
-    /// Were the highest class shed in the window in which lower ones still start, calls of both would be judged by an
-    /// estimate from before: one would see a bid refused and a lookup served at the same time. So the level stops above
-    /// the highest class for one window, and goes on only if the queue has not sufficed for that class.
-    fn lowest_next(&self) -> Level {
+    /// If the level fell below the highest class while lower classes were still running, that class could be shed at
+    /// the same time as a lower one is served. So the whole highest class stays admitted for at least one window, and
+    /// the level falls further only if calls of that class were refused in it.
+    fn lowest_next_level(&self) -> Level {
         if self.level.class == Class::HIGHEST && self.refused_highest > 0 {
             return Level::FLOOR;
         }
@@ -204,19 +209,19 @@
     fn raised(&self, doublings: u32) -> Level {
         let factor = 1u16 << doublings;
         let growth = (GROWTH * f64::from(factor)).min(MAX_GROWTH);
-        let level = self.level_for(self.admitted() * (1.0 + growth));
-        let above = Level::from_position(self.level.position().saturating_add(STEP * factor));
+        let level = self.level_for(self.admitted_demand() * (1.0 + growth));
+        let above = Level::from_position(self.level.position().saturating_add(MIN_RISE * factor));
         level.max(above)
     }
 
-    /// Demand per second that the level admits.
-    fn admitted(&self) -> f64 {
+    /// Returns the demand per second that the level admits.
+    fn admitted_demand(&self) -> f64 {
         let admits =
             |(index, demand): (usize, &f64)| self.level.share_of(Class(index as u8)) * demand;
         self.demand.iter().enumerate().map(admits).sum()
     }
 
-    /// The level that admits this much demand per second.
+    /// Returns the level that admits this demand per second.
     fn level_for(&self, rate: f64) -> Level {
         let mut left = rate;
         for (index, &demand) in self.demand.iter().enumerate() {
@@ -230,9 +235,9 @@
     }
 
     fn reset(&mut self, queue_empty: bool, now: Instant) {
-        self.begun = now;
+        self.window_started = now;
         self.offered = [0; Class::COUNT];
-        self.within = [0; Class::COUNT];
+        self.within_level = [0; Class::COUNT];
         self.served = 0;
         self.refused = 0;
         self.refused_highest = 0;
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -1,70 +1,70 @@
-//! The learnt concurrency limit.
+//! Adaptive concurrency limit.
 
-mod cuts;
+mod cut_series;
 mod overshoot;
 
 use std::time::Instant;
 
 use super::config::{AdmissionConfig, LimitRule};
-use super::window::{Seen, Times};
-use cuts::Cuts;
+use super::window::{ServiceTimes, WindowSummary};
+use cut_series::CutSeries;
 use overshoot::{NormalFailures, Overshoot};
 
-/// Smallest factor of one cut by the gradient rule.
-const GRADIENT_FLOOR: f64 = 0.7;
+/// Lower bound of the factor of one cut by the gradient rule.
+const MIN_GRADIENT_FACTOR: f64 = 0.7;
 
-/// Share of failures above the normal one from which a single window is not acted on.
+/// Failure share in excess of the normal one above which a second window must confirm an overshoot.
 const LARGE_OVERSHOOT: f64 = 0.2;
 
-/// Largest factor of one cut for failures.
-const FAILURE_CUT: f64 = 0.95;
+/// Upper bound of the factor of one cut because of failures.
+const MAX_FAILURE_CUT_FACTOR: f64 = 0.95;
 
 /// Factor of one cut by the AIMD rule.
-const CUT: f64 = 0.9;
+const AIMD_CUT_FACTOR: f64 = 0.9;
 
-/// Share of the limit that must have been in use for a window to say anything about the limit.
+/// Minimum utilization of the limit for a window to be evidence about the limit.
 const USED_SHARE: f64 = 0.9;
 
-/// Standard errors by which a mean service time must differ before it counts as longer or shorter.
-const SURE: f64 = 2.0;
+/// Number of standard errors by which a measurement must differ to be significant.
+const SIGNIFICANT_ERRORS: f64 = 2.0;
 
-/// Weight of a shorter service time in the uncongested one.
+/// Weight of a significantly shorter service time in the base.
 const BASE_WEIGHT: f64 = 0.3;
 
-/// A service time within this factor of the uncongested one confirms it.
-const BASE_CONFIRMED: f64 = 1.05;
+/// A service time within this factor of the base confirms the base.
+const BASE_CONFIRM_FACTOR: f64 = 1.05;
 
-/// Most rise of the uncongested service time at once.
-const BASE_RISE: f64 = 2.5;
+/// Maximum factor by which the base rises when a series of cuts is reverted.
+const MAX_BASE_RISE: f64 = 2.5;
 
-/// Limit of a window that measures the uncongested service time, as a share of the limit over the tolerance.
+/// Limit during a probe of the uncongested service time, relative to the limit divided by the tolerance.
 const PROBE_SHARE: f64 = 0.8;
 
-/// Moves the limit at the end of each window.
+/// Adjusts the limit at the end of each window.
 ///
-/// Service times above `tolerance` times the uncongested one count as queueing inside the target. Three guards keep this
-/// from misleading.
+/// Service times above `tolerance` times the uncongested service time (the base) indicate queueing inside the target.
+/// Three mechanisms avoid false conclusions:
 ///
-/// - Service times vary without any queueing. With a plain comparison the shortest windows make the base and all others
-///   look congested: the limit falls to its minimum and stays there. So a difference counts only where it is larger than
-///   the standard error of the window explains.
-/// - A deep service that slows down or fails makes calls long or failed here although nothing queues here, and cutting
-///   the limit would cost throughput; one would see the limit at its minimum and an idle target. So a series of cuts that
-///   makes neither service times shorter nor failures fewer is taken back, and what was seen becomes the new base.
-/// - Under lasting congestion the uncongested time would be forgotten and the limit creep upwards with every lifetime of
-///   the base. So one window in each lifetime runs at a lower limit and measures it again.
+/// - Service times vary without any queueing. In a plain comparison, the window with the shortest times would set the
+///   base, all others would look congested, and the limit would fall to its minimum and stay there. So only differences
+///   beyond the standard error of the window are considered.
+/// - A slow or failing downstream service makes calls slow or failed here although nothing queues here. Cutting the
+///   limit would then reduce throughput, down to the minimum limit at an idle target. So a series of cuts that improves
+///   neither service times nor failures is reverted, and the observed values become the new base.
+/// - Under lasting congestion the base would expire and be replaced by a congested service time, so that the limit
+///   would creep up with every `base_lifetime`. So one window per lifetime probes the base with a lower limit.
 #[derive(Clone, Debug)]
 pub(super) struct LimitControl {
     limit: f64,
     base: Option<Base>,
     normal: NormalFailures,
-    cuts: Option<Cuts>,
-    /// The limit above which the target fails calls.
+    cuts: Option<CutSeries>,
+    /// Limit above which the target recently failed calls.
     ceiling: Option<Ceiling>,
-    /// Whether the window before was congested.
+    /// Whether the previous window was congested.
     congested: bool,
-    /// The limit to go back to after a measuring window.
-    probed_from: Option<f64>,
+    /// Limit to restore after a probe, while one is running.
+    limit_before_probe: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -88,7 +88,7 @@
             cuts: None,
             ceiling: None,
             congested: false,
-            probed_from: None,
+            limit_before_probe: None,
         }
     }
 
@@ -96,19 +96,19 @@
         self.limit
     }
 
-    /// Moves the limit by what a window has shown.
-    pub(super) fn update(&mut self, cfg: &AdmissionConfig, seen: Seen, now: Instant) {
-        let overshoot = self.normal.overshoot(cfg, self.limit, &seen);
-        let used = f64::from(seen.peak) >= self.limit.floor() * USED_SHARE;
+    /// Adjusts the limit after a window.
+    pub(super) fn update(&mut self, cfg: &AdmissionConfig, summary: WindowSummary, now: Instant) {
+        let overshoot = self.normal.overshoot(cfg, self.limit, &summary);
+        let used = f64::from(summary.peak) >= self.limit.floor() * USED_SHARE;
         if let Some(overshoot) = overshoot {
-            self.cut_overshoot(cfg, &seen, overshoot, now);
+            self.cut_to_accepted(cfg, &summary, overshoot, now);
             return;
         }
-        self.judge_failing_series(cfg, &seen);
-        let Some(times) = seen.times else {
+        self.evaluate_failure_series(cfg, &summary);
+        let Some(times) = summary.times else {
             return;
         };
-        if let Some(limit) = self.probed_from.take() {
+        if let Some(limit) = self.limit_before_probe.take() {
             self.base = Some(Base {
                 seconds: times.mean,
                 confirmed: now,
@@ -116,91 +116,93 @@
             self.limit = limit;
             return;
         }
-        let base = self.confirm(&times, now);
+        let base = self.update_base(&times, now);
         if !used {
             self.end_series(now);
-            self.forget_base(cfg, times.mean, now);
+            self.replace_expired_base(cfg, times.mean, now);
             return;
         }
-        let ratio = cfg.tolerance * base / (times.mean - SURE * times.error).max(f64::EPSILON);
+        let ratio = cfg.tolerance * base
+            / (times.mean - SIGNIFICANT_ERRORS * times.error).max(f64::EPSILON);
         let congested_before = self.congested;
         self.congested = ratio < 1.0;
         if self.congested && !congested_before {
-            // The load may still have been rising within this window. Were the series of cuts judged against it, the
-            // cuts would look useless at each onset of a surge and the limit stay too high.
+            // The load may have been rising during this window. As a reference for a series of cuts, it would make the
+            // cuts look ineffective at the onset of every surge, and the limit would stay too high.
             return;
         }
         if self.congested {
-            let current = Cuts {
+            let current = CutSeries {
                 limit: self.limit,
                 used: self.limit,
                 seconds: times.mean,
-                failed: seen.failed,
-                failing: false,
+                failed: summary.failed,
+                by_failures: false,
             };
-            self.cut(cfg, self.limit * factor(cfg, ratio), current);
+            self.cut(cfg, self.limit * cut_factor(cfg, ratio), current);
             return;
         }
         self.end_series(now);
         if now.saturating_duration_since(self.base_confirmed(now)) >= cfg.base_lifetime {
-            self.probed_from = Some(self.limit);
+            self.limit_before_probe = Some(self.limit);
             self.scale(cfg, PROBE_SHARE / cfg.tolerance);
             return;
         }
         self.grow(cfg, now);
     }
 
-    /// Takes a series of cuts for failures back where the failures stay though they are normal by now.
-    fn judge_failing_series(&mut self, cfg: &AdmissionConfig, seen: &Seen) {
-        let Some(before) = self.cuts.filter(|cuts| cuts.failing) else {
+    /// Reverts a series of cuts because of failures if the failures persist but are within the normal share by now.
+    fn evaluate_failure_series(&mut self, cfg: &AdmissionConfig, summary: &WindowSummary) {
+        let Some(before) = self.cuts.filter(|cuts| cuts.by_failures) else {
             return;
         };
-        let current = Cuts {
-            failed: seen.failed,
+        let current = CutSeries {
+            failed: summary.failed,
             ..before
         };
-        if before.is_useless(&current) {
-            self.take_back(cfg, before, current);
+        if before.is_ineffective(&current) {
+            self.revert(cfg, before, current);
         }
     }
 
-    /// Forgets a series of cuts after a window without congestion.
+    /// Ends a series of cuts after a window without congestion.
     ///
-    /// A series for failures stays as long as its ceiling: a window with few failures by chance would else begin a new
-    /// series from the lower limit, and failures of another cause would bring the limit down step by step for good.
+    /// A series because of failures lasts as long as its ceiling. Otherwise, a window with few failures by chance would
+    /// start a new series from the lower limit, and failures of another cause would gradually and permanently reduce
+    /// the limit.
     fn end_series(&mut self, now: Instant) {
-        let failing = self.cuts.is_some_and(|cuts| cuts.failing);
+        let by_failures = self.cuts.is_some_and(|cuts| cuts.by_failures);
         let held = self.ceiling.is_some_and(|ceiling| now < ceiling.until);
-        if !(failing && held) {
+        if !(by_failures && held) {
             self.cuts = None;
         }
     }
 
-    /// Goes down to what the target takes.
+    /// Cuts the limit to the number of calls that the target accepts.
     ///
-    /// A target that sheds by itself knows no classes: above its slots it fails bids and lookups alike. It answers at once,
-    /// so the calls in flight never reach a limit far above the slots, nothing waits here, and service times don't rise.
-    /// Were the limit to grow again at once, it would do so in each second window. So what the target took is remembered
-    /// as a ceiling for a while.
-    fn cut_overshoot(
+    /// A target that sheds load by itself ignores classes: above its slots it fails calls of any class. It responds
+    /// immediately, so the calls in flight never reach a limit far above its slots, nothing is queued here, and service
+    /// times don't rise. Without further measures the limit would grow again in every second window. So the number of
+    /// accepted calls is kept as a ceiling for `base_lifetime`.
+    fn cut_to_accepted(
         &mut self,
         cfg: &AdmissionConfig,
-        seen: &Seen,
+        summary: &WindowSummary,
         overshoot: Overshoot,
         now: Instant,
     ) {
-        // As with service times, the first window of a large overshoot may show a load that was still rising.
-        let large = seen.failed - self.normal.share > LARGE_OVERSHOOT;
+        // As with service times, the load may have been rising during the first window of a large overshoot.
+        let large = summary.failed - self.normal.share > LARGE_OVERSHOOT;
         if !std::mem::replace(&mut self.congested, true) && large {
             return;
         }
-        let seconds = seen.times.map_or(0.0, |times| times.mean);
-        let current = Cuts {
+        let seconds = summary.times.map_or(0.0, |times| times.mean);
+        let current = CutSeries {
             limit: self.limit,
             used: overshoot.used,
             seconds,
-            failed: seen.failed,
-            failing: true,
+            failed: summary.failed,
+            by_failures: true,
         };
         let until = now + cfg.base_lifetime;
         self.ceiling = Some(Ceiling {
@@ -209,23 +211,25 @@
         });
         self.cut(
             cfg,
-            overshoot.accepted.min(overshoot.used * FAILURE_CUT),
+            overshoot
+                .accepted
+                .min(overshoot.used * MAX_FAILURE_CUT_FACTOR),
             current,
         );
     }
 
-    /// Takes a service time into the uncongested one, which is returned.
-    fn confirm(&mut self, times: &Times, now: Instant) -> f64 {
+    /// Updates the base with the service times of a window and returns it.
+    fn update_base(&mut self, times: &ServiceTimes, now: Instant) -> f64 {
         let base = self.base.get_or_insert(Base {
             seconds: times.mean,
             confirmed: now,
         });
-        if times.mean <= base.seconds * BASE_CONFIRMED {
+        if times.mean <= base.seconds * BASE_CONFIRM_FACTOR {
             base.confirmed = now;
         }
-        let surely = times.mean + SURE * times.error;
-        if surely < base.seconds {
-            base.seconds += (surely - base.seconds) * BASE_WEIGHT;
+        let upper_bound = times.mean + SIGNIFICANT_ERRORS * times.error;
+        if upper_bound < base.seconds {
+            base.seconds += (upper_bound - base.seconds) * BASE_WEIGHT;
         }
         base.seconds
     }
@@ -234,8 +238,8 @@
         self.base.map_or(now, |base| base.confirmed)
     }
 
-    /// Below the limit nothing queues at the target, so an old base gives way without a measuring window.
-    fn forget_base(&mut self, cfg: &AdmissionConfig, seconds: f64, now: Instant) {
+    /// Replaces an expired base without a probe, as nothing queues at the target while the limit isn't reached.
+    fn replace_expired_base(&mut self, cfg: &AdmissionConfig, seconds: f64, now: Instant) {
         if now.saturating_duration_since(self.base_confirmed(now)) >= cfg.base_lifetime {
             self.base = Some(Base {
                 seconds,
@@ -244,26 +248,26 @@
         }
     }
 
-    fn cut(&mut self, cfg: &AdmissionConfig, limit: f64, current: Cuts) {
+    fn cut(&mut self, cfg: &AdmissionConfig, limit: f64, current: CutSeries) {
         let before = *self.cuts.get_or_insert(current);
-        let judged = current.limit <= before.used * before.judged_share();
-        if judged && before.is_useless(&current) {
-            self.take_back(cfg, before, current);
+        let evaluated = current.limit <= before.used * before.evaluation_share();
+        if evaluated && before.is_ineffective(&current) {
+            self.revert(cfg, before, current);
             return;
         }
-        if judged {
+        if evaluated {
             self.cuts = Some(current);
         }
         self.limit = limit;
         self.scale(cfg, 1.0);
-        // At the minimum no further cut can be judged, and the limit would stay there for good.
+        // At the minimum limit no further cut can be evaluated, and the limit would never recover.
         if self.limit >= current.limit {
-            self.take_back(cfg, before, current);
+            self.revert(cfg, before, current);
         }
     }
 
-    /// Goes back to the limit before the cuts and takes what is seen now for normal.
-    fn take_back(&mut self, cfg: &AdmissionConfig, before: Cuts, current: Cuts) {
+    /// Restores the limit before the cuts and makes the current failure share and service time the new normal.
+    fn revert(&mut self, cfg: &AdmissionConfig, before: CutSeries, current: CutSeries) {
         self.limit = before.limit;
         self.cuts = None;
         self.normal.share = current.failed.min(before.failed);
@@ -271,7 +275,7 @@
         if let Some(base) = &mut self.base {
             base.seconds = current
                 .seconds
-                .clamp(base.seconds, base.seconds * BASE_RISE);
+                .clamp(base.seconds, base.seconds * MAX_BASE_RISE);
         }
         self.scale(cfg, 1.0);
     }
@@ -291,10 +295,10 @@
     }
 }
 
-/// The factor of a cut for long service times.
-fn factor(cfg: &AdmissionConfig, ratio: f64) -> f64 {
+/// Returns the factor of a cut because of long service times.
+fn cut_factor(cfg: &AdmissionConfig, ratio: f64) -> f64 {
     match cfg.limit_rule {
-        LimitRule::Aimd => CUT,
-        LimitRule::Gradient => ratio.clamp(GRADIENT_FLOOR, 1.0),
+        LimitRule::Aimd => AIMD_CUT_FACTOR,
+        LimitRule::Gradient => ratio.clamp(MIN_GRADIENT_FACTOR, 1.0),
     }
 }
--- a/crates/core/src/admission/limit/overshoot.rs
+++ b/crates/core/src/admission/limit/overshoot.rs
@@ -1,50 +1,50 @@
-//! Failures that tell of more calls than the target takes.
+//! Detects failures caused by sending more calls than the target accepts.
 
-use super::SURE;
+use super::SIGNIFICANT_ERRORS;
 use crate::admission::config::AdmissionConfig;
-use crate::admission::window::Seen;
+use crate::admission::window::WindowSummary;
 
-/// Failures in a window below which they count as chance.
+/// Number of early failures in a window below which they are treated as noise.
 const MIN_FAILURES: u32 = 4;
 
-/// Weight of a window's share of failures in that which counts as normal, unless it is beyond that.
+/// Weight of a window without an overshoot in the normal failure share.
 const NORMAL_WEIGHT: f64 = 0.05;
 
-/// More calls than the target takes.
+/// A window in which the target was sent more calls than it accepts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Overshoot {
-    /// Calls that were at the target at most.
+    /// Peak number of calls at the target, at most the limit.
     pub(super) used: f64,
-    /// Calls that it took of these.
+    /// Number of concurrent calls that the target accepted.
     pub(super) accepted: f64,
 }
 
-/// The share of calls that fail for other causes than too many calls.
+/// Share of calls that fail early for reasons other than an overshoot.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct NormalFailures {
     pub(super) share: f64,
 }
 
 impl NormalFailures {
-    /// Failures beyond the normal share, as far as they are no chance.
+    /// Returns an overshoot if early failures exceed the normal share significantly; otherwise updates that share.
     pub(super) fn overshoot(
         &mut self,
         cfg: &AdmissionConfig,
         limit: f64,
-        seen: &Seen,
+        summary: &WindowSummary,
     ) -> Option<Overshoot> {
-        let excess = seen.failed - self.share;
-        let variance = self.share * (1.0 - self.share) / f64::from(seen.finished.max(1));
-        let threshold = cfg.failure_share + SURE * variance.sqrt();
-        if seen.failures < MIN_FAILURES || excess <= threshold {
+        let excess = summary.failed - self.share;
+        let variance = self.share * (1.0 - self.share) / f64::from(summary.finished.max(1));
+        let threshold = cfg.failure_share + SIGNIFICANT_ERRORS * variance.sqrt();
+        if summary.failures < MIN_FAILURES || excess <= threshold {
             self.share += excess * NORMAL_WEIGHT;
             return None;
         }
-        // Below its limit the target would have been sent more: what was in use is what counts.
-        let used = limit.min(f64::from(seen.peak));
+        // The limit may not have been reached, so the calls in use are what the target was actually sent.
+        let used = limit.min(f64::from(summary.peak));
         Some(Overshoot {
             used,
-            accepted: seen.accepted.ceil(),
+            accepted: summary.accepted.ceil(),
         })
     }
 }
--- a/crates/core/src/admission/window.rs
+++ b/crates/core/src/admission/window.rs
@@ -1,59 +1,59 @@
-//! Samples gathered between two moves of the limit.
+//! Measurements between two adjustments of the limit.
 
 use std::time::{Duration, Instant};
 
-/// Service times kept of one window; further ones are counted only.
+/// Maximum number of service times kept per window; further calls are only counted.
 const MAX_SAMPLES: usize = 256;
 
-/// Calls that a target takes, over the fewest that it worked on when it failed another one.
-const LEAST_LEFT_FACTOR: f64 = 1.15;
+/// Upper bound of the accepted calls, relative to the fewest that remained at the target after an early failure.
+const MAX_ACCEPTED_FACTOR: f64 = 1.15;
 
-/// What was seen of the target since the limit last moved.
+/// Measurements of the target since the limit was last adjusted.
 #[derive(Clone, Debug)]
 pub(super) struct Window {
-    begun: Instant,
+    started_at: Instant,
     samples: Vec<Sample>,
     finished: u32,
     failed: u32,
     peak: u32,
-    /// Sum of the calls that were left at the target when one failed early.
-    left: u64,
-    /// The least of them.
-    least_left: u32,
+    /// Sum over early failures of the calls that remained at the target.
+    remaining: u64,
+    /// Fewest calls that remained at the target after an early failure.
+    min_remaining: u32,
 }
 
 /// Service time of one call.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    /// From its start to its end.
+    /// Time from start to end.
     whole: Duration,
-    /// The same without the time in which the target waited for further services.
+    /// `whole` without the time that the target waited for downstream services.
     own: Duration,
 }
 
-/// A closed window.
+/// Statistics of a closed window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Seen {
+pub(super) struct WindowSummary {
     /// Service times of calls that started within the window.
-    pub(super) times: Option<Times>,
+    pub(super) times: Option<ServiceTimes>,
     /// Number of calls that failed early.
     pub(super) failures: u32,
-    /// Share of calls that failed early.
+    /// Early failures as a share of finished calls.
     pub(super) failed: f64,
-    /// Number of calls that ended.
+    /// Number of finished calls.
     pub(super) finished: u32,
-    /// Most calls in flight at once.
+    /// Peak number of slots in use.
     pub(super) peak: u32,
-    /// Calls that the target worked on when it failed another one early.
+    /// Estimated number of concurrent calls that the target accepts, from the calls that remained after early failures.
     pub(super) accepted: f64,
 }
 
-/// Service times of a window.
+/// Service time statistics of a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Times {
-    /// Median of the whole service times.
+pub(super) struct ServiceTimes {
+    /// Median service time, including downstream waits.
     pub(super) median: Duration,
-    /// Mean of the own service times in seconds.
+    /// Mean service time in seconds, without downstream waits.
     pub(super) mean: f64,
     /// Standard error of the mean in seconds.
     pub(super) error: f64,
@@ -62,67 +62,72 @@
 impl Window {
     pub(super) fn new(in_flight: u32, now: Instant) -> Self {
         Self {
-            begun: now,
+            started_at: now,
             samples: Vec::new(),
             finished: 0,
             failed: 0,
             peak: in_flight,
-            left: 0,
-            least_left: 0,
+            remaining: 0,
+            min_remaining: 0,
         }
     }
 
-    pub(super) fn started(&mut self, in_flight: u32) {
+    pub(super) fn record_start(&mut self, in_flight: u32) {
         self.peak = self.peak.max(in_flight);
     }
 
-    /// Counts the end of a call.
-    pub(super) fn finished(&mut self) {
+    /// Counts a finished call.
+    pub(super) fn record_finish(&mut self) {
         self.finished += 1;
     }
 
-    /// Counts a call that failed early while others were left at the target.
-    pub(super) fn failed_early(&mut self, left: u32) {
+    /// Counts an early failure after which `remaining` other calls are at the target.
+    pub(super) fn record_early_failure(&mut self, remaining: u32) {
         self.failed += 1;
-        self.left += u64::from(left);
-        self.least_left = if self.failed == 1 {
-            left
+        self.remaining += u64::from(remaining);
+        self.min_remaining = if self.failed == 1 {
+            remaining
         } else {
-            self.least_left.min(left)
+            self.min_remaining.min(remaining)
         };
     }
 
-    /// Takes in the service time of a call.
+    /// Adds the service time of a call that started within the window.
     ///
-    /// Calls that started before the window ran under an older limit: their service times would be taken for the effect
-    /// of the newest move and the limit would overshoot, seen as swings that last twice the service time.
+    /// Calls that started earlier ran under a previous limit and are ignored. Attributing their service times to the
+    /// latest adjustment would make the limit oscillate with a period of twice the service time.
     ///
-    /// Time that the target waited for further services is kept apart. A queue in front of a deep service lengthens the
-    /// calls of every service above it: taken for queueing here it would cut their limits down to the minimum one after
-    /// the other, seen as calls of the highest class shed by services that have nothing to do.
-    pub(super) fn sample(&mut self, started: Instant, below: Duration, now: Instant) {
-        if started >= self.begun && self.samples.len() < MAX_SAMPLES {
+    /// Time spent waiting for downstream services is separated. A queue at a downstream service lengthens the calls of
+    /// all services upstream of it. If that were taken for local queueing, their limits would be cut to the minimum one
+    /// after the other, and idle services would shed calls of the highest class.
+    pub(super) fn record_service_time(
+        &mut self,
+        started: Instant,
+        downstream_wait: Duration,
+        now: Instant,
+    ) {
+        if started >= self.started_at && self.samples.len() < MAX_SAMPLES {
             let whole = now.saturating_duration_since(started);
-            let own = whole.saturating_sub(below);
+            let own = whole.saturating_sub(downstream_wait);
             self.samples.push(Sample { whole, own });
         }
     }
 
-    /// The closed window, once it lasted `min` and has enough samples; the next one begins.
+    /// If the window lasted at least `min` and has enough samples, returns its statistics and starts the next one.
     pub(super) fn close(
         &mut self,
         min: Duration,
         samples: usize,
         in_flight: u32,
         now: Instant,
-    ) -> Option<Seen> {
-        let short = now.saturating_duration_since(self.begun) < min;
+    ) -> Option<WindowSummary> {
+        let short = now.saturating_duration_since(self.started_at) < min;
         let sparse = self.samples.len().max(self.failed as usize) < samples.max(1);
         if short || sparse {
             return None;
         }
-        let seen = Seen {
-            times: times(&mut self.samples),
+        let summary = WindowSummary {
+            times: service_times(&mut self.samples),
             failures: self.failed,
             finished: self.finished,
             failed: f64::from(self.failed) / f64::from(self.finished.max(1)),
@@ -134,18 +139,20 @@
             samples: std::mem::take(&mut self.samples),
             ..Self::new(in_flight, now)
         };
-        Some(seen)
+        Some(summary)
     }
 
-    /// The mean counts calls which the target is about to fail as well, the least one slots that were just given back;
-    /// the truth is between.
+    /// Estimates the number of concurrent calls that the target accepts.
+    ///
+    /// The mean of the remaining calls is too high, as it includes calls that the target is about to fail. The minimum
+    /// is too low, as it misses slots that were just released.
     fn accepted(&self) -> f64 {
-        let mean = self.left as f64 / f64::from(self.failed.max(1));
-        mean.min(f64::from(self.least_left) * LEAST_LEFT_FACTOR)
+        let mean = self.remaining as f64 / f64::from(self.failed.max(1));
+        mean.min(f64::from(self.min_remaining) * MAX_ACCEPTED_FACTOR)
     }
 }
 
-fn times(samples: &mut [Sample]) -> Option<Times> {
+fn service_times(samples: &mut [Sample]) -> Option<ServiceTimes> {
     if samples.is_empty() {
         return None;
     }
@@ -156,7 +163,7 @@
     let variance = samples.iter().map(square).sum::<f64>() / (count - 1.0).max(1.0);
     let middle = samples.len() / 2;
     let (_, median, _) = samples.select_nth_unstable_by_key(middle, |sample| sample.whole);
-    Some(Times {
+    Some(ServiceTimes {
         median: median.whole,
         mean,
         error: (variance / count).sqrt(),
