--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of the admission controller, the level and the board of levels.
+//! Tests of the admission controller, admission levels and the levels of downstream services.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
     Duration::from_millis(n)
 }
 
-/// One slot, two places in the queue.
+/// A static limit of one and a queue of two.
 fn one_slot() -> AdmissionConfig {
     AdmissionConfig {
         mode: AdmissionMode::Static,
@@ -36,19 +36,19 @@
     }
 }
 
-fn drain(admission: &mut Admission, now: Instant) -> Vec<Action> {
+fn poll(admission: &mut Admission, now: Instant) -> Vec<Action> {
     let mut actions = Vec::new();
     admission.poll(now, &mut actions);
     actions
 }
 
-/// Serves one call after another so that the service time is known.
-fn teach(admission: &mut Admission, service: Duration, mut now: Instant) -> Instant {
+/// Serves calls sequentially until the service time estimate has converged, and returns the time after the last one.
+fn learn_service_time(admission: &mut Admission, service: Duration, mut now: Instant) -> Instant {
     for _ in 0..60 {
         let key = admission.offer(offer(0, 0, now + ms(60_000)), now);
         now += service;
         admission.finish(key, Finish::Served, now);
-        drain(admission, now);
+        poll(admission, now);
     }
     now
 }
@@ -59,7 +59,7 @@
         name: &'static str,
         queued: [(u8, u8); 2],
         arrives: (u8, u8),
-        /// Which of the three is shed; 2 is the arriving one.
+        /// Index of the shed call; 2 is the arriving one.
         shed: usize,
     }
     let cases = [
@@ -88,7 +88,7 @@
             shed: 2,
         },
         Case {
-            name: "all equal, oldest goes",
+            name: "all equal, oldest is shed",
             queued: [(1, 5), (1, 5)],
             arrives: (1, 5),
             shed: 0,
@@ -110,7 +110,7 @@
             Action::Start(running),
             Action::Refuse(keys[shed], ErrorKind::Shed),
         ];
-        assert_eq!(drain(&mut admission, now), expected, "{name}");
+        assert_eq!(poll(&mut admission, now), expected, "{name}");
         assert_eq!(
             (admission.queued(), admission.in_flight()),
             (2, 1),
@@ -130,9 +130,9 @@
     admission.finish(high, Finish::Failed, now + ms(2));
     admission.cancel(low, now + ms(3));
     assert_eq!(
-        drain(&mut admission, now + ms(3)),
+        poll(&mut admission, now + ms(3)),
         [],
-        "ended before they were sent"
+        "ended before they were started"
     );
     assert_eq!((admission.queued(), admission.in_flight()), (0, 0));
     let counters = admission.counters(Class(0));
@@ -211,73 +211,74 @@
             },
             Instant::now(),
         );
-        let now = teach(&mut admission, ms(20), Instant::now());
+        let now = learn_service_time(&mut admission, ms(20), Instant::now());
         if busy {
             admission.offer(offer(0, 0, now + ms(1000)), now);
         }
         let key = admission.offer(offer(0, 0, now + left), now);
         let refusal = Action::Refuse(key, ErrorKind::DeadlineTooShort);
         assert_eq!(
-            drain(&mut admission, now).contains(&refusal),
+            poll(&mut admission, now).contains(&refusal),
             refused,
             "{name}"
         );
     }
 }
 
-/// Symptom: a call waits in the queue until its deadline and only then gets its refusal.
-/// Sequence: it queues with enough time, the running call takes long, the time left falls below the service time.
-/// Cause: the time left was checked on arrival only.
+/// A call is queued with enough time left, but a slow running call reduces that to less than the service time. If the
+/// time left is only checked on arrival, the call is refused no earlier than at its deadline.
 #[test]
 fn a_waiting_call_is_refused_as_soon_as_it_cannot_finish() {
     let mut admission = Admission::new(one_slot(), Instant::now());
-    let now = teach(&mut admission, ms(20), Instant::now());
+    let now = learn_service_time(&mut admission, ms(20), Instant::now());
     admission.offer(offer(0, 0, now + ms(1000)), now);
     let key = admission.offer(offer(0, 0, now + ms(50)), now);
-    drain(&mut admission, now);
-    let wakeup = admission.next_wakeup().expect("a call waits");
-    assert!(wakeup <= now + ms(30), "polled in time");
-    assert_eq!(drain(&mut admission, now + ms(29)), []);
+    poll(&mut admission, now);
+    let wakeup = admission.next_wakeup().expect("a call is queued");
+    assert!(wakeup <= now + ms(30), "wakes up before the call expires");
+    assert_eq!(poll(&mut admission, now + ms(29)), []);
     let refusal = Action::Refuse(key, ErrorKind::DeadlineTooShort);
-    assert_eq!(drain(&mut admission, now + ms(30)), [refusal]);
+    assert_eq!(poll(&mut admission, now + ms(30)), [refusal]);
 }
 
-/// Symptom: after a slow spell an idle target gets no calls, all are refused as too late.
-/// Sequence: the target takes 2 s a call for a while, callers wait 250 ms.
-/// Cause: every call is refused by the estimate, so none finishes and the estimate never falls.
+/// After a period of 2 s per call, the estimate exceeds the 250 ms that callers wait. If it never decays, every call is
+/// refused, none finishes to lower the estimate, and an idle target receives no calls.
 #[test]
 fn a_slow_spell_does_not_lock_calls_out() {
     let mut admission = Admission::new(one_slot(), Instant::now());
-    let now = teach(&mut admission, ms(2000), Instant::now());
+    let now = learn_service_time(&mut admission, ms(2000), Instant::now());
     assert_eq!(admission.service_time(now), ms(2000));
     let key = admission.offer(offer(0, 0, now + ms(250)), now);
     assert_eq!(
-        drain(&mut admission, now),
+        poll(&mut admission, now),
         [Action::Refuse(key, ErrorKind::DeadlineTooShort)]
     );
     let later = now + ms(4000);
     let key = admission.offer(offer(0, 0, later + ms(250)), later);
-    assert_eq!(drain(&mut admission, later), [Action::Start(key)]);
+    assert_eq!(poll(&mut admission, later), [Action::Start(key)]);
 }
 
-/// Symptom: a target that sheds by itself fails bids while lookups run, though the queue orders by class.
-/// Sequence: the limit is above the target's slots; each refusal of the target frees a slot at once, the next call starts
-/// and is refused as well, until the queue is empty.
-/// Cause: a failure within a millisecond counted as a slot that is free again.
+/// The limit exceeds the slots of a target that sheds load by itself. If each early failure frees its slot immediately,
+/// queued calls are started and failed one after the other until the queue is empty, including those of the highest
+/// class while lower ones run.
 #[test]
 fn a_slot_is_held_after_an_early_failure() {
     let mut admission = Admission::new(one_slot(), Instant::now());
-    let now = teach(&mut admission, ms(20), Instant::now());
+    let now = learn_service_time(&mut admission, ms(20), Instant::now());
     let first = admission.offer(offer(0, 0, now + ms(1000)), now);
     let second = admission.offer(offer(0, 0, now + ms(1000)), now);
-    assert_eq!(drain(&mut admission, now), [Action::Start(first)]);
+    assert_eq!(poll(&mut admission, now), [Action::Start(first)]);
     admission.finish(first, Finish::Failed, now + ms(1));
     assert_eq!((admission.in_flight(), admission.held()), (0, 1));
-    assert_eq!(drain(&mut admission, now + ms(19)), []);
+    assert_eq!(poll(&mut admission, now + ms(19)), []);
     assert_eq!(admission.next_wakeup(), Some(now + ms(20)));
-    assert_eq!(drain(&mut admission, now + ms(20)), [Action::Start(second)]);
+    assert_eq!(poll(&mut admission, now + ms(20)), [Action::Start(second)]);
     admission.finish(second, Finish::Failed, now + ms(45));
-    assert_eq!(admission.held(), 0, "a late failure has had its time");
+    assert_eq!(
+        admission.held(),
+        0,
+        "the slot of a late failure is not held"
+    );
 }
 
 #[test]
@@ -301,7 +302,7 @@
         (off, [u32::MAX; 3]),
         (fixed, [100; 3]),
         (
-            // The least limit holds for a warm target; a cold one has its share of it.
+            // `min_limit` applies to a warm target; the limit of a cold one is a fraction of it.
             AdmissionConfig {
                 initial_limit: 50,
                 min_limit: 100,
@@ -315,18 +316,17 @@
         let now = Instant::now();
         let mut admission = Admission::new(cold(cfg), now);
         for (millis, limit) in [0, 500, 1000].into_iter().zip(limits) {
-            drain(&mut admission, now + ms(millis));
+            poll(&mut admission, now + ms(millis));
             assert_eq!(admission.limit(), limit, "{millis} ms after the start");
         }
         admission.restarted(now + ms(5000));
-        drain(&mut admission, now + ms(5000));
+        poll(&mut admission, now + ms(5000));
         assert_eq!(admission.limit(), limits[0], "cold again");
     }
 }
 
-/// Symptom: a node goes on shedding at its entries long after the surge.
-/// Sequence: a surge lowers the level, then hardly any call arrives or none at all.
-/// Cause: the level moves by arrivals only.
+/// A surge lowers the level, then few or no calls arrive. If the level is only adjusted on arrivals, entries keep
+/// shedding long after the surge.
 #[test]
 fn the_level_falls_under_a_standing_queue_and_opens_again() {
     for idle in [false, true] {
@@ -339,7 +339,7 @@
             }
             now += ms(10);
             admission.finish(running, Finish::Served, now);
-            for action in drain(&mut admission, now) {
+            for action in poll(&mut admission, now) {
                 if let Action::Start(key) = action {
                     running = key;
                 }
@@ -351,28 +351,28 @@
                     class: Class(1),
                     bucket: 255
                 },
-            "the surge lowers it"
+            "the surge lowers the level"
         );
         let mut windows = 0;
         if idle {
             while admission.queued() + admission.in_flight() as usize > 0 {
                 admission.finish(running, Finish::Served, now);
-                for action in drain(&mut admission, now) {
+                for action in poll(&mut admission, now) {
                     if let Action::Start(key) = action {
                         running = key;
                     }
                 }
             }
             now += ms(10_000);
-            drain(&mut admission, now);
+            poll(&mut admission, now);
         }
         while admission.level() < Level::OPEN && windows < 40 {
             now = admission
                 .next_wakeup()
-                .expect("the level is still moving")
+                .expect("the level is not open yet")
                 .max(now);
             admission.finish(running, Finish::Served, now);
-            for action in drain(&mut admission, now) {
+            for action in poll(&mut admission, now) {
                 if let Action::Start(key) = action {
                     running = key;
                 }
@@ -385,7 +385,7 @@
             "idle: {idle}, after {windows} windows"
         );
         admission.finish(running, Finish::Served, now);
-        assert_eq!(admission.next_wakeup(), None, "nothing moves any more");
+        assert_eq!(admission.next_wakeup(), None, "no further wakeup");
     }
 }
 
@@ -417,9 +417,8 @@
     );
 }
 
-/// Symptom: an entry refuses all calls to a service that has long recovered.
-/// Sequence: the entry hears a low level, sheds every call there, so no answer brings a newer level.
-/// Cause: a heard level that doesn't age.
+/// An entry that receives a low level sheds every call to the service and gets no answers with a newer level. If levels
+/// don't age, it keeps refusing calls after the service has recovered.
 #[test]
 fn heard_levels_age_out() {
     let now = Instant::now();
@@ -428,49 +427,49 @@
         rise: ms(4000),
         weight: 0.5,
     };
-    let mut board = DownstreamLevels::new(cfg);
+    let mut levels = DownstreamLevels::new(cfg);
     let [archive, orders] = ["archive", "orders"].map(ServiceName::from);
-    board.record(&archive, Level::FLOOR, now);
+    levels.record(&archive, Level::FLOOR, now);
     let lowest = Class::LOWEST;
     assert!(
-        !board.admits(&archive, Class(0), 1, now + ms(999)),
-        "stands unchanged at first"
+        !levels.admits(&archive, Class(0), 1, now + ms(999)),
+        "unchanged during `hold`"
     );
     assert!(
-        board.admits(&archive, Class(0), 0, now),
-        "one bucket is always let through"
+        levels.admits(&archive, Class(0), 0, now),
+        "one bucket is always admitted"
     );
     assert!(
-        board.admits(&orders, lowest, 255, now),
+        levels.admits(&orders, lowest, 255, now),
         "another service isn't affected"
     );
     assert!(
-        board.admits(&archive, Class(3), 0, now + ms(3000)),
+        levels.admits(&archive, Class(3), 0, now + ms(3000)),
         "half way up"
     );
     assert!(
-        !board.admits(&archive, lowest, 0, now + ms(3000)),
+        !levels.admits(&archive, lowest, 0, now + ms(3000)),
         "half way up"
     );
-    assert!(board.admits(&archive, lowest, 255, now + ms(5000)), "open");
+    assert!(levels.admits(&archive, lowest, 255, now + ms(5000)), "open");
     assert_eq!(
-        (board.lowest(now), board.lowest(now + ms(5000))),
+        (levels.lowest(now), levels.lowest(now + ms(5000))),
         (Level::FLOOR, Level::OPEN)
     );
-    board.record(&archive, Level::OPEN, now);
+    levels.record(&archive, Level::OPEN, now);
     let half = Level::from_position(1025);
     assert_eq!(
-        board.level(&archive, now),
+        levels.level(&archive, now),
         half,
         "one of two instances is overloaded"
     );
     for _ in 0..16 {
-        board.record(&archive, Level::OPEN, now);
+        levels.record(&archive, Level::OPEN, now);
     }
-    assert_eq!(board.level(&archive, now), Level::OPEN);
-    board.record(&archive, Level::FLOOR, now);
-    board.expire(now + ms(5000));
-    assert_eq!(board.level(&archive, now), Level::OPEN, "forgotten");
+    assert_eq!(levels.level(&archive, now), Level::OPEN);
+    levels.record(&archive, Level::FLOOR, now);
+    levels.expire(now + ms(5000));
+    assert_eq!(levels.level(&archive, now), Level::OPEN, "expired");
 }
 
 #[derive(Clone, Debug)]
@@ -496,9 +495,9 @@
     ]
 }
 
-/// What the caller of admission knows of a call.
+/// State of a call as expected by the test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Known {
+enum CallState {
     Waiting(u8),
     Running,
 }
@@ -540,7 +539,7 @@
 fn check_steps(cfg: AdmissionConfig, steps: Vec<Step>) -> Result<(), TestCaseError> {
     let mut now = Instant::now();
     let mut admission = Admission::new(cfg.clone(), now);
-    let mut known: Map<CallKey, Known> = Map::default();
+    let mut calls: Map<CallKey, CallState> = Map::default();
     let mut order: Vec<CallKey> = Vec::new();
     for step in steps {
         match step {
@@ -551,37 +550,37 @@
             } => {
                 let deadline = now + ms(left.into());
                 let key = admission.offer(offer(class, bucket, deadline), now);
-                prop_assert_eq!(known.insert(key, Known::Waiting(class.min(7))), None);
+                prop_assert_eq!(calls.insert(key, CallState::Waiting(class.min(7))), None);
                 order.push(key);
             }
             Step::End { nth, finish } if nth < order.len() => {
                 let key = order.remove(nth);
                 admission.finish(key, finish, now);
-                known.remove(&key);
+                calls.remove(&key);
             }
             Step::Cancel { nth } if nth < order.len() => {
                 let key = order.remove(nth);
                 admission.cancel(key, now);
-                known.remove(&key);
+                calls.remove(&key);
             }
             Step::End { .. } | Step::Cancel { .. } => {}
             Step::Wait { millis } => now += ms(millis.into()),
         }
-        for action in drain(&mut admission, now) {
-            check_action(action, &mut known, &mut order)?;
+        for action in poll(&mut admission, now) {
+            check_action(action, &mut calls, &mut order)?;
         }
-        let running = known
+        let running = calls
             .values()
-            .filter(|call| **call == Known::Running)
+            .filter(|call| **call == CallState::Running)
             .count();
         prop_assert_eq!(running, admission.in_flight() as usize);
-        prop_assert_eq!(known.len() - running, admission.queued());
+        prop_assert_eq!(calls.len() - running, admission.queued());
         prop_assert_eq!(admission.check(), Ok(()));
         prop_assert!(admission.queued() <= cfg.queue_length);
         let idle = admission.in_flight() + (admission.held() as u32) < admission.limit();
         prop_assert!(
             !idle || admission.queued() == 0,
-            "no call waits before a free slot"
+            "a call is queued while a slot is free"
         );
         prop_assert!(admission.queued() == 0 || admission.next_wakeup().is_some());
         prop_assert!(cfg.level_shedding || admission.level() == Level::OPEN);
@@ -591,25 +590,25 @@
 
 fn check_action(
     action: Action,
-    known: &mut Map<CallKey, Known>,
+    calls: &mut Map<CallKey, CallState>,
     order: &mut Vec<CallKey>,
 ) -> Result<(), TestCaseError> {
     match action {
         Action::Start(key) => {
-            let Some(Known::Waiting(class)) = known.insert(key, Known::Running) else {
-                return Err(TestCaseError::fail("started twice or after its end"));
+            let Some(CallState::Waiting(class)) = calls.insert(key, CallState::Running) else {
+                return Err(TestCaseError::fail("call started twice or after its end"));
             };
-            let higher = known
+            let higher = calls
                 .values()
-                .any(|call| matches!(call, Known::Waiting(c) if *c < class));
-            // A call that starts on arrival is drained together with others; none may be left waiting above it.
-            prop_assert!(!higher, "a lower class started before a higher one");
+                .any(|call| matches!(call, CallState::Waiting(c) if *c < class));
+            // All calls of a higher class must have been started by the same poll.
+            prop_assert!(!higher, "a call started before one of a higher class");
         }
         Action::Refuse(key, kind) => {
             let refusal = matches!(kind, ErrorKind::Shed | ErrorKind::DeadlineTooShort);
             prop_assert!(refusal);
-            // Where its caller ended it first, the refusal finds nobody.
-            known.remove(&key);
+            // The caller may already have cancelled the call.
+            calls.remove(&key);
             order.retain(|other| *other != key);
         }
     }
