--- a/crates/core/tests/admission_below.rs
+++ b/crates/core/tests/admission_below.rs
@@ -1,4 +1,4 @@
-//! A target that waits for further services is not taken for a congested one.
+//! Waiting for downstream services must not be mistaken for congestion of the target.
 
 use std::time::{Duration, Instant};
 
@@ -13,16 +13,19 @@
     Duration::from_millis(n)
 }
 
-/// Calls of one phase: how long they take, how much of that is spent below, and how the later half of them fails at once.
+/// Behaviour of the calls in one phase.
 #[derive(Clone, Copy)]
 struct Phase {
-    took: Duration,
-    below: Duration,
-    fails: Option<Finish>,
+    service_time: Duration,
+    /// Part of `service_time` spent waiting for downstream services.
+    downstream_wait: Duration,
+    /// If set, the second half of the started calls fails with this result after 1 ms.
+    failure: Option<Finish>,
 }
 
-/// Runs waves of as many calls as the limit lets start.
-fn waves(admission: &mut Admission, phase: Phase, count: usize, mut now: Instant) -> Instant {
+/// Runs `count` rounds, each with as many concurrent calls as the limit allows, and returns the time after the last
+/// one.
+fn run_rounds(admission: &mut Admission, phase: Phase, count: usize, mut now: Instant) -> Instant {
     for _ in 0..count {
         let wanted = admission.limit() * 2;
         let offer = Offer {
@@ -39,70 +42,69 @@
         for key in waiting {
             admission.cancel(key, now);
         }
-        let served = match phase.fails {
+        let served = match phase.failure {
             Some(_) => started.len() / 2,
             None => started.len(),
         };
         for key in &started[served..] {
-            let fails = phase.fails.unwrap_or(Finish::Served);
-            admission.finish(*key, fails, now + ms(1));
+            let finish = phase.failure.unwrap_or(Finish::Served);
+            admission.finish(*key, finish, now + ms(1));
         }
-        now += phase.took;
+        now += phase.service_time;
         for key in &started[..served] {
-            admission.record_downstream_wait(*key, phase.below);
+            admission.record_downstream_wait(*key, phase.downstream_wait);
             admission.finish(*key, Finish::Served, now);
         }
     }
     now
 }
 
-/// Symptom: under a surge the limits of services in the middle of a chain fell to 2 of 24 slots, and calls of the highest
-/// class were shed there while these targets had nothing to do.
-/// Sequence: the deepest service queues; calls of all services above it take longer, or fail when it sheds them.
-/// Cause: the whole service time and every failure were taken as signs of the target itself.
+/// When the last service of a chain is overloaded, calls of all services upstream of it take longer or fail. If the
+/// whole service time and every failure are attributed to the target itself, the limits in the middle of the chain fall
+/// (to 2 of 24 slots in a surge) and calls of the highest class are shed there while the targets are idle.
 #[test]
 fn time_and_failures_below_do_not_cut_the_limit() {
     struct Case {
         name: &'static str,
-        slow: Phase,
-        falls: bool,
+        overload: Phase,
+        cuts_limit: bool,
     }
     let cases = [
         Case {
-            name: "slow below",
-            slow: Phase {
-                took: ms(400),
-                below: ms(380),
-                fails: None,
+            name: "slow downstream",
+            overload: Phase {
+                service_time: ms(400),
+                downstream_wait: ms(380),
+                failure: None,
             },
-            falls: false,
+            cuts_limit: false,
         },
         Case {
-            name: "slow itself",
-            slow: Phase {
-                took: ms(400),
-                below: ms(0),
-                fails: None,
+            name: "slow target",
+            overload: Phase {
+                service_time: ms(400),
+                downstream_wait: ms(0),
+                failure: None,
             },
-            falls: true,
+            cuts_limit: true,
         },
         Case {
-            name: "fails below",
-            slow: Phase {
-                took: ms(20),
-                below: ms(0),
-                fails: Some(Finish::FailedDownstream),
+            name: "fails downstream",
+            overload: Phase {
+                service_time: ms(20),
+                downstream_wait: ms(0),
+                failure: Some(Finish::FailedDownstream),
             },
-            falls: false,
+            cuts_limit: false,
         },
         Case {
-            name: "fails itself",
-            slow: Phase {
-                took: ms(20),
-                below: ms(0),
-                fails: Some(Finish::Failed),
+            name: "failing target",
+            overload: Phase {
+                service_time: ms(20),
+                downstream_wait: ms(0),
+                failure: Some(Finish::Failed),
             },
-            falls: true,
+            cuts_limit: true,
         },
     ];
     for case in cases {
@@ -117,18 +119,18 @@
         let now = Instant::now();
         let mut admission = Admission::new(cfg, now);
         let usual = Phase {
-            took: ms(20),
-            below: ms(0),
-            fails: None,
+            service_time: ms(20),
+            downstream_wait: ms(0),
+            failure: None,
         };
-        let now = waves(&mut admission, usual, 100, now);
+        let now = run_rounds(&mut admission, usual, 100, now);
         assert_eq!(admission.limit(), INITIAL, "{}", case.name);
         let mut least = INITIAL;
         let mut now = now;
         for _ in 0..20 {
-            now = waves(&mut admission, case.slow, 1, now);
+            now = run_rounds(&mut admission, case.overload, 1, now);
             least = least.min(admission.limit());
         }
-        assert_eq!(least < INITIAL, case.falls, "{}: {least}", case.name);
+        assert_eq!(least < INITIAL, case.cuts_limit, "{}: {least}", case.name);
     }
 }
