--- a/crates/core/tests/admission_trials.rs
+++ b/crates/core/tests/admission_trials.rs
@@ -1,6 +1,6 @@
-//! Overload trials in the model: prints a table and asserts what every variant must keep.
+//! Overload simulations of the admission controller: print a table of results and check the guarantees of each variant.
 //!
-//! `cargo test --release --test admission_trials -- --nocapture` runs more seeds and all variants.
+//! `cargo test --release --test admission_trials -- --nocapture` runs all variants with more seeds.
 
 mod admission_support;
 
@@ -9,24 +9,25 @@
 use admission_support::{CLASSES, Run, Scenario, run};
 use coltsfootport_core::admission::{AdmissionConfig, AdmissionMode, LimitRule};
 
-/// Seeds and variants of a debug build are fewer to keep the suite short.
+/// Whether to run all variants and seeds; debug builds run fewer to keep the suite short.
 const FULL: bool = !cfg!(debug_assertions);
 
 struct Variant {
     name: &'static str,
     cfg: AdmissionConfig,
-    /// Least share of the capacity that is served in time at 2 to 8 times the load; a slower target isn't judged.
+    /// Minimum goodput as a share of the capacity at 2 to 8 times the load; not checked for loads that reduce the
+    /// capacity.
     goodput: f64,
-    /// Whether the highest class must never be shed where its own load is below the capacity.
+    /// Whether the highest class must never be shed if its own load is below the capacity.
     protects: bool,
 }
 
 struct Load {
     name: &'static str,
     scenario: Scenario,
-    /// Whether the highest class alone is below the capacity.
+    /// Whether the load of the highest class alone is below the capacity.
     top_fits: bool,
-    /// Capacity left within the surge, as a share.
+    /// Remaining share of the capacity during the surge.
     capacity: f64,
 }
 
@@ -127,7 +128,8 @@
             ),
         ]);
     }
-    // It grows by one per window from a quarter of the slots: at 8 x the highest class alone exceeds it for a while.
+    // The limit grows by one per window from a quarter of the slots. At 8 x, the highest class alone exceeds it at
+    // first.
     let slow_to_grow = variants
         .iter_mut()
         .filter(|variant| variant.name == "aimd, hint / 4");
@@ -198,9 +200,9 @@
     ]
 }
 
-/// Symptom: a surge leaves little goodput, sheds bids while lookups run, or its refusals outlast it.
-/// Sequence: calm load, then twice to eight times the capacity or a slower target for some seconds, then calm again.
-/// Cause: a limit that follows noise, a queue without order, or a level that doesn't find back.
+/// A surge of 2 to 8 times the capacity, or a slowdown of the target, lasts some seconds between periods of low load. A
+/// limit that follows noise reduces the goodput, a queue that ignores classes sheds the highest class while lower ones
+/// run, and a level that does not recover keeps refusing calls after the surge.
 #[test]
 fn goodput_order_and_recovery_hold_under_surges() {
     for load in loads() {
@@ -234,9 +236,10 @@
     }
     assert_eq!(out.inversions, 0, "{case}");
     if load.scenario.fails > 0.0 && variant.goodput > 0.0 {
-        // Failures that have nothing to do with the load must not take slots out of use.
+        // Failures independent of the load must not reduce the slots in use.
         assert!(out.goodput > 0.6, "{case}");
-        // At one instant a series of cuts may be on trial; at two, seconds apart, the limit would be stuck.
+        // The limit may be low at one of the two times because of a series of cuts under evaluation. If it is low at
+        // both, which are seconds apart, it is stuck.
         assert!(out.limits.iter().any(|limit| *limit >= 10), "{case}");
     }
     if load.capacity < 1.0 || variant.goodput == 0.0 {
@@ -247,11 +250,11 @@
     if load.top_fits && variant.protects {
         assert_eq!(out.shed[0], 0, "{case}");
     }
-    // The limit is back in use after the surge, neither stuck low nor run away.
+    // After the surge, the limit is neither stuck at a low value nor excessive.
     assert!((10..=100).contains(&out.limits[1]), "{case}");
 }
 
-/// A target that sheds knows no classes, so it must hardly get to it.
+/// A target that sheds load by itself ignores classes, so it must be made to shed only few calls.
 fn check_shedding_target(variant: &Variant, out: &Run, case: &str) {
     if variant.cfg.mode != AdmissionMode::Adaptive {
         return;
@@ -259,7 +262,7 @@
     assert!(out.goodput > 0.85, "{case}");
     let top = f64::from(out.good[0]) / f64::from(out.offered[0]);
     assert!(top > 0.97, "{case}");
-    // Two windows of the surge's sixty pass before the limit moves.
+    // The surge lasts 60 windows, of which two pass before the limit is adjusted.
     assert!(out.failed[0] * 60 <= out.offered[0] * 2, "{case}");
 }
 
