--- a/crates/core/tests/admission_chain_trials.rs
+++ b/crates/core/tests/admission_chain_trials.rs
@@ -1,4 +1,5 @@
-//! Trials of whole requests that call an overloaded service several times: prints a table, asserts what levels are for.
+//! Simulations of requests that call an overloaded service several times. They print a table of results and check that
+//! levels increase the number of completed requests.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,17 +20,17 @@
 const SERVICE: Duration = Duration::from_millis(20);
 const DEADLINE: Duration = Duration::from_millis(500);
 const LENGTH: Duration = Duration::from_secs(10);
-/// Calls that one request makes to the service, one after another.
+/// Number of sequential calls that one request makes to the service.
 const CALLS: u32 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shedding {
-    /// Queue and deadline only; a new bucket at each call, as without a hash of the request id.
+    /// Shedding by queue and deadline only, with a random bucket per call instead of a hash of the request id.
     Random,
-    /// Levels at the service.
+    /// Shedding by the level of the service.
     Level,
-    /// Levels at the service, heard by the entry.
-    Board,
+    /// Shedding by the level of the service, both there and at the entry.
+    Entry,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,13 +45,13 @@
     class: Class,
     bucket: u8,
     deadline: Duration,
-    made: u32,
+    completed_calls: u32,
 }
 
 #[derive(Debug, Default)]
 struct Out {
     good: u32,
-    /// Calls served for requests that failed later.
+    /// Calls served for requests that failed.
     wasted: u32,
     /// Requests refused at the entry, before any call.
     at_entry: u32,
@@ -65,7 +66,7 @@
     now: Duration,
     rng: SmallRng,
     admission: Admission,
-    board: DownstreamLevels,
+    levels: DownstreamLevels,
     service: ServiceName,
     slots: Vec<Duration>,
     requests: Map<CallKey, Request>,
@@ -89,7 +90,7 @@
             now: Duration::ZERO,
             rng: SmallRng::seed_from_u64(31),
             admission: Admission::new(cfg, epoch),
-            board: DownstreamLevels::new(DownstreamLevelsConfig::default()),
+            levels: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             service: "archive".into(),
             slots: vec![Duration::ZERO; SLOTS as usize],
             requests: Map::default(),
@@ -100,7 +101,7 @@
     }
 
     fn run(mut self) -> Out {
-        self.at(Duration::ZERO, Event::Arrive);
+        self.schedule(Duration::ZERO, Event::Arrive);
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             if time > LENGTH {
                 break;
@@ -118,13 +119,13 @@
 
     fn arrive(&mut self) {
         let gap = self.exponential() / (request_capacity() * self.load);
-        self.at(self.now + Duration::from_secs_f64(gap), Event::Arrive);
+        self.schedule(self.now + Duration::from_secs_f64(gap), Event::Arrive);
         let class = Class(if self.rng.random_bool(0.1) { 0 } else { 2 });
         let bucket = self.rng.random();
         self.out.offered[usize::from(class == Class::HIGHEST)] += 1;
         let now = self.epoch + self.now;
-        let heard = self.shedding == Shedding::Board;
-        if heard && !self.board.admits(&self.service, class, bucket, now) {
+        let at_entry = self.shedding == Shedding::Entry;
+        if at_entry && !self.levels.admits(&self.service, class, bucket, now) {
             self.out.at_entry += 1;
             return;
         }
@@ -132,7 +133,7 @@
             class,
             bucket,
             deadline: self.now + DEADLINE,
-            made: 0,
+            completed_calls: 0,
         });
     }
 
@@ -169,7 +170,7 @@
             let step = Duration::from_millis(10);
             let wakeup = wakeup.saturating_duration_since(self.epoch);
             if self.events.len() < 200 {
-                self.at(wakeup.max(self.now + step), Event::Wake);
+                self.schedule(wakeup.max(self.now + step), Event::Wake);
             }
         }
     }
@@ -180,18 +181,18 @@
         let slot = self.slots.iter_mut().min().expect("a slot");
         *slot = (*slot).max(now) + work;
         let end = *slot;
-        self.at(end, Event::Done(key));
+        self.schedule(end, Event::Done(key));
     }
 
     fn done(&mut self, key: CallKey) {
         let now = self.epoch + self.now;
         self.admission.finish(key, Finish::Served, now);
-        self.hear();
+        self.record_level();
         let mut request = self.requests.remove(&key).expect("a started call");
-        request.made += 1;
+        request.completed_calls += 1;
         if self.now > request.deadline {
-            self.out.wasted += request.made;
-        } else if request.made < CALLS {
+            self.out.wasted += request.completed_calls;
+        } else if request.completed_calls < CALLS {
             self.call(request);
         } else {
             self.out.good += 1;
@@ -200,18 +201,18 @@
     }
 
     fn refused(&mut self, key: CallKey) {
-        self.hear();
+        self.record_level();
         let request = self.requests.remove(&key).expect("a waiting call");
-        self.out.wasted += request.made;
+        self.out.wasted += request.completed_calls;
     }
 
-    fn hear(&mut self) {
+    fn record_level(&mut self) {
         let now = self.epoch + self.now;
-        self.board
+        self.levels
             .record(&self.service, self.admission.level(), now);
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
+    fn schedule(&mut self, time: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time, self.sequence, event)));
     }
@@ -226,14 +227,14 @@
     f64::from(SLOTS) / SERVICE.as_secs_f64() / f64::from(CALLS)
 }
 
-/// Symptom: under overload the service is busy but hardly a whole request succeeds.
-/// Sequence: each request calls it three times; each call is shed by chance, so most die after the first or second.
-/// Cause: calls of one request are judged one by one, and the entry sends what will die below.
+/// Each request calls the overloaded service three times. If every call is shed independently, most requests fail after
+/// the first or second call, and the service is busy although few requests complete. The same happens if the entry
+/// forwards requests that will be shed downstream.
 #[test]
 fn requests_are_kept_or_shed_as_a_whole() {
     for load in [2.0, 4.0, 8.0] {
-        let [random, level, board] =
-            [Shedding::Random, Shedding::Level, Shedding::Board].map(|shedding| {
+        let [random, level, entry] =
+            [Shedding::Random, Shedding::Level, Shedding::Entry].map(|shedding| {
                 let out = Model::new(shedding, load).run();
                 let good = f64::from(out.good) / (request_capacity() * LENGTH.as_secs_f64());
                 println!(
@@ -246,7 +247,7 @@
                 );
                 good
             });
-        assert!(level > random && board > random, "{load} x");
-        assert!(board > 0.75, "{load} x: {board}");
+        assert!(level > random && entry > random, "{load} x");
+        assert!(entry > 0.75, "{load} x: {entry}");
     }
 }
