--- a/crates/core/tests/admission_support/mod.rs
+++ b/crates/core/tests/admission_support/mod.rs
@@ -1,4 +1,4 @@
-//! A deterministic model of callers, one admission controller and one target with slots.
+//! Deterministic simulation of callers, one admission controller and one target with a number of slots.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,35 +11,35 @@
 use coltsfootport_core::class::Class;
 use coltsfootport_core::collections::Map;
 
-/// Classes that the model offers.
+/// Number of classes in the simulated load.
 pub const CLASSES: usize = 3;
 
-/// A load and a target.
+/// Parameters of a simulation: the load and the target.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub cfg: AdmissionConfig,
-    /// Calls that the target works on at once; further ones wait inside it.
+    /// Calls that the target processes concurrently; further ones are queued inside it.
     pub slots: usize,
-    /// Whether the target fails further calls at once in place of letting them wait.
+    /// Whether the target sheds further calls immediately instead of queueing them.
     pub sheds: bool,
-    /// Share of calls that the target fails at once, whatever its load.
+    /// Share of calls that the target fails immediately, independent of its load.
     pub fails: f64,
     /// Mean service time.
     pub service: Duration,
     /// Whether service times are drawn from an exponential distribution.
     pub exponential: bool,
-    /// Time that a caller waits for an answer.
+    /// Time after which a caller gives up.
     pub deadline: Duration,
-    /// Share of each class in the arrivals.
+    /// Share of each class in the offered calls.
     pub shares: [f64; CLASSES],
-    /// Load outside of the surge, in multiples of the capacity.
+    /// Load outside the surge, in multiples of the capacity.
     pub calm_load: f64,
-    /// Load within the surge.
+    /// Load during the surge, in multiples of the capacity.
     pub surge_load: f64,
     pub surge: (Duration, Duration),
-    /// Factor of the service time within the surge.
+    /// Factor by which the service time is multiplied during the surge.
     pub slowdown: f64,
-    /// Sendings of a refused or failed call after the first one.
+    /// Maximum number of retries of a refused or failed call.
     pub client_retries: u32,
     pub length: Duration,
     pub seed: u64,
@@ -70,34 +70,37 @@
     }
 }
 
-/// What a run has shown.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
-    /// Calls of the surge, and what became of them.
+    /// Calls offered during the surge, without retries.
     pub offered: [u32; CLASSES],
+    /// Calls answered before their deadline during the surge.
     pub good: [u32; CLASSES],
+    /// Calls shed by the controller during the surge.
     pub shed: [u32; CLASSES],
+    /// Calls refused by the controller for lack of time during the surge.
     pub too_late: [u32; CLASSES],
-    /// Calls that the target shed itself.
+    /// Calls failed immediately or shed by the target during the surge.
     pub failed: [u32; CLASSES],
     /// Answers of the target that came after the deadline.
     pub wasted: u32,
     pub max_queue: usize,
     /// Limit at the end of the surge and at the end of the run.
     pub limits: [u32; 2],
-    /// Calls of the highest class shed while a lower one waited or started later in the same window.
+    /// Calls of the highest class shed after a lower one had started in the same window.
     pub inversions: u32,
-    /// Time after the surge from which on nothing was refused.
+    /// Time from the end of the surge to the last refusal or failure.
     pub recovery: Duration,
-    /// Goodput within the surge over the capacity.
+    /// Goodput during the surge, relative to the capacity.
     pub goodput: f64,
-    /// Time from arrival to answer of good calls in the surge, 99 of 100.
+    /// 99th percentile of the time from arrival to answer of good calls during the surge.
     pub p99: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { class: u8, sending: u32 },
+    Arrive { class: u8, attempt: u32 },
     Poisson,
     Done { slot: u64 },
     Shed { key: CallKey },
@@ -107,12 +110,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Call {
     class: u8,
-    sending: u32,
+    attempt: u32,
     arrived: Duration,
     deadline: Duration,
 }
 
-/// Runs a scenario to its end.
+/// Runs a simulation.
 pub fn run(scenario: &Scenario) -> Run {
     Model::new(scenario).run()
 }
@@ -126,14 +129,14 @@
     rng: SmallRng,
     admission: Admission,
     calls: Map<CallKey, Call>,
-    /// Calls in a slot of the target, by number.
+    /// Calls in the slots of the target, by sequence number.
     working: Map<u64, CallKey>,
     waiting: VecDeque<CallKey>,
     latencies: Vec<Duration>,
     last_refusal: Duration,
-    /// The next time at which the controller is polled without an event.
+    /// Next time at which the controller is polled without an event.
     wakeup: Option<Duration>,
-    /// Window of the last start of a call below the highest class.
+    /// Window in which a call below the highest class was last started.
     lower_start: Option<u128>,
     out: Run,
 }
@@ -161,7 +164,7 @@
     }
 
     fn run(mut self) -> Run {
-        self.at(Duration::ZERO, Event::Poisson);
+        self.schedule(Duration::ZERO, Event::Poisson);
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             if time > self.cfg.length {
                 break;
@@ -179,9 +182,9 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Poisson => self.poisson(),
-            Event::Arrive { class, sending } => self.arrive(class, sending),
+            Event::Arrive { class, attempt } => self.arrive(class, attempt),
             Event::Done { slot } => self.done(slot),
-            Event::Shed { key } => self.shed_done(key),
+            Event::Shed { key } => self.finish_shed(key),
             Event::Wake => {}
         }
     }
@@ -193,7 +196,7 @@
             self.cfg.calm_load
         };
         let gap = self.exponential() / (self.capacity() * load);
-        self.at(self.now + Duration::from_secs_f64(gap), Event::Poisson);
+        self.schedule(self.now + Duration::from_secs_f64(gap), Event::Poisson);
         let mut draw = self.rng.random::<f64>();
         let mut class = 0;
         while class + 1 < CLASSES && draw >= self.cfg.shares[class] {
@@ -203,7 +206,7 @@
         self.arrive(class as u8, 0);
     }
 
-    fn arrive(&mut self, class: u8, sending: u32) {
+    fn arrive(&mut self, class: u8, attempt: u32) {
         let deadline = self.now + self.cfg.deadline;
         let bucket = self.rng.random();
         let offer = Offer {
@@ -216,12 +219,12 @@
             key,
             Call {
                 class,
-                sending,
+                attempt,
                 arrived: self.now,
                 deadline,
             },
         );
-        if self.in_surge() && sending == 0 {
+        if self.in_surge() && attempt == 0 {
             self.out.offered[usize::from(class)] += 1;
         }
     }
@@ -245,7 +248,7 @@
                 .is_none_or(|next| next <= self.now || wakeup < next)
             {
                 self.wakeup = Some(wakeup);
-                self.at(wakeup, Event::Wake);
+                self.schedule(wakeup, Event::Wake);
             }
         }
     }
@@ -266,17 +269,17 @@
     }
 
     fn shed_by_target(&mut self, key: CallKey) {
-        self.at(self.now + Duration::from_millis(1), Event::Shed { key });
+        self.schedule(self.now + Duration::from_millis(1), Event::Shed { key });
     }
 
-    fn shed_done(&mut self, key: CallKey) {
+    fn finish_shed(&mut self, key: CallKey) {
         let call = self.calls.remove(&key).expect("a started call");
         self.admission.finish(key, Finish::Failed, self.instant());
         if self.in_surge() {
             self.out.failed[usize::from(call.class)] += 1;
         }
         self.last_refusal = self.now;
-        self.send_again(call);
+        self.retry(call);
     }
 
     fn work(&mut self, key: CallKey) {
@@ -294,7 +297,7 @@
             1.0
         };
         let service = self.cfg.service.mul_f64(factor * slowdown);
-        self.at(self.now + service, Event::Done { slot });
+        self.schedule(self.now + service, Event::Done { slot });
     }
 
     fn done(&mut self, slot: u64) {
@@ -312,7 +315,7 @@
         }
         if !good {
             self.last_refusal = self.now;
-            self.send_again(call);
+            self.retry(call);
         }
         if let Some(next) = self.waiting.pop_front() {
             self.work(next);
@@ -328,24 +331,24 @@
             self.out.shed[class] += u32::from(shed);
             self.out.too_late[class] += u32::from(!shed);
         }
-        // The first window of the surge starts with free slots, which any class may take.
+        // At the start of the surge there are free slots, which calls of any class may take.
         let settled = self.now > self.cfg.surge.0 + self.cfg.cfg.window * 2;
         if shed && class == 0 && settled && self.lower_start == Some(self.window()) {
             self.out.inversions += 1;
         }
-        self.send_again(call);
+        self.retry(call);
     }
 
-    fn send_again(&mut self, call: Call) {
-        if call.sending >= self.cfg.client_retries {
+    fn retry(&mut self, call: Call) {
+        if call.attempt >= self.cfg.client_retries {
             return;
         }
         let pause = Duration::from_millis(10).mul_f64(self.rng.random::<f64>());
-        let again = Event::Arrive {
+        let retry = Event::Arrive {
             class: call.class,
-            sending: call.sending + 1,
+            attempt: call.attempt + 1,
         };
-        self.at(self.now + pause, again);
+        self.schedule(self.now + pause, retry);
     }
 
     fn report(mut self) -> Run {
@@ -360,7 +363,7 @@
         self.out
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
+    fn schedule(&mut self, time: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time, self.sequence, event)));
     }
@@ -377,7 +380,7 @@
         self.now.as_nanos() / self.cfg.cfg.window.as_nanos()
     }
 
-    /// Calls per second that the slots can serve without slowdown.
+    /// Returns the calls per second that the slots can serve without slowdown.
     fn capacity(&self) -> f64 {
         self.cfg.slots as f64 / self.cfg.service.as_secs_f64()
     }
