--- a/crates/node/src/mesh/settings_file.rs
+++ b/crates/node/src/mesh/settings_file.rs
@@ -61,7 +61,7 @@
         match MeshSettings::parse(&text) {
             Ok((settings, warnings)) => {
                 for fault in warnings {
-                    warn!(self.log, "invalid setting, using its default"; "fault" => fault.to_string());
+                    warn!(self.log, "setting replaced by its default"; "fault" => fault.to_string());
                 }
                 let deferred = self.tx.borrow().at_next_start(&settings).join(" ");
                 info!(self.log, "settings reloaded"; "changed" => true, "at_next_start" => deferred);
