--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -1,4 +1,4 @@
-//! Settings of routing.
+//! Routing settings.
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RoutingConfig {
-    /// Name of the own node; its calls to its own target are routed like any other.
+    /// Name of the local node; calls to its own target are routed like any other.
     pub node: NodeName,
-    /// Own failure domain, preferred over others.
+    /// Failure domain of the local node, preferred over others.
     pub domain: DomainName,
-    /// Own region, preferred over others where the own failure domain can't serve.
+    /// Region of the local node, preferred over others when the local failure domain can't serve.
     pub region: RegionName,
-    /// Most peers of a service in the own failure domain that this node talks to.
+    /// Maximum subset members per service in the local failure domain.
     pub subset_near: usize,
-    /// Most peers of a service in other failure domains that this node talks to.
+    /// Maximum subset members per service in other failure domains, unless `subset_min` requires more.
     pub subset_far: usize,
-    /// Least peers of a service that this node talks to, as far as there are so many.
+    /// Minimum subset size per service, if that many peers exist.
     pub subset_min: usize,
-    /// Failures in a row after which a peer is ejected.
+    /// Consecutive failures after which a peer is ejected.
     pub ejection_failures: u32,
-    /// Largest share of a service's peers that may be ejected at once; at least one may where there are two.
+    /// Maximum fraction of a service's subset that may be ejected at once; with two or more peers, one always may.
     pub ejection_share: f64,
-    /// Length of the first ejection; doubles with each further one.
+    /// Duration of the first ejection; doubles with each consecutive one.
     pub ejection_time: Duration,
-    /// Longest ejection.
+    /// Maximum ejection duration.
     pub ejection_max: Duration,
-    /// Time over which a fresh incarnation reaches its full weight.
+    /// Time over which a new incarnation ramps up to its full weight.
     pub slow_start: Duration,
-    /// Weight of a fresh incarnation at first.
+    /// Initial weight of a new incarnation, as a fraction of its full weight.
     pub slow_start_share: f64,
-    /// Half-life of own observations.
+    /// Half-life of locally observed load statistics.
     pub half_life: Duration,
-    /// Age at which a load report says nothing any more.
+    /// Age at which a load report no longer counts.
     pub report_lifetime: Duration,
 }
 
