--- a/crates/core/src/routing/service.rs
+++ b/crates/core/src/routing/service.rs
@@ -3,16 +3,16 @@
 use super::peer::PeerKey;
 use super::subset::{Candidate, Distance};
 
-/// Members of a service and the subset of them that this node talks to.
+/// Listed peers of a service and the subset of them that this node calls.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Service {
     /// All listed peers.
     pub(super) members: Vec<PeerKey>,
-    /// The subset, nearest first.
+    /// Peers that this node calls, nearest first.
     pub(super) subset: Vec<SubsetMember>,
 }
 
-/// A member of a subset.
+/// A subset member and its distance from this node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SubsetMember {
     pub(super) key: PeerKey,
