--- a/crates/core/src/routing/subset.rs
+++ b/crates/core/src/routing/subset.rs
@@ -1,4 +1,4 @@
-//! The peers of a large service that one node talks to.
+//! Deterministic subsetting: limits how many peers of a large service one node calls.
 
 use std::hash::{Hash, Hasher};
 
@@ -8,7 +8,7 @@
 use super::peer::PeerView;
 use crate::id::NodeName;
 
-/// How near a peer is.
+/// Network distance of a peer, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Distance {
     /// Same failure domain.
@@ -32,18 +32,19 @@
     }
 }
 
-/// A candidate for the subset.
+/// A candidate for subset selection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<K> {
     pub(super) key: K,
     pub(super) distance: Distance,
-    /// Rendezvous weight of the pair of nodes.
+    /// Rendezvous hash of the local node and the peer.
     pub(super) weight: u64,
 }
 
-/// Chooses by rendezvous: the highest weights within the own failure domain, then the highest of the nearest others.
+/// Selects the subset by rendezvous hashing: the highest weights in the local failure domain, then the highest weights
+/// in the nearest other failure domains.
 ///
-/// Each node draws its own subset with no message; a peer that comes or goes changes only the subsets that hold it.
+/// Nodes choose their subsets without coordination. A peer that joins or leaves changes only the subsets containing it.
 pub(super) fn choose<K>(
     cfg: &RoutingConfig,
     mut candidates: Vec<Candidate<K>>,
@@ -62,16 +63,16 @@
     candidates
 }
 
-/// Rendezvous weight of a pair of nodes.
+/// Rendezvous hash of a pair of nodes.
 pub(super) fn weight(node: &NodeName, peer: &NodeName) -> u64 {
     let mut hasher = FxHasher::default();
     node.as_str().hash(&mut hasher);
     peer.as_str().hash(&mut hasher);
-    mix(hasher.finish())
+    fmix64(hasher.finish())
 }
 
-/// Finaliser of MurmurHash3: similar names must get unrelated weights.
-fn mix(mut x: u64) -> u64 {
+/// MurmurHash3 finalizer, so that similar names get uncorrelated weights.
+fn fmix64(mut x: u64) -> u64 {
     x ^= x >> 33;
     x = x.wrapping_mul(0xff51_afd7_ed55_8ccd);
     x ^= x >> 33;
