--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of the peer that a call is sent to.
+//! Peer selection and client-side load balancing for outgoing calls.
 
 mod config;
 mod ejection;
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,4 +1,4 @@
-//! Load of a peer, from own observation and its reports.
+//! Load estimate of a peer, from local observations and the peer's own load reports.
 
 use std::time::{Duration, Instant};
 
@@ -7,33 +7,33 @@
 use super::config::RoutingConfig;
 use super::peer::RouteResult;
 
-/// Served calls that must be in the observation before the latency is believed.
+/// Minimum decayed count of served calls for a latency estimate.
 const MIN_SERVED: f64 = 0.5;
 
-/// Limit of a peer that has not reported one.
+/// Concurrency limit assumed for a peer that has not reported one.
 const ASSUMED_LIMIT: f64 = 16.0;
 
-/// What an answer says about the load of its host.
+/// Load of a node's target, reported with its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls at the target.
+    /// Calls in flight at the target.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls waiting for dispatch.
     pub queued: u32,
-    /// Calls that may run at once; 0 where nothing is reported.
+    /// Concurrency limit; 0 if no load is reported.
     pub limit: u32,
 }
 
-/// Moving view of a peer's load.
+/// Exponentially decaying load statistics of a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
     in_flight: u32,
-    /// Time spent in flight by all calls, in seconds, fading.
+    /// Total time that calls spent in flight, in seconds, decayed.
     flight_time: f64,
-    /// Served calls, fading.
+    /// Count of served calls, decayed.
     served: f64,
-    /// Refused or failed calls as a share, fading.
-    trouble: f64,
+    /// Moving average of the fraction of calls refused or failed, decayed.
+    failure_rate: f64,
     updated: Instant,
     report: LoadReport,
     reported: Option<Instant>,
@@ -45,30 +45,30 @@
             in_flight: 0,
             flight_time: 0.0,
             served: 0.0,
-            trouble: 0.0,
+            failure_rate: 0.0,
             updated: now,
             report: LoadReport::default(),
             reported: None,
         }
     }
 
-    pub(super) fn sent(&mut self, cfg: &RoutingConfig, now: Instant) {
-        self.fade(cfg, now);
-        if self.is_forgotten() {
+    pub(super) fn record_sent(&mut self, cfg: &RoutingConfig, now: Instant) {
+        self.decay(cfg, now);
+        if self.lacks_samples() {
             self.flight_time = 0.0;
             self.served = 0.0;
         }
         self.in_flight += 1;
     }
 
-    pub(super) fn done(
+    pub(super) fn record_done(
         &mut self,
         cfg: &RoutingConfig,
         result: RouteResult,
         report: LoadReport,
         now: Instant,
     ) {
-        self.fade(cfg, now);
+        self.decay(cfg, now);
         self.in_flight = self.in_flight.saturating_sub(1);
         if report.limit > 0 {
             self.report = report;
@@ -77,30 +77,30 @@
         match result {
             RouteResult::Served => {
                 self.served += 1.0;
-                self.trouble *= 0.8;
+                self.failure_rate *= 0.8;
             }
             RouteResult::Shed | RouteResult::Failed | RouteResult::Lost => {
-                self.trouble += (1.0 - self.trouble) * 0.2;
+                self.failure_rate += (1.0 - self.failure_rate) * 0.2;
             }
             RouteResult::Cancelled => {}
         }
     }
 
-    /// Mean time of a served call by Little's law: time in flight over calls served, both fading.
+    /// Mean latency of a served call by Little's law: time in flight over calls served, both decayed.
     ///
-    /// A peer that stops answering gets slower with every moment that its calls hang, before any of them has failed; a
-    /// mean over finished calls alone would not see it until the first timeout. None where little was seen of late.
+    /// The estimate rises while calls hang, before any of them fails, so a peer that stops answering is detected early.
+    /// A mean over finished calls would not change until the first timeout. Returns `None` without enough recent calls.
     pub(super) fn latency(&self, cfg: &RoutingConfig, now: Instant) -> Option<Duration> {
         let mut load = self.clone();
-        load.fade(cfg, now);
-        if self.served < MIN_SERVED || load.is_forgotten() {
+        load.decay(cfg, now);
+        if self.served < MIN_SERVED || load.lacks_samples() {
             return None;
         }
         let seconds = load.flight_time / load.served.max(f64::MIN_POSITIVE);
         Duration::try_from_secs_f64(seconds).ok()
     }
 
-    /// Calls at the peer over its limit; the part of other callers is known from reports and fades with their age.
+    /// Calls at the peer divided by its limit. Calls of other nodes are taken from load reports, discounted by age.
     pub(super) fn utilisation(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
         let own = f64::from(self.in_flight);
         let Some(reported) = self.reported else {
@@ -108,13 +108,13 @@
         };
         let age = now.saturating_duration_since(reported).as_secs_f64();
         let fresh = (1.0 - age / cfg.report_lifetime.as_secs_f64().max(f64::EPSILON)).max(0.0);
-        let told = f64::from(self.report.in_flight) + f64::from(self.report.queued);
-        own.max(own + (told - own) * fresh) / f64::from(self.report.limit)
+        let reported_load = f64::from(self.report.in_flight) + f64::from(self.report.queued);
+        own.max(own + (reported_load - own) * fresh) / f64::from(self.report.limit)
     }
 
-    /// Share of calls that were refused or failed of late, from 0 to 1.
-    pub(super) fn trouble(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
-        self.trouble * self.fading(cfg, now)
+    /// Recent fraction of calls refused or failed, from 0 to 1.
+    pub(super) fn failure_rate(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
+        self.failure_rate * self.decay_factor(cfg, now)
     }
 
     pub(super) fn has_report(&self) -> bool {
@@ -125,24 +125,24 @@
         self.in_flight
     }
 
-    /// Whether too little was seen of late to speak of a mean.
+    /// Whether there are too few recent calls for a latency estimate.
     ///
-    /// Without calls nothing corrects the mean: were it kept, a peer whose last call was slow would lose each comparison
-    /// and never get the call that shows it to be fast again, seen as a healthy target without work.
-    fn is_forgotten(&self) -> bool {
+    /// The estimate of an idle peer is dropped because no call updates it. Otherwise a peer whose last call was slow
+    /// would lose every comparison and a healthy target would stay without work.
+    fn lacks_samples(&self) -> bool {
         self.in_flight == 0 && self.served < MIN_SERVED
     }
 
-    fn fade(&mut self, cfg: &RoutingConfig, now: Instant) {
-        let factor = self.fading(cfg, now);
+    fn decay(&mut self, cfg: &RoutingConfig, now: Instant) {
+        let factor = self.decay_factor(cfg, now);
         let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
         self.flight_time = self.flight_time * factor + f64::from(self.in_flight) * elapsed;
         self.served *= factor;
-        self.trouble *= factor;
+        self.failure_rate *= factor;
         self.updated = self.updated.max(now);
     }
 
-    fn fading(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
+    fn decay_factor(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
         0.5f64.powf(elapsed / cfg.half_life.as_secs_f64().max(f64::EPSILON))
     }
--- a/crates/core/src/routing/peer.rs
+++ b/crates/core/src/routing/peer.rs
@@ -1,4 +1,4 @@
-//! A peer as routing sees it.
+//! Routing state of a peer.
 
 use std::time::{Duration, Instant};
 
@@ -10,67 +10,68 @@
 use crate::id::{DomainName, Incarnation, NodeName, RegionName, ServiceName};
 
 new_key_type! {
-    /// Key of a peer while it is on the list.
+    /// Key of a peer, valid while the peer is listed.
     pub struct PeerKey;
 }
 
-/// A peer as listed by the platform and known from contact.
+/// Description of a peer, from the platform's instance list and direct contact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerView {
     /// Name of the node.
     pub node: NodeName,
-    /// The service of its target.
+    /// Service of the peer's target.
     pub service: ServiceName,
-    /// Its failure domain.
+    /// Failure domain of the peer.
     pub domain: DomainName,
-    /// Its region.
+    /// Region of the peer.
     pub region: RegionName,
-    /// The run of its node, where it is known.
+    /// Incarnation of the node, if known.
     pub incarnation: Option<Incarnation>,
-    /// Whether the list says that it is leaving.
+    /// Whether the peer is listed as leaving.
     pub leaving: bool,
 }
 
-/// How an attempt at a peer ended.
+/// Outcome of a call attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteResult {
     /// The target answered.
     Served,
-    /// The peer refused the call by admission.
+    /// The peer's admission control refused the call.
     Shed,
-    /// The peer answered that its target failed.
+    /// The peer reported that its target failed.
     Failed,
-    /// No whole answer came from the peer.
+    /// No complete answer was received from the peer.
     Lost,
-    /// The caller left first; says nothing about the peer.
+    /// The caller disconnected before the answer; carries no information about the peer.
     Cancelled,
 }
 
-/// State of a peer.
+/// Load, ejection and incarnation state of a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) view: PeerView,
     pub(super) load: Load,
     pub(super) ejection: Ejection,
-    /// The run that said itself that it is leaving.
-    left: Option<Left>,
-    /// The run before the present one.
-    former: Option<Incarnation>,
+    /// Leaving notice received from the peer itself.
+    leaving_notice: Option<LeavingNotice>,
+    /// The incarnation before the current one.
+    previous_incarnation: Option<Incarnation>,
     fresh_since: Option<Instant>,
 }
 
+/// Notice from a peer that this incarnation is leaving.
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct LeavingNotice {
     incarnation: Incarnation,
-    /// Whether the list has shown the leaving since.
+    /// Whether the instance list has shown the peer as leaving since then.
     confirmed: bool,
 }
 
 impl Peer {
-    /// A peer new to the list; `fresh_since` is when it was first seen, unless it was there before this node.
+    /// Creates a newly listed peer. `fresh_since` starts its slow start; `None` for peers of the first list.
     pub(super) fn new(
         view: PeerView,
-        former: Option<Incarnation>,
+        previous_incarnation: Option<Incarnation>,
         fresh_since: Option<Instant>,
         now: Instant,
     ) -> Self {
@@ -78,65 +79,65 @@
             view,
             load: Load::new(now),
             ejection: Ejection::default(),
-            left: None,
-            former,
+            leaving_notice: None,
+            previous_incarnation,
             fresh_since,
         }
     }
 
-    /// Takes in the list's newer view.
+    /// Applies a newer listing of the peer.
     pub(super) fn update(&mut self, mut view: PeerView, now: Instant) {
-        if self.former.is_some() && view.incarnation == self.former {
+        if self.previous_incarnation.is_some() && view.incarnation == self.previous_incarnation {
             view.incarnation = None;
         }
         let known = self.view.incarnation;
         let replaced = known.is_some() && view.incarnation.is_some() && known != view.incarnation;
-        let confirmed = self.left.is_some_and(|left| left.confirmed);
+        let confirmed = self.leaving_notice.is_some_and(|notice| notice.confirmed);
         let returned = confirmed && !view.leaving && view.incarnation.is_none();
         if replaced || returned {
             *self = Self::new(view, known, Some(now), now);
             return;
         }
-        if let Some(left) = &mut self.left {
-            left.confirmed |= view.leaving;
+        if let Some(notice) = &mut self.leaving_notice {
+            notice.confirmed |= view.leaving;
         }
         view.incarnation = view.incarnation.or(known);
         self.view = view;
     }
 
-    /// The run to be remembered when the peer goes off the list.
-    pub(super) fn last_run(&self) -> Option<Incarnation> {
-        self.view.incarnation.or(self.former)
+    /// The incarnation to remember when the peer is no longer listed.
+    pub(super) fn last_incarnation(&self) -> Option<Incarnation> {
+        self.view.incarnation.or(self.previous_incarnation)
     }
 
-    /// Takes in that a run says itself that it is leaving.
+    /// Records a notice from the peer that the given incarnation is leaving.
     ///
-    /// The list lags: for some seconds it still shows the peer as live. Were it believed, the peer would get new work
-    /// after it said that it leaves, seen as refused calls during each planned stop. Word of the run before may come
-    /// late, after its successor is known; it says nothing about the successor.
-    pub(super) fn leaving(&mut self, incarnation: Incarnation) {
+    /// The notice overrides the instance list, which shows the peer as live for some more seconds; otherwise calls
+    /// would be refused during every planned stop. A late notice from the previous incarnation does not affect the
+    /// current one.
+    pub(super) fn record_leaving(&mut self, incarnation: Incarnation) {
         let known = self
-            .left
-            .is_some_and(|left| left.incarnation == incarnation);
-        if known || self.former == Some(incarnation) {
+            .leaving_notice
+            .is_some_and(|notice| notice.incarnation == incarnation);
+        if known || self.previous_incarnation == Some(incarnation) {
             return;
         }
         self.view.incarnation = Some(incarnation);
-        self.left = Some(Left {
+        self.leaving_notice = Some(LeavingNotice {
             incarnation,
             confirmed: self.view.leaving,
         });
     }
 
-    /// Whether the peer takes new work.
+    /// Whether the peer accepts new work.
     pub(super) fn is_live(&self) -> bool {
-        !self.view.leaving && self.left.is_none()
+        !self.view.leaving && self.leaving_notice.is_none()
     }
 
-    /// Share of its full weight; below 1 while it is fresh.
+    /// Load balancing weight; below 1 during slow start.
     pub(super) fn weight(&self, cfg: &RoutingConfig, now: Instant) -> f64 {
-        let since = match (self.fresh_since, self.ejection.readmitted()) {
-            (Some(fresh), Some(readmitted)) => fresh.max(readmitted),
+        let since = match (self.fresh_since, self.ejection.ejected_until()) {
+            (Some(fresh), Some(ejected_until)) => fresh.max(ejected_until),
             (Some(since), None) | (None, Some(since)) => since,
             (None, None) => return 1.0,
         };
@@ -144,26 +145,26 @@
         if age >= cfg.slow_start {
             return 1.0;
         }
-        let warm = age.as_secs_f64() / cfg.slow_start.as_secs_f64();
-        cfg.slow_start_share + (1.0 - cfg.slow_start_share) * warm
+        let progress = age.as_secs_f64() / cfg.slow_start.as_secs_f64();
+        cfg.slow_start_share + (1.0 - cfg.slow_start_share) * progress
     }
 
-    pub(super) fn sent(&mut self, cfg: &RoutingConfig, now: Instant) {
-        self.load.sent(cfg, now);
+    pub(super) fn record_sent(&mut self, cfg: &RoutingConfig, now: Instant) {
+        self.load.record_sent(cfg, now);
     }
 
-    /// Takes in the end of an attempt, without ejection.
-    pub(super) fn done(
+    /// Records the end of an attempt, without updating the ejection state.
+    pub(super) fn record_done(
         &mut self,
         cfg: &RoutingConfig,
         result: RouteResult,
         report: LoadReport,
         now: Instant,
     ) {
-        self.load.done(cfg, result, report, now);
+        self.load.record_done(cfg, result, report, now);
     }
 
-    /// Time of one served call at this peer, where it is known.
+    /// Mean latency of a served call, if known.
     pub(super) fn latency(&self, cfg: &RoutingConfig, now: Instant) -> Option<Duration> {
         self.load.latency(cfg, now)
     }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router of one node.
+//! Peer selection of one node.
 
 use std::time::Instant;
 
@@ -13,30 +13,30 @@
 use crate::collections::{Map, Set};
 use crate::id::{Incarnation, NodeName, ServiceName};
 
-/// Weight of refusals and failures of late against load and latency.
-const TROUBLE_WEIGHT: f64 = 10.0;
+/// Weight of the recent failure rate relative to load and latency.
+const FAILURE_RATE_WEIGHT: f64 = 10.0;
 
-/// Share of refused calls of late from which a peer counts as over capacity.
-const TROUBLED: f64 = 0.5;
+/// Recent failure rate from which a peer counts as over capacity.
+const OVERLOAD_FAILURE_RATE: f64 = 0.5;
 
-/// Most runs remembered of nodes that went off the list.
-const MAX_FORMER: usize = 4096;
+/// Maximum number of incarnations remembered for nodes that are no longer listed.
+const MAX_PREVIOUS_INCARNATIONS: usize = 4096;
 
-/// Chooses the peer for each call and keeps what is known about all of them.
+/// Selects a peer for each call and tracks the state of all peers.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     cfg: RoutingConfig,
     peers: SlotMap<PeerKey, Peer>,
     by_name: Map<NodeName, PeerKey>,
     services: Map<ServiceName, Service>,
-    /// Last known runs of nodes that went off the list.
-    former: Map<NodeName, Incarnation>,
-    /// Whether a list was taken in before; peers of the first one are not fresh.
+    /// Last known incarnations of nodes that are no longer listed.
+    previous_incarnations: Map<NodeName, Incarnation>,
+    /// Whether a list was applied before. Peers of the first list skip slow start.
     listed: bool,
 }
 
 impl Router {
-    /// A router that knows no peers.
+    /// Creates a router without peers.
     pub fn new(cfg: RoutingConfig) -> Self {
         Self {
             cfg,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in a whole list of peers; what was observed of peers that stay is kept.
+    /// Replaces the list of peers, keeping the state of peers that remain listed.
     pub fn update(&mut self, peers: Vec<PeerView>, now: Instant) {
         let fresh_since = self.listed.then_some(now);
         self.listed = true;
@@ -59,11 +59,11 @@
         self.rebuild_services();
     }
 
-    /// Picks a peer of the service that is live and not in `excluded`.
+    /// Picks a live peer of the service that is not in `excluded`.
     ///
-    /// Two peers of the own failure domain are drawn and the less loaded one is taken; other failure domains are drawn
-    /// from where the own one has no usable peer or the taken one is over capacity. None only where every live peer of
-    /// the service is excluded: when all are ejected, ejection is ignored.
+    /// Uses the power of two choices within the local failure domain. Other failure domains are considered if the
+    /// local one has no usable peer or the picked peer is over capacity. Ejection is ignored if all peers are ejected,
+    /// so this returns `None` only if every live peer of the service is excluded.
     pub fn pick<R>(
         &mut self,
         service: &ServiceName,
@@ -78,39 +78,39 @@
         let usable = |key: &PeerKey| self.is_usable(*key, excluded, now);
         let near = keys(&service.subset, |distance| distance == Distance::Domain);
         let near: Vec<_> = near.filter(usable).collect();
-        let near = self.better_of_two(&near, now, rng);
-        if near.is_some_and(|key| !self.is_full(key, now)) {
+        let near = self.pick_of_two(&near, now, rng);
+        if near.is_some_and(|key| !self.is_overloaded(key, now)) {
             return near;
         }
         let far = keys(&service.subset, |distance| distance != Distance::Domain);
         let far: Vec<_> = far.filter(usable).collect();
-        let far = self.better_of_two(&far, now, rng);
+        let far = self.pick_of_two(&far, now, rng);
         match (near, far) {
-            (Some(near), Some(far)) => Some(self.better(near, far, now)),
+            (Some(near), Some(far)) => Some(self.cheaper(near, far, now)),
             (Some(key), None) | (None, Some(key)) => Some(key),
-            (None, None) => self.pick_any(service, excluded, now, rng),
+            (None, None) => self.pick_fallback(service, excluded, now, rng),
         }
     }
 
-    /// Counts an attempt sent to a peer.
+    /// Records that an attempt was sent to a peer.
     pub fn sent(&mut self, key: PeerKey, now: Instant) {
         if let Some(peer) = self.peers.get_mut(key) {
-            peer.sent(&self.cfg, now);
+            peer.record_sent(&self.cfg, now);
         }
     }
 
-    /// Counts the end of an attempt; a report with limit 0 is ignored.
+    /// Records the end of an attempt. A report with limit 0 is ignored.
     pub fn done(&mut self, key: PeerKey, result: RouteResult, report: LoadReport, now: Instant) {
         let Some(peer) = self.peers.get_mut(key) else {
             return;
         };
-        peer.done(&self.cfg, result, report, now);
+        peer.record_done(&self.cfg, result, report, now);
         let due = match result {
             RouteResult::Served => {
-                peer.ejection.served();
+                peer.ejection.record_success();
                 false
             }
-            RouteResult::Failed | RouteResult::Lost => peer.ejection.failed(&self.cfg),
+            RouteResult::Failed | RouteResult::Lost => peer.ejection.record_failure(&self.cfg),
             RouteResult::Shed | RouteResult::Cancelled => false,
         };
         if due {
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Takes in that this run of a node says itself that it is leaving.
-    pub fn leaving(&mut self, node: &NodeName, incarnation: Incarnation) {
+    /// Records a notice from a node that the given incarnation is leaving.
+    pub fn record_leaving(&mut self, node: &NodeName, incarnation: Incarnation) {
         let Some(peer) = self
             .by_name
             .get(node)
@@ -127,23 +127,23 @@
         else {
             return;
         };
-        peer.leaving(incarnation);
+        peer.record_leaving(incarnation);
         if let Some(service) = self.services.get_mut(&peer.view.service) {
             choose_subset(&self.cfg, &self.peers, service);
         }
     }
 
-    /// What is known about a peer.
+    /// Returns the description of a peer.
     pub fn peer(&self, key: PeerKey) -> Option<&PeerView> {
         self.peers.get(key).map(|peer| &peer.view)
     }
 
-    /// The key of a listed node.
+    /// Returns the key of a listed node.
     pub fn key_of(&self, node: &NodeName) -> Option<PeerKey> {
         self.by_name.get(node).copied()
     }
 
-    /// Peers of a service that this node talks to, nearest first.
+    /// Returns the subset of a service's peers that this node calls, nearest first.
     pub fn subset(&self, service: &ServiceName) -> Vec<PeerKey> {
         let Some(service) = self.services.get(service) else {
             return Vec::new();
@@ -158,7 +158,7 @@
             .is_some_and(|peer| peer.ejection.is_ejected(now))
     }
 
-    /// Attempts in flight to a peer.
+    /// Number of attempts in flight to a peer.
     pub fn in_flight(&self, key: PeerKey) -> u32 {
         self.peers.get(key).map_or(0, |peer| peer.load.in_flight())
     }
@@ -171,8 +171,10 @@
             return key;
         }
         let node = view.node.clone();
-        let former = self.former.remove(&node);
-        let key = self.peers.insert(Peer::new(view, former, fresh_since, now));
+        let previous_incarnation = self.previous_incarnations.remove(&node);
+        let key = self
+            .peers
+            .insert(Peer::new(view, previous_incarnation, fresh_since, now));
         self.by_name.insert(node, key);
         key
     }
@@ -182,17 +184,17 @@
             return;
         };
         self.by_name.remove(&peer.view.node);
-        if let Some(run) = peer.last_run() {
-            self.remember(peer.view.node, run);
+        if let Some(incarnation) = peer.last_incarnation() {
+            self.remember_incarnation(peer.view.node, incarnation);
         }
     }
 
-    /// Remembers a run, so that late word of its leaving isn't taken for that of a successor under the same name.
-    fn remember(&mut self, node: NodeName, run: Incarnation) {
-        if self.former.len() >= MAX_FORMER {
-            self.former.clear();
+    /// Remembers an incarnation, so that its late leaving notice isn't attributed to a successor of the same name.
+    fn remember_incarnation(&mut self, node: NodeName, incarnation: Incarnation) {
+        if self.previous_incarnations.len() >= MAX_PREVIOUS_INCARNATIONS {
+            self.previous_incarnations.clear();
         }
-        self.former.insert(node, run);
+        self.previous_incarnations.insert(node, incarnation);
     }
 
     fn rebuild_services(&mut self) {
@@ -209,9 +211,9 @@
         }
     }
 
-    /// Ejects a peer unless too many of the subset are ejected already.
+    /// Ejects a peer unless too many peers of the subset are ejected already.
     ///
-    /// When all peers fail, the cause is rather something common: ejecting them all would leave nobody, or move the
+    /// If all peers fail, a shared dependency is the likely cause. Ejecting them all would leave no peer, or move the
     /// whole load to the last one.
     fn eject(&mut self, key: PeerKey, now: Instant) {
         let Some(service) = self
@@ -240,8 +242,8 @@
         self.is_live(key, excluded) && !self.is_ejected(key, now)
     }
 
-    /// Picks beyond the subset, then among the ejected.
-    fn pick_any<R>(
+    /// Picks among all live peers of the service, also outside the subset; ejected peers only as a last resort.
+    fn pick_fallback<R>(
         &self,
         service: &Service,
         excluded: &[PeerKey],
@@ -263,10 +265,10 @@
             .filter(|key| !self.is_ejected(*key, now));
         let usable: Vec<_> = usable.collect();
         let from = if usable.is_empty() { live } else { usable };
-        self.better_of_two(&from, now, rng)
+        self.pick_of_two(&from, now, rng)
     }
 
-    fn better_of_two<R>(&self, from: &[PeerKey], now: Instant, rng: &mut R) -> Option<PeerKey>
+    fn pick_of_two<R>(&self, from: &[PeerKey], now: Instant, rng: &mut R) -> Option<PeerKey>
     where
         R: Rng + ?Sized,
     {
@@ -276,12 +278,12 @@
             _ => {
                 let first = rng.random_range(0..from.len());
                 let second = (first + rng.random_range(1..from.len())) % from.len();
-                Some(self.better(from[first], from[second], now))
+                Some(self.cheaper(from[first], from[second], now))
             }
         }
     }
 
-    fn better(&self, first: PeerKey, second: PeerKey, now: Instant) -> PeerKey {
+    fn cheaper(&self, first: PeerKey, second: PeerKey, now: Instant) -> PeerKey {
         let (Some(a), Some(b)) = (self.peers.get(first), self.peers.get(second)) else {
             return first;
         };
@@ -294,23 +296,23 @@
         if b < a { second } else { first }
     }
 
-    /// Relative cost of one more call at a peer, before latency.
+    /// Relative cost of one more call to a peer, not including latency.
     fn cost(&self, peer: &Peer, now: Instant) -> f64 {
         let load = &peer.load;
-        let trouble = 1.0 + TROUBLE_WEIGHT * load.trouble(&self.cfg, now);
-        (load.utilisation(&self.cfg, now) + IDLE_COST) * trouble / peer.weight(&self.cfg, now)
+        let failure_rate = 1.0 + FAILURE_RATE_WEIGHT * load.failure_rate(&self.cfg, now);
+        (load.utilisation(&self.cfg, now) + IDLE_COST) * failure_rate / peer.weight(&self.cfg, now)
     }
 
-    fn is_full(&self, key: PeerKey, now: Instant) -> bool {
+    fn is_overloaded(&self, key: PeerKey, now: Instant) -> bool {
         let Some(peer) = self.peers.get(key) else {
             return true;
         };
-        let full = peer.load.has_report() && peer.load.utilisation(&self.cfg, now) >= 1.0;
-        full || peer.load.trouble(&self.cfg, now) >= TROUBLED
+        let at_limit = peer.load.has_report() && peer.load.utilisation(&self.cfg, now) >= 1.0;
+        at_limit || peer.load.failure_rate(&self.cfg, now) >= OVERLOAD_FAILURE_RATE
     }
 }
 
-/// Cost of a peer without load, in shares of its limit.
+/// Base cost of an idle peer, as a fraction of its limit.
 const IDLE_COST: f64 = 0.1;
 
 fn keys<F>(subset: &[SubsetMember], wanted: F) -> impl Iterator<Item = PeerKey>
@@ -339,7 +341,7 @@
     service.subset = members.collect();
 }
 
-/// Most peers of a subset of this size that may be ejected.
+/// Maximum number of ejected peers in a subset of the given size.
 fn ejection_bound(size: usize, share: f64) -> usize {
     let bound = (size as f64 * share).floor() as usize;
     if size >= 2 { bound.max(1) } else { bound }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Tests of the router.
+//! Tests of peer selection: load balancing, ejection, leaving notices, slow start and subsetting.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     ServiceName::from(SERVICE)
 }
 
-/// A peer of the service; its region is the first letter of its failure domain.
+/// Creates a peer of the service. Its region is the first letter of its failure domain.
 fn view(node: &str, domain: &str) -> PeerView {
     PeerView {
         node: NodeName::from(node),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A router in failure domain `a1` that knows these peers.
+/// Creates a router in failure domain `a1` with the given peers.
 fn router(peers: &[(&str, &str)], now: Instant) -> Router {
     let mut router = Router::new(config("self", "a1"));
     router.update(
@@ -61,7 +61,7 @@
     router.key_of(&node.into()).expect("a listed node")
 }
 
-/// How often each node is picked in 1000 picks without load.
+/// Counts how often each node is picked in 1000 picks without load.
 fn picks(router: &mut Router, excluded: &[PeerKey], now: Instant) -> Map<String, usize> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut picks = Map::default();
@@ -80,7 +80,7 @@
     names
 }
 
-/// One attempt at a peer that ends after `took`.
+/// Sends one attempt to a peer that ends after `took`.
 fn attempt(router: &mut Router, key: PeerKey, result: RouteResult, took: Duration, now: Instant) {
     router.sent(key, now);
     router.done(key, result, LoadReport::default(), now + took);
@@ -212,13 +212,12 @@
     assert_eq!(
         names(&picks(&mut shedding, &[], now + ms(5))),
         ["n2"],
-        "quick refusals don't attract"
+        "fast refusals must not make a peer look fast"
     );
 }
 
-/// Symptom: calls go on to a frozen peer until the first timeouts come in.
-/// Sequence: two peers answer within 5 ms, then one stops answering with a few calls in flight.
-/// Cause: a latency over finished calls does not move while none finishes.
+/// Two peers answer within 5 ms, then one stops answering with calls in flight. A latency estimate based on finished
+/// calls only would not change, and calls would continue to the frozen peer until the first timeouts.
 #[test]
 fn a_frozen_peer_is_avoided_before_its_first_timeout() {
     let now = Instant::now();
@@ -244,18 +243,14 @@
     router.sent(n1, then);
     router.sent(n2, then);
     router.done(n2, RouteResult::Served, LoadReport::default(), then + ms(5));
-    // The load in flight alone would still take n1 when n2 has two calls in flight.
+    // In-flight load alone would favour n1, because n2 has more calls in flight.
     router.sent(n2, then + ms(100));
     router.sent(n2, then + ms(100));
     assert_eq!(names(&picks(&mut router, &[], then + ms(100))), ["n2"]);
 }
 
-/// Symptom: a common cause (a deep service is down) ejects every peer, and the last one gets all the load.
-/// Sequence: all peers fail in a row.
-/// Cause: ejection without a bound.
-/// Symptom: a healthy peer of three gets no call for minutes.
-/// Sequence: its first call took long, as with a handshake in it; it loses each comparison and gets no call to show better.
-/// Cause: the latency of a peer without calls does not age.
+/// A healthy peer whose first call was slow, such as one including a handshake, loses every comparison. If the latency
+/// estimate of an idle peer did not expire, the peer would get no call for minutes.
 #[test]
 fn a_peer_that_was_slow_once_is_tried_again() {
     let start = Instant::now();
@@ -274,6 +269,8 @@
     assert!(picked > 100, "{picked} of 1000 calls in 10 s");
 }
 
+/// All peers fail because of a shared dependency. Without a bound on ejection, every peer would be ejected or the last
+/// one would get the whole load.
 #[test]
 fn ejection_is_bounded_and_timed() {
     struct Case {
@@ -328,13 +325,15 @@
         attempt(&mut router, first, RouteResult::Served, ms(1), later);
         router.sent(first, later);
         router.done(first, RouteResult::Failed, LoadReport::default(), later);
-        assert!(!router.is_ejected(first, later), "a success ends the row");
+        assert!(
+            !router.is_ejected(first, later),
+            "a success resets the failure count"
+        );
     }
 }
 
-/// Symptom: a target gets new work after its node said that it is leaving.
-/// Sequence: the node tells it on an answer; the platform's list goes on showing it as live for some seconds.
-/// Cause: the next list overwrites what the node said.
+/// A node announces in an answer that it is leaving, but the platform's list shows it as live for some more seconds.
+/// The next list must not overwrite the announcement, or the target would get new work.
 #[test]
 fn leaving_beats_the_list_until_a_new_incarnation() {
     let [old, new] = [Incarnation(1), Incarnation(2)];
@@ -348,7 +347,7 @@
     };
     struct Case {
         name: &'static str,
-        /// Lists after the node told that it is leaving.
+        /// Lists applied after the node announced that it is leaving.
         lists: Vec<Vec<PeerView>>,
         live: bool,
     }
@@ -388,20 +387,19 @@
         let now = Instant::now();
         let mut router = Router::new(config("self", "a1"));
         router.update(list(Some(old), false), now);
-        router.leaving(&"n1".into(), old);
+        router.record_leaving(&"n1".into(), old);
         lists.into_iter().for_each(|list| router.update(list, now));
         let later = now + ms(60_000);
         let nodes: &[_] = if live { &["n1", "n2"] } else { &["n2"] };
         assert_eq!(names(&picks(&mut router, &[], later)), nodes, "{name}");
-        router.leaving(&"n1".into(), old);
+        router.record_leaving(&"n1".into(), old);
         let still = names(&picks(&mut router, &[], later)).contains(&"n1");
-        assert_eq!(still, live, "{name}: late word of the older run");
+        assert_eq!(still, live, "{name}: late notice of the older incarnation");
     }
 }
 
-/// Symptom: a restarted target is flooded while it is cold, and its first calls are shed or late.
-/// Sequence: a peer joins or is replaced among busy ones; it has no load, so every choice prefers it.
-/// Cause: load alone decides.
+/// A peer joins or is replaced among busy ones. Selection by load alone would always prefer it and overload the cold
+/// target, so that its first calls would be shed or late.
 #[test]
 fn fresh_incarnations_start_slowly() {
     let now = Instant::now();
@@ -424,12 +422,12 @@
     router.update(listed.to_vec(), now);
     assert_eq!(share(&mut router, now), 0, "fresh");
     assert!(share(&mut router, now + ms(5000)) > 500, "warm");
-    let run = |n| PeerView {
+    let with_incarnation = |n| PeerView {
         incarnation: Some(Incarnation(n)),
         ..view("n3", "a1")
     };
     router.update(
-        vec![listed[0].clone(), listed[1].clone(), run(1)],
+        vec![listed[0].clone(), listed[1].clone(), with_incarnation(1)],
         now + ms(6000),
     );
     assert!(
@@ -437,13 +435,13 @@
         "its incarnation became known"
     );
     router.update(
-        vec![listed[0].clone(), listed[1].clone(), run(2)],
+        vec![listed[0].clone(), listed[1].clone(), with_incarnation(2)],
         now + ms(7000),
     );
     assert_eq!(share(&mut router, now + ms(7000)), 0, "replaced");
 }
 
-/// 1,400 nodes in 3 regions with 7 failure domains; 180 services of 2 to 200 instances.
+/// Creates 1,400 nodes in 3 regions with 7 failure domains, running 180 services of 2 to 200 instances.
 fn fleet() -> Vec<PeerView> {
     let domains = ["a1", "a2", "a3", "b1", "b2", "c1", "c2"];
     let sizes = [200usize, 100, 60, 40]
@@ -516,7 +514,7 @@
             "{service}: {} instances, held by {min} to {max} nodes, mean {mean:.1}",
             counts.len()
         );
-        assert!(min > 0, "{service}: an instance that nobody talks to");
+        assert!(min > 0, "{service}: an instance in no subset");
         assert!(
             max as f64 <= 2.0 * mean,
             "{service}: {max} against a mean of {mean}"
@@ -582,9 +580,8 @@
     ]
 }
 
-/// Symptom: "no target" although a live one exists, or a call to a node that is leaving.
-/// Sequence: any mix of failures, departures, lists and waits.
-/// Cause: subset, ejection and exclusion taken together leave nobody.
+/// Random failures, departures, list updates and waits. The combination of subsetting, ejection and exclusion must not
+/// leave a call without a target while a live peer exists, and a leaving node must never be picked.
 #[test]
 fn a_live_peer_is_always_found_and_a_leaving_one_never() {
     let config = Config {
@@ -596,11 +593,11 @@
     let steps = prop::collection::vec(step(), 0..200);
     let strategy = (steps, any::<u64>());
     TestRunner::new_with_rng(config, rng)
-        .run(&strategy, |(steps, seed)| walk(steps, seed))
+        .run(&strategy, |(steps, seed)| check_random_steps(steps, seed))
         .unwrap();
 }
 
-fn walk(steps: Vec<Step>, seed: u64) -> Result<(), TestCaseError> {
+fn check_random_steps(steps: Vec<Step>, seed: u64) -> Result<(), TestCaseError> {
     let domains = ["a1", "a2", "b1"];
     let all: Vec<_> = (0..PEERS)
         .map(|n| view(&format!("n{n}"), domains[n % domains.len()]))
@@ -609,11 +606,11 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut router = Router::new(config("self", "a1"));
     router.update(all.clone(), now);
-    // What a reader of the rules would say of each peer.
+    // Reference model of each peer's expected state.
     let mut listed = [true; PEERS];
-    let mut on_list_leaving = [false; PEERS];
-    let mut told = [false; PEERS];
-    let mut run = [0u128; PEERS];
+    let mut listed_leaving = [false; PEERS];
+    let mut announced = [false; PEERS];
+    let mut incarnations = [0u128; PEERS];
     for step in steps {
         match step {
             Step::Done { peer, result } => {
@@ -622,20 +619,20 @@
                 }
             }
             Step::Leaving { peer, late } => {
-                let late = late && run[peer] > 0;
-                let run = run[peer] - u128::from(late);
-                let incarnation = Incarnation(peer as u128 * 1000 + run);
-                router.leaving(&all[peer].node, incarnation);
-                told[peer] |= listed[peer] && !late;
+                let late = late && incarnations[peer] > 0;
+                let incarnation = incarnations[peer] - u128::from(late);
+                let incarnation = Incarnation(peer as u128 * 1000 + incarnation);
+                router.record_leaving(&all[peer].node, incarnation);
+                announced[peer] |= listed[peer] && !late;
             }
             Step::List { leaving, gone } => {
                 for n in 0..PEERS {
-                    let returned = on_list_leaving[n] && !leaving[n];
-                    let replaced = told[n] && (gone[n] || returned);
-                    run[n] += u128::from(replaced);
-                    told[n] &= !replaced;
+                    let returned = listed_leaving[n] && !leaving[n];
+                    let replaced = announced[n] && (gone[n] || returned);
+                    incarnations[n] += u128::from(replaced);
+                    announced[n] &= !replaced;
                     listed[n] = !gone[n];
-                    on_list_leaving[n] = listed[n] && leaving[n];
+                    listed_leaving[n] = listed[n] && leaving[n];
                 }
                 let shown = (0..PEERS).filter(|n| listed[*n]);
                 let list = shown.map(|n| PeerView {
@@ -647,7 +644,7 @@
             Step::Wait { millis } => now += ms(millis.into()),
         }
         let live: Vec<_> = (0..PEERS)
-            .filter(|n| listed[*n] && !on_list_leaving[*n] && !told[*n])
+            .filter(|n| listed[*n] && !listed_leaving[*n] && !announced[*n])
             .collect();
         let excluded: Vec<_> = (0..PEERS).filter(|_| rng.random_bool(0.2)).collect();
         let keys: Vec<_> = excluded
@@ -668,7 +665,7 @@
             .iter()
             .filter(|key| router.is_ejected(**key, now))
             .count();
-        // A subset that shrinks may hold peers ejected before; the bound is that of all peers then.
+        // A subset that shrinks may contain peers ejected earlier, so the bound for all peers applies.
         prop_assert!(ejected <= 4, "{} of {} ejected", ejected, subset.len());
     }
     Ok(())
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -251,7 +251,7 @@
         }
         self.told.insert(report.node.clone(), told);
         if report.state == NodeState::Leaving {
-            self.router.leaving(&report.node, report.incarnation);
+            self.router.record_leaving(&report.node, report.incarnation);
         }
         self.known = self.known.max(report.revision);
         let _ = self.words.send(Word::from(report));
