--- a/crates/core/src/allowance/backoff.rs
+++ b/crates/core/src/allowance/backoff.rs
@@ -1,20 +1,20 @@
-//! Time between two attempts of one hop.
+//! Delay between two attempts of one hop.
 
 use std::time::Duration;
 
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Most doublings of the shortest delay.
+/// Maximum number of times the first delay is doubled.
 const MAX_DOUBLINGS: u16 = 16;
 
-/// Delays that double with each attempt, with full jitter.
+/// Exponential backoff with full jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Backoff {
-    /// Upper end of the first delay.
+    /// Upper bound of the first delay.
     pub first: Duration,
-    /// Upper end of any delay.
+    /// Upper bound of all delays.
     pub max: Duration,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Backoff {
-    /// Delay before the retry with this number, from 0, drawn evenly between zero and its upper end.
+    /// Returns the delay before retry number `retry`, counted from 0: uniformly random up to its upper bound.
     pub fn delay<R>(&self, retry: u16, rng: &mut R) -> Duration
     where
         R: Rng + ?Sized,
