--- a/crates/core/src/allowance/edge_budget.rs
+++ b/crates/core/src/allowance/edge_budget.rs
@@ -1,21 +1,21 @@
-//! The retry budget of one edge between a node and a service.
+//! Retry budget of one edge between a node and a service.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Parts of one retry that are counted; whole numbers, so that ten tenths are one retry.
-const PARTS: f64 = 1e6;
+/// Integer units per retry. Integers avoid rounding errors, so that ten tenths credit up to one retry.
+const UNITS_PER_RETRY: f64 = 1e6;
 
 /// Settings of [`EdgeBudget`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EdgeBudgetConfig {
-    /// Retries earned by each success.
+    /// Retries added to the budget by each success.
     pub ratio: f64,
-    /// Most retries saved up.
+    /// Maximum number of retries in the budget.
     pub burst: f64,
-    /// Time in which an edge without successes earns one retry.
+    /// Interval at which one retry is added to the budget even without successes.
     pub idle_interval: Duration,
 }
 
@@ -29,60 +29,59 @@
     }
 }
 
-/// Bounds the retries of many requests over one edge by a share of its successes.
+/// Limits the retries of all requests over one edge to a fraction of its successes.
 ///
-/// The allowance bounds one request only. When a service fails for all requests at once, each of them may retry, and the
-/// failing service sees its load multiplied at the moment it can least bear it. A budget that fills by successes runs dry
-/// then.
+/// The allowance limits a single request only. When a service fails for all requests at once, each of them may retry
+/// and multiply the load of the failing service. A budget refilled by successes is exhausted in that case.
 #[derive(Clone, Debug)]
 pub struct EdgeBudget {
     cfg: EdgeBudgetConfig,
-    /// Retries saved up, in [`PARTS`].
-    saved: u64,
-    earned: Instant,
+    /// Available retries, in units of 1 / [`UNITS_PER_RETRY`].
+    balance: u64,
+    last_refill: Instant,
 }
 
 impl EdgeBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(cfg: EdgeBudgetConfig, now: Instant) -> Self {
         Self {
-            saved: parts(cfg.burst),
+            balance: to_units(cfg.burst),
             cfg,
-            earned: now,
+            last_refill: now,
         }
     }
 
-    /// Counts a success.
+    /// Adds the retries last_refill by a success.
     pub fn success(&mut self) {
-        self.add(self.cfg.ratio);
+        self.credit(self.cfg.ratio);
     }
 
-    /// Spends one retry; false where the budget is dry.
+    /// Spends one retry. Returns false if the budget is exhausted.
     pub fn try_spend(&mut self, now: Instant) -> bool {
-        self.earn_idle(now);
-        let Some(saved) = self.saved.checked_sub(parts(1.0)) else {
+        self.refill_idle(now);
+        let Some(balance) = self.balance.checked_sub(to_units(1.0)) else {
             return false;
         };
-        self.saved = saved;
+        self.balance = balance;
         true
     }
 
-    fn earn_idle(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.earned);
-        self.earned = self.earned.max(now);
+    fn refill_idle(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
         if !self.cfg.idle_interval.is_zero() {
-            self.add(elapsed.as_secs_f64() / self.cfg.idle_interval.as_secs_f64());
+            self.credit(elapsed.as_secs_f64() / self.cfg.idle_interval.as_secs_f64());
         }
     }
 
-    fn add(&mut self, retries: f64) {
-        self.saved = self
-            .saved
-            .saturating_add(parts(retries))
-            .min(parts(self.cfg.burst));
+    fn credit(&mut self, retries: f64) {
+        self.balance = self
+            .balance
+            .saturating_add(to_units(retries))
+            .min(to_units(self.cfg.burst));
     }
 }
 
-fn parts(retries: f64) -> u64 {
-    (retries * PARTS).round() as u64
+fn to_units(retries: f64) -> u64 {
+    (retries * UNITS_PER_RETRY).round() as u64
 }
