--- a/crates/core/src/allowance/policy.rs
+++ b/crates/core/src/allowance/policy.rs
@@ -5,11 +5,11 @@
 use crate::error_kind::ErrorKind;
 use crate::outcome::Outcome;
 
-/// Rules of retrying at one hop, before allowance and budget are asked.
+/// Retry rules of one hop, checked before the allowance and the edge budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryPolicy {
-    /// Whether this node retries at all.
+    /// Whether this node retries calls.
     pub enabled: bool,
 }
 
@@ -20,10 +20,10 @@
 }
 
 impl RetryPolicy {
-    /// Whether the hop that sees `kind` may send the call elsewhere.
+    /// Whether the hop that receives an error of this kind may send the call to another peer.
     ///
-    /// `idempotent` says whether a second run does no harm. `final_answer` says that a hop further down was next to the
-    /// failure and has made up its mind; retrying above it would multiply the attempts from hop to hop.
+    /// `idempotent` tells whether executing the call twice is safe. `final_answer` tells that the downstream hop next
+    /// to the failure has already decided about retries; retrying upstream of it would multiply the attempts per hop.
     pub fn may_retry(&self, kind: ErrorKind, idempotent: bool, final_answer: bool) -> bool {
         let rule = kind.rule();
         if !self.enabled || final_answer || !rule.hop_may_retry {
