--- a/crates/core/src/allowance/retry_after.rs
+++ b/crates/core/src/allowance/retry_after.rs
@@ -1,4 +1,4 @@
-//! When a refused caller is told to come back.
+//! Retry-after time returned to refused callers.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryAfterConfig {
-    /// Shortest time told.
+    /// Minimum retry-after time, before jitter.
     pub min: Duration,
-    /// Longest time told, before jitter.
+    /// Maximum retry-after time, before jitter.
     pub max: Duration,
-    /// Time in which a level rises from closed to open once the surge is over.
+    /// Time in which the admission level rises from closed to open after an overload.
     pub level_rise: Duration,
 }
 
@@ -30,24 +30,24 @@
     }
 }
 
-/// What is known of the target that refused the call.
+/// State of the target that refused the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetState {
     /// The admission level.
     pub level: Level,
-    /// Calls that wait.
+    /// Calls waiting for dispatch.
     pub queued: usize,
-    /// Calls that may run at once.
+    /// Concurrency limit.
     pub limit: u32,
     /// Estimated service time.
     pub service_time: Duration,
 }
 
-/// Time after which a new try of this class has a fair chance, jittered upwards by up to once its length.
+/// Estimates when a call of this class is likely to be admitted, plus jitter of up to 100 %.
 ///
-/// Honest: the time in which the queue drains, plus the time in which the level could rise to admit the whole class
-/// again. Jittered: callers refused in the same instant would otherwise come back in the same instant, and the surge
-/// repeats at the period told.
+/// The estimate is the time to drain the queue plus the time for the level to rise until it admits the whole class.
+/// Without jitter, callers refused at the same moment would return at the same moment, and the overload would repeat
+/// with that period.
 pub fn retry_after<R>(
     cfg: &RetryAfterConfig,
     target: &TargetState,
@@ -59,18 +59,18 @@
 {
     let turns = target.queued as f64 / f64::from(target.limit.max(1));
     let drain = target.service_time.mul_f64(turns);
-    let missing = positions_missing(target.level, class);
+    let deficit = level_deficit(target.level, class);
     let rise = cfg
         .level_rise
-        .mul_f64(missing / f64::from(Level::OPEN.position()));
+        .mul_f64(deficit / f64::from(Level::OPEN.position()));
     let expected = drain
         .saturating_add(rise)
         .clamp(cfg.min, cfg.max.max(cfg.min));
     expected.mul_f64(1.0 + rng.random::<f64>())
 }
 
-/// How far the level is below admitting the whole class.
-fn positions_missing(level: Level, class: Class) -> f64 {
+/// Number of positions by which the level must rise to admit the whole class.
+fn level_deficit(level: Level, class: Class) -> f64 {
     let whole = Level {
         class: class.min(Class::LOWEST),
         bucket: u8::MAX,
