--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -111,7 +111,7 @@
         // What is granted travels with the attempt; what is left of it comes back with the answer.
         let granted = allowance.grant();
         let (answer, left) = attempt_at_server(attempt, granted);
-        if let Err(breach) = allowance.give_back(granted, left) {
+        if let Err(breach) = allowance.reclaim(granted, left) {
             println!("the server gave back too much: {}", breach.as_str());
         }
         let Err(kind) = answer else {
--- a/crates/core/tests/allowance.rs
+++ b/crates/core/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! Tests of the retry allowance, the edge budget, the retry policy and the times told to callers.
+//! Tests of the retry allowance, the edge budget, the retry policy, the backoff and the retry-after time.
 
 use std::time::{Duration, Instant};
 
@@ -30,51 +30,51 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
 }
 
-/// What happens to the calls of a graph, in 1000.
+/// Probabilities of events in a call graph, per mille.
 #[derive(Clone, Copy, Debug)]
-struct Odds {
-    /// The hop itself fails after its own calls.
+struct Probabilities {
+    /// The hop fails after its own calls.
     fails: u32,
-    /// The answer of an attempt is lost on its way.
+    /// The answer of an attempt is lost in transit.
     lost: u32,
-    /// A call has three parallel calls below and not one.
+    /// A call makes three parallel downstream calls instead of one.
     fans_out: u32,
 }
 
-/// A random call graph, walked as nodes would walk it.
+/// A random call graph, traversed with the rules that nodes apply.
 struct Graph {
-    odds: Odds,
+    probabilities: Probabilities,
     rng: SmallRng,
     retries: u32,
-    /// Calls still to be made, a cap on the size of one walk.
+    /// Remaining calls; limits the size of one traversal.
     budget: u32,
 }
 
 impl Graph {
-    fn happens(&mut self, per_mille: u32) -> bool {
+    fn random_bool(&mut self, per_mille: u32) -> bool {
         self.rng.random_range(0..1000) < per_mille
     }
 
-    /// Runs one call at a hop; answers whether it succeeded and what is left of its allowance.
+    /// Runs one call at a hop. Returns whether it succeeded and its unused retries.
     fn call(&mut self, depth: u32, granted: u16) -> (bool, u16) {
         let mut allowance = Allowance::new(granted);
-        let fan_out = if self.happens(self.odds.fans_out) {
+        let fan_out = if self.random_bool(self.probabilities.fans_out) {
             3
         } else {
             1
         };
-        // Parallel calls are all granted before the first answer comes back.
+        // All parallel calls get their grants before the first answer arrives.
         let first = if depth == 0 { 0 } else { fan_out };
         let grants: Vec<u16> = (0..first).map(|_| allowance.grant()).collect();
         let mut served = true;
         for grant in grants {
             served &= self.attempts(depth, &mut allowance, grant);
         }
-        let fails = self.happens(self.odds.fails);
+        let fails = self.random_bool(self.probabilities.fails);
         (served && !fails, allowance.left())
     }
 
-    /// One call below and its retries.
+    /// Makes one downstream call, including its retries.
     fn attempts(&mut self, depth: u32, allowance: &mut Allowance, mut grant: u16) -> bool {
         loop {
             if self.budget == 0 {
@@ -82,9 +82,9 @@
             }
             self.budget -= 1;
             let (served, left) = self.call(depth - 1, grant);
-            let lost = self.happens(self.odds.lost);
+            let lost = self.random_bool(self.probabilities.lost);
             if !lost {
-                assert_eq!(allowance.give_back(grant, left), Ok(()));
+                assert_eq!(allowance.reclaim(grant, left), Ok(()));
             }
             if served && !lost {
                 return true;
@@ -98,32 +98,32 @@
     }
 }
 
-/// Symptom: one click at the entry becomes dozens of calls at the bottom.
-/// Sequence: calls 13 deep and up to three wide, any hop fails, answers are lost with the allowance they carry.
-/// Cause: an allowance that is copied to each call, or given back and kept at once.
+/// Call graphs up to 13 deep and three wide, with failures at any hop and answers lost with their unused retries. An
+/// allowance copied to each call, or both returned and kept, would turn one request into dozens of calls downstream.
 #[test]
 fn retries_stay_within_the_allowance_of_the_request() {
-    let odds = (0..700u32, 0..500u32, 0..300u32).prop_map(|(fails, lost, fans_out)| Odds {
-        fails,
-        lost,
-        fans_out,
-    });
-    let strategy = (odds, 0..20u16, 1..=13u32, any::<u64>());
-    let run = |(odds, max, depth, seed)| {
+    let probabilities =
+        (0..700u32, 0..500u32, 0..300u32).prop_map(|(fails, lost, fans_out)| Probabilities {
+            fails,
+            lost,
+            fans_out,
+        });
+    let strategy = (probabilities, 0..20u16, 1..=13u32, any::<u64>());
+    let run = |(probabilities, max, depth, seed)| {
         let rng = SmallRng::seed_from_u64(seed);
         let mut graph = Graph {
-            odds,
+            probabilities,
             rng,
             retries: 0,
             budget: 5000,
         };
         let (_, left) = graph.call(depth, max);
         prop_assert!(graph.retries + u32::from(left) <= u32::from(max));
-        if odds.lost == 0 {
+        if probabilities.lost == 0 {
             prop_assert_eq!(
                 graph.retries + u32::from(left),
                 u32::from(max),
-                "none gets lost"
+                "no retry is lost"
             );
         }
         Ok(())
@@ -178,33 +178,31 @@
         assert_eq!(
             spent,
             usize::from(left),
-            "what was given away is not to be spent"
+            "granted retries can't be spent by the holder"
         );
     }
 }
 
-/// Symptom: more retries than the document allows.
-/// Sequence: a peer gives back more than it was granted, by a defect or with a forged answer.
-/// Cause: what came back was taken as it was.
+/// A peer returns more retries than it was granted, because of a defect or a forged answer. If the number were accepted
+/// unchecked, a request could make more retries than its document allows.
 #[test]
 fn more_than_granted_is_clamped_and_reported() {
     let mut allowance = Allowance::new(3);
     let granted = allowance.grant();
     assert_eq!(
-        allowance.give_back(granted, granted + 1),
+        allowance.reclaim(granted, granted + 1),
         Err(Invariant::AllowanceGrew)
     );
     assert_eq!(allowance.left(), 3);
     assert_eq!(
-        allowance.give_back(0, u16::MAX),
+        allowance.reclaim(0, u16::MAX),
         Err(Invariant::AllowanceGrew)
     );
     assert_eq!(allowance.left(), 3);
 }
 
-/// Symptom: a failing service gets a multiple of its load.
-/// Sequence: it fails for all requests, each of which still has its allowance.
-/// Cause: retries are bounded per request only.
+/// A service fails for all requests, each of which still has its allowance. With limits per request only, the failing
+/// service would receive a multiple of its load.
 #[test]
 fn an_edge_retries_a_share_of_its_successes() {
     struct Case {
@@ -297,7 +295,7 @@
     assert_eq!(
         spend(&mut budget, 100, now),
         0,
-        "time that goes back earns nothing"
+        "a clock that goes back adds nothing"
     );
 }
 
@@ -329,7 +327,7 @@
     );
     assert!(
         !policy.may_retry(ErrorKind::HomeLost, true, false),
-        "its home alone knows"
+        "only its home knows the outcome"
     );
 }
 
@@ -351,9 +349,8 @@
     }
 }
 
-/// Symptom: refused callers come back all at once, or are told a time at which they're refused again.
-/// Sequence: a surge is shed, each caller is told the same constant.
-/// Cause: the time told doesn't depend on the state and has no jitter.
+/// Calls are shed during an overload. With a constant retry-after time, independent of the target's state and without
+/// jitter, the refused callers would return all at once or be refused again.
 #[test]
 fn the_time_to_come_back_follows_the_state_and_is_jittered() {
     struct Case {
@@ -431,19 +428,19 @@
             limit: 20,
             service_time: ms(100),
         };
-        let told = |_| retry_after(&cfg, &target, Class(class), &mut rng);
-        let mut told: Vec<_> = (0..200).map(told).collect();
-        told.sort();
+        let times = |_| retry_after(&cfg, &target, Class(class), &mut rng);
+        let mut times: Vec<_> = (0..200).map(times).collect();
+        times.sort();
         assert!(
-            told[0] >= expected && told[199] <= expected * 2,
+            times[0] >= expected && times[199] <= expected * 2,
             "{name}: {:?}",
-            told[0]
+            times[0]
         );
         assert!(
-            told[199] - told[0] > expected * 9 / 10,
-            "{name}: spread over its own length"
+            times[199] - times[0] > expected * 9 / 10,
+            "{name}: jitter of up to 100 %"
         );
-        told.dedup();
-        assert!(told.len() > 190, "{name}: no two alike");
+        times.dedup();
+        assert!(times.len() > 190, "{name}: times are distinct");
     }
 }
--- a/crates/core/tests/allowance_trials.rs
+++ b/crates/core/tests/allowance_trials.rs
@@ -1,4 +1,5 @@
-//! Trials of how an allowance is split between a hop and its attempt: prints a table, asserts what was decided by it.
+//! Simulation of ways to split an allowance between a hop and its attempt: prints the success rates and asserts that
+//! the split used by the library is the best where calls are shed, within the tolerance given below.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,20 +11,20 @@
 const PARALLEL: usize = 3;
 const RUNS: u32 = 20_000;
 
-/// A way to split.
+/// How a hop splits its allowance when it makes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Split {
-    /// What the library does.
+    /// The split used by the library.
     Library,
-    /// All goes along.
+    /// Grants all.
     All,
-    /// All but a quarter goes along.
+    /// Grants all but a quarter.
     Quarter,
-    /// All but one goes along, and the last one too.
+    /// Grants all but one; the last one is granted too.
     KeepOne,
-    /// Half goes along.
+    /// Grants half.
     Half,
-    /// All stays at the entry.
+    /// Grants none; all retries stay at the entry.
     None,
 }
 
@@ -40,30 +41,30 @@
     }
 }
 
-/// Chances of one attempt.
+/// Probabilities of the events of one attempt.
 struct Case {
     name: &'static str,
-    /// The called node sheds.
+    /// The called node sheds the call.
     shed: f64,
-    /// The answer is lost with the allowance that it carries.
+    /// The answer is lost with the unused retries that it returns.
     lost: f64,
-    /// A hop makes three calls at once and not one.
+    /// A hop makes three parallel calls instead of one.
     parallel: f64,
     retries: u16,
 }
 
-struct Walk<'a> {
+struct Traversal<'a> {
     case: &'a Case,
     split: Split,
     rng: SmallRng,
-    /// Calls that ran at any hop, and so did work.
-    worked: u32,
+    /// Calls executed at any hop.
+    executed: u32,
 }
 
-impl Walk<'_> {
-    /// One call at a hop: success, and what is left of its allowance. Only the hop next to a failure retries.
+impl Traversal<'_> {
+    /// Runs one call at a hop. Returns its answer and unused retries. Only the hop next to a failure retries.
     fn call(&mut self, depth: u32, mut left: u16) -> (Answer, u16) {
-        self.worked += 1;
+        self.executed += 1;
         if depth == 0 {
             return (Answer::Served, left);
         }
@@ -87,11 +88,11 @@
         (answer, left)
     }
 
-    /// One call below with its retries.
+    /// Makes one downstream call, including its retries.
     fn call_below(&mut self, depth: u32, mut granted: u16, left: &mut u16) -> Answer {
         loop {
-            let (answer, back) = self.attempt(depth, granted);
-            *left += back;
+            let (answer, returned) = self.attempt(depth, granted);
+            *left += returned;
             match answer {
                 Answer::Served | Answer::Final => return answer,
                 Answer::Retry if *left == 0 => return Answer::Final,
@@ -117,27 +118,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Answer {
     Served,
-    /// May be retried by the hop that sees it.
+    /// May be retried by the hop that receives it.
     Retry,
-    /// The hop next to the failure had nothing left to retry with.
+    /// The hop next to the failure had no retries left.
     Final,
 }
 
-fn trial(case: &Case, split: Split) -> (f64, f64) {
-    let mut walk = Walk {
+fn simulate(case: &Case, split: Split) -> (f64, f64) {
+    let mut traversal = Traversal {
         case,
         split,
         rng: SmallRng::seed_from_u64(17),
-        worked: 0,
+        executed: 0,
     };
     let mut served = 0;
     for _ in 0..RUNS {
-        let (answer, _) = walk.call(DEPTH, case.retries);
+        let (answer, _) = traversal.call(DEPTH, case.retries);
         served += u32::from(answer == Answer::Served);
     }
     (
         f64::from(served) / f64::from(RUNS),
-        f64::from(walk.worked) / f64::from(RUNS),
+        f64::from(traversal.executed) / f64::from(RUNS),
     )
 }
 
@@ -198,16 +199,17 @@
             Split::None,
         ];
         let shares = splits.map(|split| {
-            let (served, worked) = trial(case, split);
+            let (served, executed) = simulate(case, split);
             println!(
-                "{:22} {:8} served {:5.1} %, calls run per request {worked:6.2}",
+                "{:22} {:8} served {:5.1} %, calls run per request {executed:6.2}",
                 case.name,
                 format!("{split:?}"),
                 100.0 * served
             );
             served
         });
-        // At three retries within a hundredth of the best where calls are shed; with more, ahead of giving all away.
+        // Where calls are shed, the library's split is within 0.01 of the best. With more than three retries, it is
+        // also better than granting all.
         let [library, all, ..] = shares;
         let best = shares.into_iter().fold(0.0, f64::max);
         assert!(case.lost > 0.0 || library >= best - 0.01, "{}", case.name);
@@ -215,7 +217,7 @@
     }
 }
 
-/// Attempts at the bottom of a chain whose last hop always fails, when every hop has retries of its own.
+/// Counts attempts at the last hop of a chain, which always fails, if every hop had its own retries.
 #[test]
 fn copied_retries_multiply() {
     fn bottom_attempts(depth: u32) -> u64 {
--- a/crates/node/src/entry/budget.rs
+++ b/crates/node/src/entry/budget.rs
@@ -30,7 +30,7 @@
     /// Takes back what an attempt left of its part.
     pub fn give_back(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
         match self {
-            Self::Own(allowance) => allowance.give_back(granted, left),
+            Self::Own(allowance) => allowance.reclaim(granted, left),
             Self::Flight(gate, flight) => {
                 gate.give_back(*flight, granted, left);
                 Ok(())
--- a/crates/node/src/gate/serving.rs
+++ b/crates/node/src/gate/serving.rs
@@ -29,7 +29,7 @@
         };
         let granted = flight.allowance.grant();
         if reply.send(granted).is_err() {
-            let _ = flight.allowance.give_back(granted, granted);
+            let _ = flight.allowance.reclaim(granted, granted);
         }
     }
 
@@ -37,7 +37,7 @@
         let Some(flight) = self.flights.get_mut(key) else {
             return;
         };
-        if let Err(breach) = flight.allowance.give_back(granted, left) {
+        if let Err(breach) = flight.allowance.reclaim(granted, left) {
             self.recorder.breach(breach);
         }
     }
