--- a/crates/core/src/lifecycle/config.rs
+++ b/crates/core/src/lifecycle/config.rs
@@ -1,19 +1,19 @@
-//! Settings of a graceful shutdown.
+//! Graceful shutdown settings.
 
 use std::time::Duration;
 
-/// Times of a graceful shutdown.
+/// Durations of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecycleConfig {
-    /// Shortest time between the start of leaving and the end of the process, so that every caller's node hears of it
-    /// and calls already under way to this node are still answered.
+    /// Minimum time between the start of leaving and the end of the process, so that the nodes of all callers receive
+    /// the announcement and calls already in transit to this node are still answered.
     pub announce_for: Duration,
-    /// Time after the first announcement for which new work is still taken, at most `announce_for`: calls that were sent
-    /// before their senders heard of the leaving then cost no retry. Zero refuses new work at once.
+    /// Time after the first announcement during which new work is still accepted, at most `announce_for`, so that calls
+    /// sent before their senders received the announcement cost no retry. Zero refuses new work immediately.
     pub accept_for: Duration,
-    /// Time between two announcements.
+    /// Interval between announcements.
     pub announce_every: Duration,
-    /// Time after which work that is still here is reported; at least the longest time limit of a call.
+    /// Time after which unfinished work is reported; should be at least the longest deadline of a call.
     pub drain_limit: Duration,
 }
 
