--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a node: starting, serving, leaving and stopped, with a graceful shutdown.
+//! Node lifecycle: starting, serving, leaving and stopped, with a graceful shutdown.
 
 mod config;
 mod event;
--- a/crates/core/src/lifecycle/event.rs
+++ b/crates/core/src/lifecycle/event.rs
@@ -1,15 +1,15 @@
-//! What a node's life asks of the process around it.
+//! Events that the lifecycle state machine emits.
 
-/// Something that the process must do or record.
+/// An action or report for the process that runs the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LifecycleEvent {
-    /// Tell the peers that this node is leaving; repeated while it lasts, since a message may be lost.
+    /// Announce to the peers that this node is leaving. Repeated until the node stops, since messages may be lost.
     Announce,
-    /// Nothing is left and the announcement has had its time: the process may end.
+    /// All work has finished and the announcement period has passed, or the wait was abandoned: the process may exit.
     Drained,
-    /// The drain limit has passed with work still here.
+    /// The drain limit has passed with unfinished work.
     DrainDeadline {
-        /// Calls that wait for dispatch or are at the target.
+        /// Number of calls waiting for dispatch or in flight at the target.
         left: usize,
     },
 }
--- a/crates/core/src/lifecycle/phase.rs
+++ b/crates/core/src/lifecycle/phase.rs
@@ -1,25 +1,25 @@
-//! The phases of a node's life.
+//! Phases of the node lifecycle.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Where a node is in its life; the order of the variants is the only order of change.
+/// Phase of a node's lifecycle. Phases only change in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// The node has no documents yet and takes no work.
+    /// The node has no documents yet and accepts no work.
     Starting,
-    /// The node takes new work.
+    /// The node accepts new work.
     Serving,
-    /// The node takes no new work and finishes what it has admitted.
+    /// The node finishes admitted work. New work is refused, at the latest after the acceptance period.
     Leaving,
-    /// Nothing is in flight any more; the process may end.
+    /// All work has finished or been abandoned; the process may exit.
     Stopped,
 }
 
 impl Phase {
-    /// The label used in metrics, logs and the time line.
+    /// Label used in metrics, logs and the timeline.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
