--- a/crates/core/src/lifecycle/machine.rs
+++ b/crates/core/src/lifecycle/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of a node's life.
+//! The node lifecycle state machine.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +7,11 @@
 
 use super::{LifecycleConfig, LifecycleEvent, Phase};
 
-/// A node's life: which work it may take and start, and when it may end.
+/// Lifecycle of a node: decides which work may be accepted and dispatched, and when the process may exit.
 ///
-/// Work admitted before the node began to leave still runs here. Its caller has been accepted once; refusing it would
-/// cost a retry of its allowance at another target, and the queue that holds it is short. Only what arrives later is
-/// new work, and it is refused, after [`LifecycleConfig::accept_for`] at the latest.
+/// Work admitted before the node began to leave is still executed. Refusing it would cost the request a retry at
+/// another target, and the queue that holds it is short. Work that arrives later is refused, at the latest after
+/// [`LifecycleConfig::accept_for`].
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     cfg: LifecycleConfig,
@@ -19,14 +19,14 @@
     waiting: usize,
     in_flight: usize,
     leaving_since: Option<Instant>,
-    accepts_late: bool,
+    accepts_while_leaving: bool,
     next_announce: Option<Instant>,
     deadline_reported: bool,
     drained_reported: bool,
 }
 
 impl Lifecycle {
-    /// A node that has just started.
+    /// Creates the lifecycle of a node that has just started.
     pub fn new(cfg: LifecycleConfig) -> Self {
         Self {
             cfg,
@@ -34,7 +34,7 @@
             waiting: 0,
             in_flight: 0,
             leaving_since: None,
-            accepts_late: false,
+            accepts_while_leaving: false,
             next_announce: None,
             deadline_reported: false,
             drained_reported: false,
@@ -46,7 +46,7 @@
         self.phase
     }
 
-    /// What this node tells its peers about itself.
+    /// The state that this node announces to its peers.
     pub fn node_state(&self) -> NodeState {
         match self.phase {
             Phase::Starting => NodeState::Starting,
@@ -55,20 +55,20 @@
         }
     }
 
-    /// Calls that were admitted and wait for dispatch.
+    /// Number of admitted calls waiting for dispatch.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Calls at the target.
+    /// Number of calls in flight at the target.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// The node has its documents: it begins to serve. Returns whether the phase changed.
+    /// Starts serving once the node has its documents. Returns whether the phase changed.
     pub fn ready(&mut self, _now: Instant) -> bool {
-        // A start that completes after a stop was asked for must not revive the node: it would be seen as a node that
-        // announced its leaving and then took work.
+        // A start that completes after a stop was requested must not return the node to service: it would accept work
+        // after announcing that it is leaving.
         if self.phase != Phase::Starting {
             return false;
         }
@@ -76,12 +76,13 @@
         true
     }
 
-    /// A stop was asked for. Returns whether the phase changed; asking again changes nothing.
+    /// Starts leaving when a stop is requested. Returns whether the phase changed; repeated requests have no effect.
     pub fn leave(&mut self, now: Instant) -> bool {
         if self.phase >= Phase::Leaving {
             return false;
         }
-        self.accepts_late = self.phase == Phase::Serving && !self.late_acceptance().is_zero();
+        self.accepts_while_leaving =
+            self.phase == Phase::Serving && !self.acceptance_period().is_zero();
         self.phase = Phase::Leaving;
         self.leaving_since = Some(now);
         self.next_announce = Some(now);
@@ -92,12 +93,12 @@
     pub fn may_accept(&self) -> bool {
         match self.phase {
             Phase::Serving => true,
-            Phase::Leaving => self.accepts_late,
+            Phase::Leaving => self.accepts_while_leaving,
             Phase::Starting | Phase::Stopped => false,
         }
     }
 
-    /// New work is admitted and waits for dispatch. Returns false, without counting it, where none may be.
+    /// Counts new work that waits for dispatch. Returns false, without counting it, if no work may be accepted.
     pub fn accepted(&mut self) -> bool {
         if !self.may_accept() {
             return false;
@@ -106,14 +107,14 @@
         true
     }
 
-    /// Work that was admitted is given up before dispatch: refused, cancelled or expired.
+    /// Removes admitted work that was refused, cancelled or expired before dispatch.
     pub fn withdrawn(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Whether work may go to the target now; asked just before its first byte is sent.
+    /// Whether work may be dispatched to the target; to be checked just before its first byte is sent.
     ///
-    /// While leaving this holds only for work counted by [`Lifecycle::accepted`] before.
+    /// While leaving, only work counted by [`Lifecycle::accepted`] may be dispatched.
     pub fn may_dispatch(&self) -> bool {
         match self.phase {
             Phase::Starting | Phase::Stopped => false,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Work goes to the target. Returns the invariant that this breaks, if any; the work must then not be sent.
+    /// Counts work dispatched to the target. Returns the violated invariant, if any; the work must not be sent then.
     ///
-    /// A dispatch before the node serves is reported as the same breach: work is taken outside of the time for it.
+    /// Dispatch before the node serves is reported as the same breach, since work is not accepted in that phase either.
     pub fn dispatched(&mut self) -> Option<Invariant> {
-        // Dispatch of work that arrived after the announcement is a defect of the node's own checks: the call could be
-        // cut off by the end of the process. Counting admitted work shows it here, before the first byte is sent.
+        // Work that arrived after the announcement could be interrupted by the end of the process, so dispatching it
+        // is a defect of the node's checks. The count of admitted work detects it before the first byte is sent.
         if !self.may_dispatch() {
             return Some(Invariant::WorkAfterLeaving);
         }
@@ -136,23 +137,23 @@
         None
     }
 
-    /// Work at the target has ended and its answer is on its way or given up.
+    /// Removes work that has ended at the target, with its answer sent or dropped.
     pub fn finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Ends the wait for the work that is left and returns how many calls are cut off by it.
+    /// Stops without waiting for unfinished work. Returns the number of interrupted calls.
     pub fn abandon(&mut self) -> usize {
-        let left = self.left();
+        let unfinished = self.unfinished();
         self.phase = Phase::Stopped;
-        left
+        unfinished
     }
 
-    /// The next thing to do, if one is due; called until it returns `None`.
+    /// Returns the next event that is due. To be called until it returns `None`.
     pub fn poll(&mut self, now: Instant) -> Option<LifecycleEvent> {
         let since = self.leaving_since?;
-        if now.saturating_duration_since(since) >= self.late_acceptance() {
-            self.accepts_late = false;
+        if now.saturating_duration_since(since) >= self.acceptance_period() {
+            self.accepts_while_leaving = false;
         }
         if self.phase == Phase::Leaving && self.may_stop(since, now) {
             self.phase = Phase::Stopped;
@@ -164,31 +165,31 @@
             .or_else(|| self.report_deadline(since, now))
     }
 
-    /// When [`Lifecycle::poll`] should be called next, if nothing else happens before.
+    /// Time at which [`Lifecycle::poll`] should be called next, unless another event happens before.
     pub fn wake_at(&self) -> Option<Instant> {
         if self.phase != Phase::Leaving {
             return None;
         }
         let since = self.leaving_since?;
-        let refusal = since + self.late_acceptance();
+        let refusal = since + self.acceptance_period();
         let end = since + self.cfg.announce_for;
         self.next_announce
             .into_iter()
-            .chain(self.accepts_late.then_some(refusal))
+            .chain(self.accepts_while_leaving.then_some(refusal))
             .chain([end])
             .min()
     }
 
-    fn late_acceptance(&self) -> Duration {
+    fn acceptance_period(&self) -> Duration {
         self.cfg.accept_for.min(self.cfg.announce_for)
     }
 
-    fn left(&self) -> usize {
+    fn unfinished(&self) -> usize {
         self.waiting + self.in_flight
     }
 
     fn may_stop(&self, since: Instant, now: Instant) -> bool {
-        self.left() == 0 && now.saturating_duration_since(since) >= self.cfg.announce_for
+        self.unfinished() == 0 && now.saturating_duration_since(since) >= self.cfg.announce_for
     }
 
     fn report_drained(&mut self) -> Option<LifecycleEvent> {
@@ -213,6 +214,8 @@
             return None;
         }
         self.deadline_reported = true;
-        Some(LifecycleEvent::DrainDeadline { left: self.left() })
+        Some(LifecycleEvent::DrainDeadline {
+            left: self.unfinished(),
+        })
     }
 }
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node's life: no new work after leaving, nothing in flight cut off.
+//! Tests of the node lifecycle: no new work after leaving, no interruption of calls in flight.
 
 use std::time::{Duration, Instant};
 
@@ -27,11 +27,11 @@
     may_accept: bool,
     may_dispatch: bool,
     breaches: usize,
-    cut_off: usize,
+    interrupted: usize,
 }
 
-/// Symptom: a stop cuts calls off, or calls are sent to a node that stops. Sequence: each case lists it. Cause: work is
-/// taken after the announcement, or the end doesn't wait for work or for the announcement to reach everybody.
+/// A stop must not interrupt calls or let calls be sent to a stopping node. This happens if work is accepted after the
+/// announcement, or if the process exits before its work has finished or the announcement has reached all nodes.
 #[test]
 fn a_stop_takes_no_new_work_and_finishes_the_rest() {
     use Step::*;
@@ -43,87 +43,87 @@
         may_accept: false,
         may_dispatch: false,
         breaches: 0,
-        cut_off: 0,
+        interrupted: 0,
     };
     #[rustfmt::skip]
     let cases = [
         Case {
-            name: "a starting node takes nothing",
+            name: "a starting node accepts no work",
             steps: &[Accept, Dispatch], phase: Phase::Starting, breaches: 1, ..base
         },
         Case {
-            name: "a serving node takes work",
+            name: "a serving node accepts work",
             steps: &[Ready, Accept, Dispatch, Finish], phase: Phase::Serving, may_accept: true,
             may_dispatch: true, ..base
         },
         Case {
-            name: "queued work still runs while leaving",
+            name: "queued work is dispatched while leaving",
             steps: &[Ready, Accept, Accept, Leave, Dispatch], may_dispatch: true, ..base
         },
         Case {
-            name: "work that came after leaving is refused and reported",
+            name: "work that arrives after leaving is refused and reported",
             steps: &[Ready, Accept, Leave, Accept, Dispatch, Dispatch], breaches: 1, ..base
         },
         Case {
-            name: "an idle node waits until its leaving is known",
+            name: "an idle node waits for the announcement period",
             steps: &[Ready, Leave, Wait(2_900)], ..base
         },
         Case {
-            name: "an idle node ends once its leaving is known",
+            name: "an idle node stops after the announcement period",
             steps: &[Ready, Leave, Wait(3_000), Accept, Dispatch], phase: Phase::Stopped,
             breaches: 1, ..base
         },
         Case {
-            name: "a call in flight is waited for past the drain limit",
+            name: "a call in flight is awaited beyond the drain limit",
             steps: &[Ready, Accept, Dispatch, Leave, Wait(120_000)], ..base
         },
         Case {
-            name: "the end follows the last answer",
+            name: "the node stops after the last answer",
             steps: &[
                 Ready, Accept, Accept, Dispatch, Leave, Withdraw, Wait(9_000), Finish, Wait(1),
             ],
             phase: Phase::Stopped, ..base
         },
         Case {
-            name: "a start that completes late doesn't revive a leaving node",
+            name: "a late start doesn't return a leaving node to service",
             steps: &[Leave, Ready, Accept], ..base
         },
         Case {
-            name: "calls under way when leaving is announced are taken for a while",
+            name: "calls in transit during the announcement are accepted",
             accept_for_ms: 500,
             steps: &[Ready, Leave, Wait(499), Accept, Dispatch, Wait(1), Accept, Dispatch],
             breaches: 1, ..base
         },
         Case {
-            name: "but not by a node that never served", accept_for_ms: 500,
+            name: "a node that never served accepts no calls in transit", accept_for_ms: 500,
             steps: &[Leave, Accept, Dispatch], breaches: 1, ..base
         },
         Case {
-            name: "what is given up is counted",
+            name: "abandoned calls are counted",
             steps: &[Ready, Accept, Accept, Dispatch, Leave, Abandon], phase: Phase::Stopped,
-            cut_off: 2, ..base
+            interrupted: 2, ..base
         },
     ];
     for case in cases {
-        let mut run = Run::new(Duration::from_millis(case.accept_for_ms));
+        let mut simulation = Simulation::new(Duration::from_millis(case.accept_for_ms));
         for step in case.steps {
-            run.step(*step);
+            simulation.step(*step);
         }
-        let node = &run.node;
+        let node = &simulation.node;
         assert_eq!(node.phase(), case.phase, "{}", case.name);
         assert_eq!(node.may_accept(), case.may_accept, "{}", case.name);
         assert_eq!(node.may_dispatch(), case.may_dispatch, "{}", case.name);
-        assert_eq!(run.breaches, case.breaches, "{}", case.name);
-        assert_eq!(run.cut_off, case.cut_off, "{}", case.name);
+        assert_eq!(simulation.breaches, case.breaches, "{}", case.name);
+        assert_eq!(simulation.interrupted, case.interrupted, "{}", case.name);
     }
 }
 
-/// Symptom: a leaving message is lost and callers go on, or an operator waits for a stop without being told why.
-/// Sequence: leave with a call in flight for longer than the drain limit. Cause: announced once; the wait not reported.
+/// A node leaves with a call in flight for longer than the drain limit. If the announcement were not repeated, callers
+/// that missed it would continue to send calls; without a report, an operator would not know why the stop is delayed.
 #[test]
 fn leaving_is_repeated_and_a_long_drain_is_reported_once() {
     use Step::*;
-    let mut run = Run::new(Duration::ZERO);
+    let mut simulation = Simulation::new(Duration::ZERO);
     for step in [
         Ready,
         Accept,
@@ -134,28 +134,28 @@
         Wait(100),
         Wait(60_000),
     ] {
-        run.step(step);
+        simulation.step(step);
     }
-    run.step(Wait(1));
-    let announced = run
+    simulation.step(Wait(1));
+    let announced = simulation
         .events
         .iter()
         .filter(|event| **event == LifecycleEvent::Announce)
         .count();
     assert_eq!(announced, 3);
     assert_eq!(
-        run.events.last(),
+        simulation.events.last(),
         Some(&LifecycleEvent::DrainDeadline { left: 1 })
     );
     for step in [Finish, Wait(1), Wait(1)] {
-        run.step(step);
+        simulation.step(step);
     }
-    let drained = run
+    let drained = simulation
         .events
         .iter()
         .filter(|event| **event == LifecycleEvent::Drained)
         .count();
-    assert_eq!((drained, run.node.wake_at()), (1, None));
+    assert_eq!((drained, simulation.node.wake_at()), (1, None));
 }
 
 proptest! {
@@ -163,33 +163,35 @@
         failure_persistence: None, rng_seed: RngSeed::Fixed(11), cases: 400, ..ProptestConfig::default()
     })]
 
-    /// Symptom: as above, in an order that nobody thought of. Sequence: any. Cause: a transition that goes back, or a
-    /// count that loses work.
+    /// Random sequences of events, to detect backward phase transitions and errors in the count of work.
     #[test]
     fn any_order_of_events_keeps_the_promises(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut run = Run::new(Duration::ZERO);
+        let mut simulation = Simulation::new(Duration::ZERO);
         let mut phase = Phase::Starting;
-        let mut left_at: Option<Instant> = None;
-        let mut taken_before_leaving = 0;
-        let mut dispatched_after = 0;
+        let mut leaving_since: Option<Instant> = None;
+        let mut accepted_before_leaving = 0;
+        let mut dispatched_while_leaving = 0;
         for step in steps {
-            let breaches = run.breaches;
-            let leaving = run.node.phase() >= Phase::Leaving;
-            run.step(step);
-            let now = run.node.phase();
-            prop_assert!(now >= phase, "a phase never goes back");
-            if matches!(step, Step::Dispatch) && leaving && run.breaches == breaches {
-                dispatched_after += 1;
+            let breaches = simulation.breaches;
+            let leaving = simulation.node.phase() >= Phase::Leaving;
+            simulation.step(step);
+            let now = simulation.node.phase();
+            prop_assert!(now >= phase, "phases never go back");
+            if matches!(step, Step::Dispatch) && leaving && simulation.breaches == breaches {
+                dispatched_while_leaving += 1;
             }
-            if now == Phase::Leaving && left_at.is_none() {
-                left_at = Some(run.now);
-                taken_before_leaving = run.node.waiting();
+            if now == Phase::Leaving && leaving_since.is_none() {
+                leaving_since = Some(simulation.now);
+                accepted_before_leaving = simulation.node.waiting();
             }
-            prop_assert!(dispatched_after <= taken_before_leaving, "only work taken before runs");
+            prop_assert!(
+                dispatched_while_leaving <= accepted_before_leaving,
+                "only work accepted before leaving is dispatched"
+            );
             if now == Phase::Stopped && phase != Phase::Stopped {
-                let waited = left_at.map(|at| run.now.duration_since(at));
+                let waited = leaving_since.map(|at| simulation.now.duration_since(at));
                 prop_assert!(waited >= Some(LifecycleConfig::default().announce_for));
-                prop_assert_eq!(run.node.waiting() + run.node.in_flight(), 0);
+                prop_assert_eq!(simulation.node.waiting() + simulation.node.in_flight(), 0);
             }
             phase = now;
         }
@@ -208,15 +210,15 @@
     ]
 }
 
-struct Run {
+struct Simulation {
     node: Lifecycle,
     now: Instant,
     events: Vec<LifecycleEvent>,
     breaches: usize,
-    cut_off: usize,
+    interrupted: usize,
 }
 
-impl Run {
+impl Simulation {
     fn new(accept_for: Duration) -> Self {
         let cfg = LifecycleConfig {
             accept_for,
@@ -228,7 +230,7 @@
             now: Instant::now(),
             events: Vec::new(),
             breaches: 0,
-            cut_off: 0,
+            interrupted: 0,
         }
     }
 
@@ -239,7 +241,7 @@
             Step::Accept => drop(self.node.accepted()),
             Step::Withdraw => self.node.withdrawn(),
             Step::Finish => self.node.finished(),
-            Step::Abandon => self.cut_off += self.node.abandon(),
+            Step::Abandon => self.interrupted += self.node.abandon(),
             Step::Dispatch => {
                 let breach = self.node.dispatched();
                 assert!(breach.is_none_or(|breach| breach == Invariant::WorkAfterLeaving));
