--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -1,21 +1,21 @@
-//! Settings of the view of the fleet.
+//! Membership settings.
 
 use std::time::Duration;
 
-/// How far the platform's list and the nodes' own words are trusted.
+/// Thresholds and timeouts for the platform's list and the nodes' state reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// Share of the live instances (0 to 1) that one list may take away at once without being held.
+    /// Fraction of the live instances (0 to 1) that a single list may remove without being held.
     pub loss_share: f64,
-    /// How long a list that takes away more is held before it is believed.
+    /// How long removals are held if a list removes more than `loss_share` or all live instances of a service.
     pub hold: Duration,
-    /// How long a node that could not be reached is left out, unless it is heard before.
+    /// How long an unreachable node is excluded, unless it sends a state report earlier.
     pub unreachable_for: Duration,
-    /// How long an incarnation must be silent before an earlier one that still speaks is believed again.
+    /// How long the current incarnation must be silent before an earlier one that still sends reports replaces it.
     ///
-    /// It must be longer than any delay of a word between two nodes.
+    /// Must be longer than the maximum delay of a state report between two nodes.
     pub silence: Duration,
-    /// How long the word of a node that is no longer listed is remembered.
+    /// How long the state reports of a node that is no longer listed are kept.
     pub forget_after: Duration,
 }
 
