--- a/crates/core/src/membership/entry.rs
+++ b/crates/core/src/membership/entry.rs
@@ -1,4 +1,4 @@
-//! One instance as the platform lists it.
+//! Instances in the platform's list.
 
 use std::net::SocketAddr;
 
@@ -6,31 +6,31 @@
 
 use crate::id::{DomainName, NodeName, RegionName, ServiceName};
 
-/// State of an instance in the platform's list, which lags.
+/// State of an instance in the platform's list, which lags behind the actual state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// The instance is to receive work.
+    /// The instance may receive work.
     Live,
-    /// The instance is about to be taken away.
+    /// The instance is about to be removed.
     Leaving,
 }
 
-/// One instance with the addresses of its node, as answered by `GET /instances`.
+/// An instance with the addresses of its node, as returned by `GET /instances`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceEntry {
-    /// Name of the node beside the instance.
+    /// Name of the node that serves the instance.
     pub node: NodeName,
     /// Service of the instance.
     pub service: ServiceName,
     /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Region that holds the failure domain.
+    /// Region that contains the failure domain.
     pub region: RegionName,
     /// Address of the node's listener for peers.
     pub peer: SocketAddr,
     /// Address of the node's listener for operators.
     pub operators: SocketAddr,
-    /// State as the platform lists it.
+    /// State in the platform's list.
     pub state: ListedState,
 }
--- a/crates/core/src/membership/list_delta.rs
+++ b/crates/core/src/membership/list_delta.rs
@@ -1,4 +1,4 @@
-//! What changed in the platform's list between two revisions, as one node passes it to another.
+//! Changes of the platform's list between two revisions, as exchanged between nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,16 +7,16 @@
 
 use super::InstanceEntry;
 
-/// The changes of the list after one revision up to another.
+/// Changes of the list between two revisions.
 ///
-/// A receiver whose list is at `from` or later has the list of revision `to` after applying it.
+/// Applying the delta to a list of revision `from` or later results in the list of revision `to`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// Revision after which the changes begin; 0 means that `changed` is the whole list.
+    /// Base revision of the changes; 0 means that `changed` is the complete list.
     pub from: Revision,
     /// Revision of the list after the changes.
     pub to: Revision,
-    /// Entries that are new or changed.
+    /// New and changed entries.
     pub changed: Vec<InstanceEntry>,
     /// Nodes that are no longer listed.
     pub removed: Vec<NodeName>,
