--- a/crates/core/src/membership/listed.rs
+++ b/crates/core/src/membership/listed_instance.rs
@@ -1,4 +1,4 @@
-//! One entry of the list as a node keeps it.
+//! Membership state of one listed instance.
 
 use std::time::Instant;
 
@@ -7,21 +7,21 @@
 
 use super::{InstanceEntry, ListedState};
 
-/// An entry with what the view needs to know of its history.
+/// A list entry with its change history and reachability.
 #[derive(Clone, Debug)]
-pub(super) struct Listed {
+pub(super) struct ListedInstance {
     pub(super) entry: InstanceEntry,
-    /// Revision of the list in which this node first saw the entry as it is.
+    /// Revision of the list in which this node first saw the current form of the entry.
     pub(super) changed_at: Revision,
-    /// Incarnation that was known when the list began to call the node leaving.
+    /// Incarnation that was known when the node was first listed as leaving.
     pub(super) leaving_incarnation: Option<Incarnation>,
-    /// Since when the list lacks the node, while that is not believed yet.
+    /// When the node first went missing from the list, while its removal is held.
     pub(super) missing_since: Option<Instant>,
-    /// Until when the node is left out because it could not be reached.
+    /// Time until which the node is excluded because it was unreachable.
     pub(super) unreachable_until: Option<Instant>,
 }
 
-impl Listed {
+impl ListedInstance {
     pub(super) fn new(entry: InstanceEntry, at: Revision, known: Option<Incarnation>) -> Self {
         let leaving = entry.state == ListedState::Leaving;
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes a newer form of the entry.
+    /// Applies a newer form of the entry.
     pub(super) fn update(
         &mut self,
         entry: InstanceEntry,
@@ -42,15 +42,15 @@
     ) {
         let was_missing = self.missing_since.take().is_some();
         if self.entry == entry {
-            // A peer that has taken the removal must be told that the node is back.
+            // Peers that have applied the removal must receive the entry again.
             if was_missing {
                 self.changed_at = at;
             }
             return;
         }
-        let turns_leaving =
+        let starts_leaving =
             entry.state == ListedState::Leaving && self.entry.state == ListedState::Live;
-        if turns_leaving {
+        if starts_leaving {
             self.leaving_incarnation = known;
         }
         self.entry = entry;
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! The fleet as one node believes it to be.
+//! View of the fleet that one node maintains.
 
 mod list;
 
@@ -9,31 +9,31 @@
 use crate::id::{Incarnation, NodeName, ServiceName};
 use crate::once::Tick;
 
-use super::listed::Listed;
-use super::word::Words;
-use super::{InstanceEntry, ListedState, MembershipConfig, NodeState, WordOutcome};
+use super::listed_instance::ListedInstance;
+use super::state_report::NodeReports;
+use super::{InstanceEntry, ListedState, MembershipConfig, NodeState, StateReportOutcome};
 
-/// Nodes that the list does not show whose words are kept nevertheless.
-const UNLISTED_WORDS: usize = 1024;
+/// Maximum number of unlisted nodes whose state reports are kept.
+const MAX_UNLISTED_NODES: usize = 1024;
 
 pub use list::ListOutcome;
 
-/// What this node believes about the fleet: the platform's lagging list, corrected by what nodes say of themselves.
+/// The fleet as seen by this node: the platform's lagging list, corrected by the nodes' own state reports.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     cfg: MembershipConfig,
     revision: Revision,
-    /// Revision from which on removals are remembered.
-    floor: Revision,
-    listed: Map<NodeName, Listed>,
+    /// Revision from which on removals are recorded.
+    removals_since: Revision,
+    listed: Map<NodeName, ListedInstance>,
     by_service: Map<ServiceName, Vec<NodeName>>,
     removed: Map<NodeName, Revision>,
-    words: Map<NodeName, Words>,
+    reports: Map<NodeName, NodeReports>,
     epoch: u64,
 }
 
 impl View {
-    /// A view that knows nobody.
+    /// Creates an empty view.
     pub fn new(cfg: MembershipConfig) -> Self {
         Self {
             cfg,
@@ -46,22 +46,22 @@
         self.revision
     }
 
-    /// A number that changes whenever an answer of this view may have changed.
+    /// Counter that changes whenever the result of a query may have changed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Number of nodes on the list.
+    /// Number of listed nodes.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Whether no node is known.
+    /// Whether no node is listed.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
     }
 
-    /// Every node on the list, whatever its state, in no particular order.
+    /// All listed nodes in any state, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &InstanceEntry> {
         self.listed.values().map(|listed| &listed.entry)
     }
@@ -71,34 +71,34 @@
         self.listed.get(node).map(|listed| &listed.entry)
     }
 
-    /// The incarnation of a node that is believed to be the current one.
+    /// The current incarnation of a node, if known.
     pub fn incarnation(&self, node: &NodeName) -> Option<Incarnation> {
-        self.words.get(node).map(Words::incarnation)
+        self.reports.get(node).map(NodeReports::incarnation)
     }
 
-    /// The last state told by a node's current incarnation.
-    pub fn told(&self, node: &NodeName) -> Option<NodeState> {
-        self.words.get(node).map(Words::state)
+    /// The last state reported by a node's current incarnation.
+    pub fn reported_state(&self, node: &NodeName) -> Option<NodeState> {
+        self.reports.get(node).map(NodeReports::state)
     }
 
-    /// The instances of a service that may receive new work, in order of their nodes' names.
+    /// The instances of a service that may receive new work, ordered by node name.
     ///
-    /// Nodes that could not be reached are left out, unless that would leave nobody.
+    /// Unreachable nodes are excluded, unless all of them are unreachable.
     pub fn live(&self, service: &ServiceName) -> Vec<&InstanceEntry> {
-        let believed: Vec<&Listed> = self
+        let accepting: Vec<&ListedInstance> = self
             .by_service
             .get(service)
             .into_iter()
             .flatten()
             .filter_map(|node| self.listed.get(node))
-            .filter(|listed| self.takes_work(listed))
+            .filter(|listed| self.accepts_work(listed))
             .collect();
-        // A cut between this node and the whole service marks all of them; with an empty answer every call would fail
-        // for the time of the marks, also after the cut has healed. Trying some of them costs no more than that.
-        let any_reachable = believed
+        // A network partition between this node and a service marks all of its instances as unreachable. Returning none
+        // would fail every call until the marks expire, even after the partition has healed. Trying them costs no more.
+        let any_reachable = accepting
             .iter()
             .any(|listed| listed.unreachable_until.is_none());
-        believed
+        accepting
             .into_iter()
             .filter(|listed| !any_reachable || listed.unreachable_until.is_none())
             .map(|listed| &listed.entry)
@@ -109,44 +109,46 @@
     pub fn is_live(&self, node: &NodeName) -> bool {
         self.listed
             .get(node)
-            .is_some_and(|listed| self.takes_work(listed))
+            .is_some_and(|listed| self.accepts_work(listed))
     }
 
-    /// Whether a node is on the list, could be reached at the last trial and does not say that it is leaving.
+    /// Whether a node is listed as live, not marked as unreachable and has not reported that it is leaving.
     ///
-    /// Starting nodes count: they hold documents and pass them on.
+    /// Includes starting nodes, since they store and forward documents.
     pub fn is_present(&self, node: &NodeName) -> bool {
         self.listed.get(node).is_some_and(|listed| {
             listed.unreachable_until.is_none()
                 && listed.entry.state == ListedState::Live
-                && self.told(node) != Some(NodeState::Leaving)
+                && self.reported_state(node) != Some(NodeState::Leaving)
         })
     }
 
-    /// A node said something about itself, on any message of its own.
-    pub fn heard(
+    /// Records a state report of a node, which any of its messages may carry.
+    pub fn record_report(
         &mut self,
         node: &NodeName,
         incarnation: Incarnation,
         state: NodeState,
         tick: Tick,
         now: Instant,
-    ) -> WordOutcome {
-        let is_full = self.words.len() >= self.listed.len() + UNLISTED_WORDS;
-        let outcome = match self.words.get_mut(node) {
-            Some(words) => words.hear(incarnation, state, tick, self.cfg.silence, now),
-            // Words are passed on, so a peer can invent names. Each would be kept and passed on by every node, seen as
-            // memory and traffic that grow all over the fleet.
+    ) -> StateReportOutcome {
+        let is_full = self.reports.len() >= self.listed.len() + MAX_UNLISTED_NODES;
+        let outcome = match self.reports.get_mut(node) {
+            Some(reports) => reports.record(incarnation, state, tick, self.cfg.silence, now),
+            // Reports are forwarded, so a peer could forge node names. Without a limit, every node would store and
+            // forward them, and memory and traffic would grow throughout the fleet.
             None if is_full && !self.listed.contains_key(node) => {
-                return WordOutcome::Stale;
+                return StateReportOutcome::Stale;
             }
             None => {
-                self.words
-                    .insert(node.clone(), Words::new(incarnation, state, tick, now));
-                WordOutcome::Changed
+                self.reports.insert(
+                    node.clone(),
+                    NodeReports::new(incarnation, state, tick, now),
+                );
+                StateReportOutcome::Changed
             }
         };
-        if outcome == WordOutcome::Stale {
+        if outcome == StateReportOutcome::Stale {
             return outcome;
         }
         let was_unreachable = self
@@ -154,13 +156,13 @@
             .get_mut(node)
             .and_then(|listed| listed.unreachable_until.take())
             .is_some();
-        if was_unreachable || outcome == WordOutcome::Changed {
+        if was_unreachable || outcome == StateReportOutcome::Changed {
             self.epoch += 1;
         }
         outcome
     }
 
-    /// A node could not be reached.
+    /// Marks a node as unreachable.
     pub fn unreachable(&mut self, node: &NodeName, now: Instant) {
         let Some(listed) = self.listed.get_mut(node) else {
             return;
@@ -172,38 +174,42 @@
         {
             self.epoch += 1;
         }
-        // Two independent signs, a list without the node and no contact with it, end the doubt about the list.
+        // The node is both missing from the list and unreachable, so its removal is no longer held.
         if listed.missing_since.is_some() {
-            self.unlist(node);
+            self.remove_listed(node);
         }
     }
 
-    /// Lets marks and doubts run out; called every second or so. Returns whether anything changed.
+    /// Expires unreachable marks, held removals and old reports. To be called about once per second. Returns whether
+    /// anything changed.
     pub fn advance(&mut self, now: Instant) -> bool {
         let before = self.epoch;
-        self.expire_marks(now);
-        self.resolve_missing(now);
-        self.forget_words(now);
+        self.expire_unreachable(now);
+        self.remove_missing(now);
+        self.forget_reports(now);
         before != self.epoch
     }
 
-    fn takes_work(&self, listed: &Listed) -> bool {
-        let words = self.words.get(&listed.entry.node);
-        let told = words.map(Words::state);
-        if matches!(told, Some(NodeState::Starting | NodeState::Leaving)) {
+    fn accepts_work(&self, listed: &ListedInstance) -> bool {
+        let reports = self.reports.get(&listed.entry.node);
+        let reported_state = reports.map(NodeReports::state);
+        if matches!(
+            reported_state,
+            Some(NodeState::Starting | NodeState::Leaving)
+        ) {
             return false;
         }
         if listed.entry.state == ListedState::Live {
             return true;
         }
-        // The list still calls the earlier incarnation leaving: the new one has spoken for itself.
-        match (listed.leaving_incarnation, words) {
-            (Some(leaving), Some(words)) => words.incarnation() != leaving,
+        // The list still shows the earlier incarnation as leaving, but a new one has sent its own report.
+        match (listed.leaving_incarnation, reports) {
+            (Some(leaving), Some(reports)) => reports.incarnation() != leaving,
             _ => false,
         }
     }
 
-    fn expire_marks(&mut self, now: Instant) {
+    fn expire_unreachable(&mut self, now: Instant) {
         for listed in self.listed.values_mut() {
             if listed.unreachable_until.is_some_and(|until| until <= now) {
                 listed.unreachable_until = None;
@@ -212,13 +218,16 @@
         }
     }
 
-    fn forget_words(&mut self, now: Instant) {
+    fn forget_reports(&mut self, now: Instant) {
         let Self {
-            cfg, listed, words, ..
+            cfg,
+            listed,
+            reports,
+            ..
         } = self;
-        words.retain(|node, words| {
+        reports.retain(|node, reports| {
             listed.contains_key(node)
-                || now.saturating_duration_since(words.heard_at()) < cfg.forget_after
+                || now.saturating_duration_since(reports.last_report_at()) < cfg.forget_after
         });
     }
 }
--- a/crates/core/src/membership/view/list.rs
+++ b/crates/core/src/membership/view/list.rs
@@ -1,34 +1,34 @@
-//! How a view takes in the platform's list, whole or as changes passed on by a peer.
+//! Updates of the view from the platform's list, complete or as a delta forwarded by a peer.
 
 use std::time::Instant;
 
 use crate::collections::{Map, Set};
 use crate::dissemination::Revision;
 use crate::id::{NodeName, ServiceName};
-use crate::membership::listed::Listed;
-use crate::membership::word::Words;
+use crate::membership::listed_instance::ListedInstance;
+use crate::membership::state_report::NodeReports;
 use crate::membership::{InstanceEntry, ListDelta, NodeState};
 
 use super::View;
 
-/// Removals remembered for passing on as changes; a peer that is further behind gets the whole list.
-const REMOVALS_KEPT: usize = 1024;
+/// Maximum number of removals recorded for deltas. Peers that are further behind get the complete list.
+const MAX_REMOVALS: usize = 1024;
 
-/// What became of a list.
+/// Result of applying a list or delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ListOutcome {
-    /// The list is taken.
+    /// The list was applied.
     Taken,
-    /// The list is not newer than what is known and is ignored.
+    /// The list is not newer than the known one and was ignored.
     Stale,
-    /// The list takes away too much at once: what it adds is taken, what it lacks is kept for a while.
+    /// The list removes too many instances at once: additions were applied, removals are held for a while.
     Held,
-    /// The changes begin after what is known and can't be applied; the whole list is needed.
+    /// The delta is based on a later revision than the known one; the complete list is needed.
     Gap,
 }
 
 impl View {
-    /// Takes a whole list from the platform.
+    /// Applies a complete list.
     pub fn apply_list(
         &mut self,
         revision: Revision,
@@ -38,7 +38,7 @@
         if revision <= self.revision {
             return ListOutcome::Stale;
         }
-        // An empty list can't be true for a node that reads it. Believed, it would leave no target for any call.
+        // The list must contain at least the node that reads it. An empty one would leave every call without a target.
         if entries.is_empty() && !self.listed.is_empty() {
             self.revision = revision;
             return ListOutcome::Held;
@@ -51,12 +51,12 @@
             .cloned()
             .collect();
         if self.listed.is_empty() {
-            self.floor = revision;
+            self.removals_since = revision;
         }
         self.apply(revision, entries, &removed, now)
     }
 
-    /// Takes the changes of the list that a peer passes on.
+    /// Applies a delta forwarded by a peer.
     pub fn apply_delta(&mut self, delta: ListDelta, now: Instant) -> ListOutcome {
         if delta.from == Revision(0) {
             return self.apply_list(delta.to, delta.changed, now);
@@ -70,9 +70,9 @@
         self.apply(delta.to, delta.changed, &delta.removed, now)
     }
 
-    /// The changes of the list after `from`, for a peer whose list is of that revision.
+    /// Returns the changes since revision `from`, for a peer whose list has that revision.
     pub fn delta_since(&self, from: Revision) -> ListDelta {
-        let whole = from < self.floor;
+        let whole = from < self.removals_since;
         let from = if whole { Revision(0) } else { from };
         let changed = self
             .listed
@@ -94,20 +94,20 @@
         }
     }
 
-    /// Ends the doubt about nodes that the list has lacked for long, unless they go on speaking.
-    pub(super) fn resolve_missing(&mut self, now: Instant) {
+    /// Removes nodes whose held removal has expired. State reports of serving nodes extend the hold.
+    pub(super) fn remove_missing(&mut self, now: Instant) {
         let gone: Vec<NodeName> = self
             .listed
             .iter()
-            .filter(|(node, listed)| self.is_given_up(node, listed, now))
+            .filter(|(node, listed)| self.is_hold_expired(node, listed, now))
             .map(|(node, _)| node.clone())
             .collect();
         for node in gone {
-            self.unlist(&node);
+            self.remove_listed(&node);
         }
     }
 
-    pub(super) fn unlist(&mut self, node: &NodeName) {
+    pub(super) fn remove_listed(&mut self, node: &NodeName) {
         let Some(listed) = self.listed.remove(node) else {
             return;
         };
@@ -124,12 +124,12 @@
     ) -> ListOutcome {
         self.revision = revision;
         self.epoch += 1;
-        let held = self.takes_too_much(removed);
+        let held = self.exceeds_loss_limit(removed);
         for entry in entries {
-            self.list(entry, revision);
+            self.upsert(entry, revision);
         }
         for node in removed {
-            self.drop_listed(node, revision, held, now);
+            self.remove_or_hold(node, revision, held, now);
         }
         self.prune_removed();
         if held {
@@ -139,30 +139,32 @@
         }
     }
 
-    fn list(&mut self, entry: InstanceEntry, revision: Revision) {
-        let known = self.words.get(&entry.node).map(Words::incarnation);
+    fn upsert(&mut self, entry: InstanceEntry, revision: Revision) {
+        let known = self.reports.get(&entry.node).map(NodeReports::incarnation);
         self.removed.remove(&entry.node);
         match self.listed.get_mut(&entry.node) {
             Some(listed) if listed.entry.service == entry.service => {
                 listed.update(entry, revision, known);
             }
             _ => {
-                self.unlist(&entry.node);
+                self.remove_listed(&entry.node);
                 self.index(&entry);
-                self.listed
-                    .insert(entry.node.clone(), Listed::new(entry, revision, known));
+                self.listed.insert(
+                    entry.node.clone(),
+                    ListedInstance::new(entry, revision, known),
+                );
             }
         }
     }
 
-    fn drop_listed(&mut self, node: &NodeName, revision: Revision, held: bool, now: Instant) {
+    fn remove_or_hold(&mut self, node: &NodeName, revision: Revision, held: bool, now: Instant) {
         let Some(listed) = self.listed.get(node) else {
             return;
         };
         let keep = held && self.is_in_use(listed);
         self.removed.entry(node.clone()).or_insert(revision);
         if !keep {
-            self.unlist(node);
+            self.remove_listed(node);
             return;
         }
         if let Some(listed) = self.listed.get_mut(node) {
@@ -170,11 +172,11 @@
         }
     }
 
-    /// Whether removals look like a truncated list rather than like instances that went away.
+    /// Whether removals look like a truncated list rather than actual departures.
     ///
-    /// A truncated answer of the platform would take away instances that are well, seen as a sudden surge on the rest
-    /// of the fleet. Instances that really went away are found out by contact, so keeping them costs little.
-    fn takes_too_much(&self, removed: &[NodeName]) -> bool {
+    /// A truncated answer of the platform would remove healthy instances and shift their load to the rest of the fleet.
+    /// Keeping instances that did leave costs little, because failed contact reveals them.
+    fn exceeds_loss_limit(&self, removed: &[NodeName]) -> bool {
         let mut lost: Map<&ServiceName, usize> = Map::default();
         for listed in removed.iter().filter_map(|node| self.listed.get(node)) {
             if self.is_in_use(listed) {
@@ -205,29 +207,29 @@
             .count()
     }
 
-    fn is_in_use(&self, listed: &Listed) -> bool {
-        listed.unreachable_until.is_none() && self.takes_work(listed)
+    fn is_in_use(&self, listed: &ListedInstance) -> bool {
+        listed.unreachable_until.is_none() && self.accepts_work(listed)
     }
 
-    fn is_given_up(&self, node: &NodeName, listed: &Listed, now: Instant) -> bool {
+    fn is_hold_expired(&self, node: &NodeName, listed: &ListedInstance, now: Instant) -> bool {
         let Some(since) = listed.missing_since else {
             return false;
         };
-        let spoke = self
-            .words
+        let last_seen = self
+            .reports
             .get(node)
-            .filter(|words| words.state() == NodeState::Serving)
-            .map_or(since, |words| words.heard_at().max(since));
-        now.saturating_duration_since(spoke) >= self.cfg.hold
+            .filter(|reports| reports.state() == NodeState::Serving)
+            .map_or(since, |reports| reports.last_report_at().max(since));
+        now.saturating_duration_since(last_seen) >= self.cfg.hold
     }
 
     fn prune_removed(&mut self) {
-        while self.removed.len() > REMOVALS_KEPT {
+        while self.removed.len() > MAX_REMOVALS {
             let Some((node, at)) = self.removed.iter().min_by_key(|(_, at)| **at) else {
                 return;
             };
             let (node, at) = (node.clone(), *at);
-            self.floor = self.floor.max(at);
+            self.removals_since = self.removals_since.max(at);
             self.removed.remove(&node);
         }
     }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -395,7 +395,7 @@
         match round % 2 {
             0 => view.unreachable(&node(next), now),
             _ => {
-                view.heard(
+                view.record_report(
                     &node(next),
                     Incarnation(1),
                     NodeState::Leaving,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the fleet: the lagging list against the nodes' own words.
+//! Tests of fleet membership: reconciliation of the lagging platform list with the nodes' state reports.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -9,7 +9,7 @@
 use coltsfootport_core::dissemination::Revision;
 use coltsfootport_core::id::{Incarnation, ServiceName};
 use coltsfootport_core::membership::{
-    InstanceEntry, ListOutcome, ListedState, MembershipConfig, NodeState, View, WordOutcome,
+    InstanceEntry, ListOutcome, ListedState, MembershipConfig, NodeState, StateReportOutcome, View,
 };
 use coltsfootport_core::once::Tick;
 use proptest::prelude::*;
@@ -19,19 +19,19 @@
 
 const NODES: usize = 40;
 
-/// Kinds of lists as a platform in trouble gives them.
+/// Kinds of lists that a faulty platform returns.
 const WHOLE: u8 = 0;
-const CUT: u8 = 1;
+const TRUNCATED: u8 = 1;
 const EMPTY: u8 = 2;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The list of this revision, with all nodes but these, and these leaving.
+    /// Revision, nodes missing from the list, nodes listed as leaving.
     List(u64, &'static [usize], &'static [usize]),
-    /// A list of this revision with the first nodes only.
+    /// Revision and number of nodes; the list contains the first nodes only.
     Truncated(u64, usize),
     /// Node, incarnation, state, tick.
-    Heard(usize, u128, NodeState, u64),
+    Report(usize, u128, NodeState, u64),
     Unreachable(usize),
     Wait(u64),
 }
@@ -43,8 +43,8 @@
     live: &'static [usize],
 }
 
-/// Symptom: calls go to a node that leaves or is gone, or instances that are well get none. Sequence: each case lists
-/// it. Cause: the list lags, goes back or is cut short, and words of nodes arrive late or out of order.
+/// The list lags, goes back to an older revision or is truncated, and state reports arrive late or out of order. Calls
+/// must not go to nodes that are leaving or gone, and healthy instances must stay in use.
 #[test]
 fn the_list_and_the_nodes_own_words_are_weighed() {
     use NodeState::*;
@@ -56,103 +56,105 @@
         Case { name: "the list alone", steps: &[], live: ALL },
         Case { name: "the list says leaving", steps: &[List(2, &[], &[3])], live: WITHOUT_3 },
         Case {
-            name: "a word of leaving beats a list that lags, also when the node is listed anew",
-            steps: &[Heard(3, 1, Leaving, 9), List(2, &[3], &[]), List(3, &[], &[]), Wait(120)],
+            name: "a leaving report overrides a lagging list, also when the node is listed again",
+            steps: &[Report(3, 1, Leaving, 9), List(2, &[3], &[]), List(3, &[], &[]), Wait(120)],
             live: WITHOUT_3,
         },
         Case {
-            name: "a late word of serving doesn't undo leaving",
-            steps: &[Heard(3, 1, Leaving, 9), Heard(3, 1, Serving, 8), Heard(3, 1, Serving, 10)],
+            name: "a late serving report doesn't undo leaving",
+            steps: &[Report(3, 1, Leaving, 9), Report(3, 1, Serving, 8), Report(3, 1, Serving, 10)],
             live: WITHOUT_3,
         },
         Case {
             name: "a new incarnation replaces one that left",
-            steps: &[Heard(3, 1, Leaving, 9), Heard(3, 2, Serving, 1)], live: ALL,
+            steps: &[Report(3, 1, Leaving, 9), Report(3, 2, Serving, 1)], live: ALL,
         },
         Case {
-            name: "a new incarnation that starts gets no work yet",
-            steps: &[Heard(3, 1, Leaving, 9), Heard(3, 2, Starting, 1)], live: WITHOUT_3,
+            name: "a new incarnation that is starting gets no work yet",
+            steps: &[Report(3, 1, Leaving, 9), Report(3, 2, Starting, 1)], live: WITHOUT_3,
         },
         Case {
-            name: "a late word of the incarnation before is ignored",
-            steps: &[Heard(3, 1, Serving, 8), Heard(3, 2, Serving, 1), Heard(3, 1, Leaving, 9)],
+            name: "a late report of the previous incarnation is ignored",
+            steps: &[Report(3, 1, Serving, 8), Report(3, 2, Serving, 1), Report(3, 1, Leaving, 9)],
             live: ALL,
         },
         Case {
-            name: "a living incarnation returns when a dead one was heard late",
+            name: "a live incarnation returns after a late report of a dead one",
             steps: &[
-                Heard(3, 2, Serving, 5), Heard(3, 1, Leaving, 9), Heard(3, 2, Serving, 6), Wait(31),
-                Heard(3, 2, Serving, 7),
+                Report(3, 2, Serving, 5), Report(3, 1, Leaving, 9), Report(3, 2, Serving, 6), Wait(31),
+                Report(3, 2, Serving, 7),
             ],
             live: ALL,
         },
         Case {
-            name: "it doesn't while the other one speaks",
+            name: "it doesn't return while the other one sends reports",
             steps: &[
-                Heard(3, 2, Serving, 5), Heard(3, 1, Leaving, 9), Heard(3, 2, Serving, 6), Wait(20),
-                Heard(3, 1, Leaving, 10), Wait(20), Heard(3, 2, Serving, 7),
+                Report(3, 2, Serving, 5), Report(3, 1, Leaving, 9), Report(3, 2, Serving, 6), Wait(20),
+                Report(3, 1, Leaving, 10), Wait(20), Report(3, 2, Serving, 7),
             ],
             live: WITHOUT_3,
         },
         Case {
-            name: "nor by one late word that comes again and again",
+            name: "it doesn't return because of a repeated late report",
             steps: &[
-                Heard(3, 1, Serving, 5), Heard(3, 2, Leaving, 1), Heard(3, 1, Serving, 6), Wait(31),
-                Heard(3, 1, Serving, 6),
+                Report(3, 1, Serving, 5), Report(3, 2, Leaving, 1), Report(3, 1, Serving, 6), Wait(31),
+                Report(3, 1, Serving, 6),
             ],
             live: WITHOUT_3,
         },
         Case {
-            name: "a list that lacks a third of the fleet, of every service some, is held",
+            name: "a list that removes a third of the fleet, some of each service, is held",
             steps: &[List(2, &[0, 1, 2, 8, 9, 10, 16, 17, 24, 25, 32, 33], &[]), Wait(29)],
             live: ALL,
         },
         Case {
             name: "the list lags behind a node that was replaced",
-            steps: &[Heard(3, 1, Serving, 5), List(2, &[], &[3]), Heard(3, 2, Serving, 1)],
+            steps: &[Report(3, 1, Serving, 5), List(2, &[], &[3]), Report(3, 2, Serving, 1)],
             live: ALL,
         },
         Case {
-            name: "a first word doesn't undo what the list says of leaving",
-            steps: &[List(2, &[], &[3]), Heard(3, 1, Serving, 1)], live: WITHOUT_3,
+            name: "a first report doesn't override a listed leaving state",
+            steps: &[List(2, &[], &[3]), Report(3, 1, Serving, 1)], live: WITHOUT_3,
         },
         Case {
             name: "an older list is ignored",
             steps: &[List(5, &[3], &[]), List(4, &[], &[]), List(5, &[], &[])], live: WITHOUT_3,
         },
         Case {
-            name: "an empty list is never believed",
+            name: "an empty list is never applied",
             steps: &[Truncated(2, 0), Wait(999)], live: ALL,
         },
         Case { name: "a truncated list is held", steps: &[Truncated(2, 4), Wait(29)], live: ALL },
         Case {
-            name: "a whole list ends the doubt",
+            name: "a complete list ends the hold",
             steps: &[Truncated(2, 4), Wait(20), List(3, &[], &[]), Wait(20)], live: ALL,
         },
         Case {
-            name: "truncated lists one after the other aren't believed sooner, nor later",
+            name: "repeated truncated lists neither shorten nor extend the hold",
             steps: &[Truncated(2, 4), Wait(20), Truncated(3, 4), Wait(10)], live: &[0, 1, 2, 3],
         },
         Case {
-            name: "a node that speaks on is kept though lists lack it",
-            steps: &[Truncated(2, 4), Wait(20), Heard(6, 1, Serving, 1), Wait(20)],
+            name: "a missing node that still sends reports is kept",
+            steps: &[Truncated(2, 4), Wait(20), Report(6, 1, Serving, 1), Wait(20)],
             live: &[0, 1, 2, 3, 6],
         },
         Case {
-            name: "a node that can't be reached and isn't listed is gone at once",
+            name: "an unreachable and missing node is removed immediately",
             steps: &[Truncated(2, 4), Unreachable(7), Wait(12)], live: &[0, 1, 2, 3, 4, 5, 6],
         },
         Case {
-            name: "a node that can't be reached is left out for a while",
+            name: "an unreachable node is excluded for a while",
             steps: &[Unreachable(7), Wait(9)], live: &[0, 1, 2, 3, 4, 5, 6],
         },
-        Case { name: "and tried again", steps: &[Unreachable(7), Wait(10)], live: ALL },
         Case {
-            name: "or sooner when it speaks",
-            steps: &[Unreachable(7), Heard(7, 1, Serving, 1)], live: ALL,
+            name: "an unreachable node is tried again", steps: &[Unreachable(7), Wait(10)], live: ALL,
         },
         Case {
-            name: "when nobody can be reached, all are tried",
+            name: "an unreachable node is tried earlier after a report",
+            steps: &[Unreachable(7), Report(7, 1, Serving, 1)], live: ALL,
+        },
+        Case {
+            name: "all nodes are tried if all are unreachable",
             steps: &[
                 Unreachable(0), Unreachable(1), Unreachable(2), Unreachable(3), Unreachable(4),
                 Unreachable(5), Unreachable(6), Unreachable(7),
@@ -160,22 +162,22 @@
             live: ALL,
         },
         Case {
-            name: "a few that go are believed at once",
+            name: "a few removals are applied immediately",
             steps: &[List(2, &[2, 20], &[])], live: &[0, 1, 3, 4, 5, 6, 7],
         },
         Case {
-            name: "a service that vanishes from the list is held",
+            name: "the removal of a whole service is held",
             steps: &[List(2, ALL, &[]), Wait(29)], live: ALL,
         },
         Case {
-            name: "and believed after a while",
+            name: "the removal of a whole service is applied after the hold",
             steps: &[List(2, ALL, &[]), Wait(30)], live: &[],
         },
         Case {
-            name: "nodes that said they leave don't make a list suspicious",
+            name: "removals of leaving nodes don't count towards the limit",
             steps: &[
-                Heard(0, 1, Leaving, 1), Heard(1, 1, Leaving, 1), Heard(2, 1, Leaving, 1),
-                Heard(3, 1, Leaving, 1), Heard(4, 1, Leaving, 1),
+                Report(0, 1, Leaving, 1), Report(1, 1, Leaving, 1), Report(2, 1, Leaving, 1),
+                Report(3, 1, Leaving, 1), Report(4, 1, Leaving, 1),
                 List(2, &[0, 1, 2, 3, 4, 5, 8, 9, 10, 11], &[]),
             ],
             live: &[6, 7],
@@ -191,8 +193,8 @@
     }
 }
 
-/// Symptom: a peer that gets changes in place of the list keeps an instance that is gone, or misses one. Sequence: the
-/// peer is behind by some lists, among them removals, returns and a held list. Cause: a change isn't remembered.
+/// A peer is several lists behind, including removals, returns and a held list. If a change were not recorded, a peer
+/// that applies the delta would keep an instance that is gone or miss one.
 #[test]
 fn changes_passed_on_give_the_same_list() {
     let now = Instant::now();
@@ -223,7 +225,7 @@
     let mut late = fleet::view(NODES, 3, now);
     let after = source.delta_since(Revision(5));
     assert_eq!(late.apply_delta(after, now), ListOutcome::Gap);
-    // A node that has just started doesn't know what went away before its first list.
+    // A node that has just started doesn't know the removals before its first list.
     let mut started = View::new(MembershipConfig::default());
     started.apply_list(Revision(9), sorted(&source), now);
     late.apply_delta(started.delta_since(late.revision()), now);
@@ -250,13 +252,13 @@
     );
 }
 
-/// One word of the modelled node, sent at a second and heard at another.
+/// A state report of the modelled node, received at second `received_at`.
 #[derive(Clone, Debug)]
-struct Word {
+struct Report {
     incarnation: u128,
     state: NodeState,
     tick: u64,
-    heard: u64,
+    received_at: u64,
 }
 
 proptest! {
@@ -264,57 +266,58 @@
         failure_persistence: None, rng_seed: RngSeed::Fixed(12), cases: 300, ..ProptestConfig::default()
     })]
 
-    /// Symptom: a node that has left gets calls again. Sequence: words of several incarnations, lost, repeated, late and
-    /// out of order, among lists that flap. Cause: an old word or list is taken for news.
+    /// Reports of several incarnations are lost, repeated, late and out of order, while the list flaps. If an old
+    /// report or list were applied as new, a node that has left would get calls again.
     #[test]
     fn a_node_that_left_is_live_only_in_a_new_incarnation(
-        words in words(),
+        reports in reports(),
         lists in proptest::collection::vec((0_u64..200, 0_u8..4), 0..20),
     ) {
         let start = Instant::now();
         let mut view = fleet::view(NODES, 3, start);
         let mut lists: BTreeMap<u64, u8> = lists.into_iter().collect();
-        let mut heard: Vec<u128> = Vec::new();
+        let mut known_incarnations: Vec<u128> = Vec::new();
         let mut left = false;
         let mut revision = 1;
-        let mut cut_since: Option<u64> = None;
+        let mut truncated_since: Option<u64> = None;
         for second in 0..300 {
             let now = start + Duration::from_secs(second);
             view.advance(now);
-            for word in words.iter().filter(|word| word.heard == second) {
-                let incarnation = Incarnation(word.incarnation);
-                let outcome = view.heard(&node(3), incarnation, word.state, Tick(word.tick), now);
-                if !heard.contains(&word.incarnation) {
-                    heard.push(word.incarnation);
+            for report in reports.iter().filter(|report| report.received_at == second) {
+                let incarnation = Incarnation(report.incarnation);
+                let tick = Tick(report.tick);
+                let outcome = view.record_report(&node(3), incarnation, report.state, tick, now);
+                if !known_incarnations.contains(&report.incarnation) {
+                    known_incarnations.push(report.incarnation);
                     left = false;
                 }
                 let is_current = view.incarnation(&node(3)) == Some(incarnation);
-                left |= is_current && word.state == NodeState::Leaving;
-                prop_assert!(is_current || outcome == WordOutcome::Stale);
+                left |= is_current && report.state == NodeState::Leaving;
+                prop_assert!(is_current || outcome == StateReportOutcome::Stale);
             }
             if let Some(kind) = lists.remove(&second) {
                 revision += 1;
-                view.apply_list(Revision(revision), flapping(kind), now);
-                cut_since = match kind {
-                    CUT => cut_since.or(Some(second)),
-                    EMPTY => cut_since,
+                view.apply_list(Revision(revision), faulty_list(kind), now);
+                truncated_since = match kind {
+                    TRUNCATED => truncated_since.or(Some(second)),
+                    EMPTY => truncated_since,
                     _ => None,
                 };
             }
             prop_assert!(!(left && view.is_live(&node(3))), "live after leaving, second {second}");
-            let doubted = cut_since.is_none_or(|since| second - since < 30);
+            let is_kept = truncated_since.is_none_or(|since| second - since < 30);
             let kept = view.live(&ServiceName::from("service-2")).len();
-            prop_assert_eq!(kept, if doubted { 8 } else { 0 }, "second {}", second);
+            prop_assert_eq!(kept, if is_kept { 8 } else { 0 }, "second {}", second);
         }
     }
 }
 
-/// Words of three incarnations that live one after the other; each is heard up to 20 s late, never, or twice.
-fn words() -> impl Strategy<Value = Vec<Word>> {
+/// Reports of three consecutive incarnations, each received up to 20 s late, never, or twice.
+fn reports() -> impl Strategy<Value = Vec<Report>> {
     let delays = proptest::collection::vec(proptest::option::weighted(0.8, 0_u64..20), 120);
     let ends = proptest::collection::vec(5_u64..30, 3);
     (delays, ends).prop_map(|(delays, ends)| {
-        let mut words = Vec::new();
+        let mut reports = Vec::new();
         let mut sent = 0;
         let mut delays = delays.into_iter();
         for (incarnation, end) in ends.into_iter().enumerate() {
@@ -331,25 +334,25 @@
                     .flatten()
                 {
                     let incarnation = incarnation as u128 + 1;
-                    words.push(Word {
+                    reports.push(Report {
                         incarnation,
                         state,
                         tick,
-                        heard: sent + delay,
+                        received_at: sent + delay,
                     });
                 }
             }
         }
-        words
+        reports
     })
 }
 
-/// Lists as a platform in trouble gives them: whole, cut short before service 2, empty, without the modelled node.
-fn flapping(kind: u8) -> Vec<InstanceEntry> {
+/// Lists that a faulty platform returns: complete, truncated before service 2, empty, without the modelled node.
+fn faulty_list(kind: u8) -> Vec<InstanceEntry> {
     let mut entries = list(NODES, 3);
     match kind {
         WHOLE => {}
-        CUT => entries.truncate(16),
+        TRUNCATED => entries.truncate(16),
         EMPTY => entries.clear(),
         _ => drop(entries.remove(3)),
     }
@@ -374,8 +377,8 @@
         Step::Truncated(revision, count) => {
             view.apply_list(Revision(revision), list(count, 3), now);
         }
-        Step::Heard(index, incarnation, state, tick) => {
-            view.heard(
+        Step::Report(index, incarnation, state, tick) => {
+            view.record_report(
                 &node(index),
                 Incarnation(incarnation),
                 state,
@@ -407,7 +410,7 @@
         .collect()
 }
 
-/// The entries without those that the newest list lacks, as a peer gets them.
+/// Sorted entries as sent to a peer, without those missing from the newest list.
 fn sorted(view: &View) -> Vec<InstanceEntry> {
     let mut entries = view.delta_since(Revision(0)).changed;
     entries.sort_by(|a, b| a.node.cmp(&b.node));
--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -43,7 +43,8 @@
     /// new incarnation; nobody would, since nobody sends it work.
     pub(super) fn probe_left(&mut self, now: Instant) {
         let view = &self.view;
-        self.left.retain(|node, _| view.told(node).is_some());
+        self.left
+            .retain(|node, _| view.reported_state(node).is_some());
         let overdue = self.left.iter().filter(|(node, since)| {
             let listed = view
                 .get(node)
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -12,7 +12,7 @@
 use coltsfootport_core::id::{NodeName, ServiceName};
 use coltsfootport_core::jsonc::Fault;
 use coltsfootport_core::membership::{
-    InstanceEntry, MembershipConfig, NodeState, View, WordOutcome,
+    InstanceEntry, MembershipConfig, NodeState, StateReportOutcome, View,
 };
 use coltsfootport_core::once::Tick;
 use coltsfootport_core::routing::PeerView;
@@ -192,10 +192,10 @@
             let after = self.replica.complete().0;
             self.ask(&node, ControlRequest::PullSince(after));
         }
-        let outcome = self
-            .view
-            .heard(&word.node, word.incarnation, word.state, word.tick, now);
-        if outcome != WordOutcome::Changed {
+        let outcome =
+            self.view
+                .record_report(&word.node, word.incarnation, word.state, word.tick, now);
+        if outcome != StateReportOutcome::Changed {
             return;
         }
         match state {
