--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -1,8 +1,8 @@
-//! Decision logic of a service mesh node, which routes requests by host and path.
+//! Decision logic of a service mesh node, which routes requests by host name and path.
 //!
 //! A mesh has one configuration for all services and a published list of instances. Every node runs next to a
-//! target and acts in two roles: as an entry it accepts requests that originate on its machine, and as a host it
-//! executes requests of other nodes at its target.
+//! target and acts in two roles: as an entry node it accepts requests that originate on its machine, and as a host it
+//! executes requests of other nodes at its target. The entry of an instance is its record in the published list.
 
 mod authentication;
 mod balance;
