--- a/crates/core/src/mesh/balance.rs
+++ b/crates/core/src/mesh/balance.rs
@@ -10,7 +10,7 @@
     /// Requests of all nodes at the instance: the count last reported by its host, plus those sent since.
     load: f64,
     load_updated_at: Option<Instant>,
-    /// Response time relative to the usual time of the route, as an exponentially weighted moving average (EWMA).
+    /// Latency relative to the usual latency of the route, as an exponentially weighted moving average (EWMA).
     latency_ratio: f64,
     /// Share of failed requests, as an EWMA.
     failure_rate: f64,
@@ -18,7 +18,7 @@
     rates_updated_at: Option<Instant>,
     /// Until then the instance is chosen only if every other one is avoided as well.
     avoided_until: Option<Instant>,
-    /// Until then its host is assumed to be about to stop.
+    /// Until then its host is assumed to be shutting down.
     stopping_until: Option<Instant>,
     /// Consecutive failures to reach the host.
     connect_failures: u32,
@@ -46,13 +46,13 @@
     }
 }
 
-/// Weight of the newest sample in the moving averages; they settle after about ten answers.
+/// Weight of the newest sample in the moving averages; they settle after about ten responses.
 const EWMA_WEIGHT: f64 = 0.12;
 
 /// Half-life of the load reported by a host while no new report arrives.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(800);
 
-/// Half-life of the failure rate and latency ratio while no new answer arrives.
+/// Half-life of the failure rate and latency ratio while no new response arrives.
 const RATE_HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// Failure rate above which an instance is avoided.
@@ -74,17 +74,18 @@
 /// Initial backoff for an unreachable host; doubled on each further failure, up to eight times this value.
 const AVOID_UNREACHABLE: Duration = Duration::from_millis(250);
 
-/// How long an instance whose target is gone is avoided: about the time until the published list reflects it.
+/// How long an instance is avoided whose target does not listen or is another instance: about the time until the
+/// published list reflects it.
 const AVOID_TARGET_GONE: Duration = Duration::from_millis(1500);
 
-/// How long an instance whose host is about to stop is avoided: about the remaining lifetime of the host.
+/// How long an instance whose host is shutting down is avoided: about the remaining lifetime of the host.
 const AVOID_STOPPING: Duration = Duration::from_millis(3000);
 
-/// How long a host's report that it can't reach the publisher stays valid: the time for several replies in a small
+/// How long a host's report that it can't reach the publisher stays valid: the time for several responses in a small
 /// fleet under load.
 const PARTITION_REPORT_TTL: Duration = Duration::from_millis(2000);
 
-/// Clamps the latency ratio of a single answer, so that one slow request has little effect.
+/// Clamps the latency ratio of a single response, so that one slow request has little effect.
 const LATENCY_RATIO_RANGE: (f64, f64) = (0.2, 5.0);
 
 impl InstanceStats {
@@ -108,7 +109,7 @@
         self.connect_failures = 0;
     }
 
-    /// Records a complete answer that took `relative` times the usual time of its route.
+    /// Records a complete response that took `relative` times the usual latency of its route.
     pub fn request_succeeded(&mut self, relative: f64, now: Instant) {
         self.decay_rates(now);
         let relative = relative.clamp(LATENCY_RATIO_RANGE.0, LATENCY_RATIO_RANGE.1);
@@ -136,18 +137,18 @@
     }
 
     /// Records that the target does not listen or is another instance. Such requests are rejected immediately, so the
-    /// instance looks idle and would attract more of them than any other until it disappears from the published list.
+    /// instance looks idle and would attract more of them than any other until it is removed from the published list.
     pub fn target_gone(&mut self, now: Instant) {
         self.avoid(now + AVOID_TARGET_GONE);
     }
 
-    /// Records that the host is about to stop and rejects requests; avoided for the reason given at
+    /// Records that the host is shutting down and rejects requests; avoided for the reason given at
     /// [`InstanceStats::target_gone`].
     pub fn host_stopped(&mut self, now: Instant) {
         self.avoid(now + AVOID_STOPPING);
     }
 
-    /// Records that the host is about to stop but still accepts requests. It is used only for requests that the other
+    /// Records that the host is shutting down but still accepts requests. It is used only for requests that the other
     /// instances have no capacity for.
     pub fn host_stopping(&mut self, now: Instant) {
         self.stopping_until = Some(now + AVOID_STOPPING);
@@ -169,7 +170,7 @@
         self.avoided_until.is_some_and(|until| now < until)
     }
 
-    /// Expected cost of a request there, relative to the usual time on an idle instance; lower is better.
+    /// Expected cost of a request there, relative to the usual latency on an idle instance; lower is better.
     pub fn score(&self, slots: u32, now: Instant) -> f64 {
         if self.needs_probe(now) {
             return PROBE_SCORE;
@@ -236,7 +237,7 @@
 /// Score added per unit of utilization at any load; spreads requests before queues form.
 const LOAD_WEIGHT: f64 = 0.5;
 
-/// Factor on the score of an instance whose host is about to stop; equivalent to a long queue elsewhere.
+/// Factor on the score of an instance whose host is shutting down; equivalent to a long queue elsewhere.
 const STOPPING_PENALTY: f64 = 3.0;
 
 /// Additional cost of an instance with a failure rate of 1.
