--- a/crates/core/src/mesh/config.rs
+++ b/crates/core/src/mesh/config.rs
@@ -41,7 +41,7 @@
     /// A prefix does not begin and end with a slash.
     #[error("route `{0}`: the prefix must begin and end with a slash")]
     Prefix(SmolStr),
-    /// A route has no part with a positive weight, or a weight is negative or NaN.
+    /// A route has no service with a positive weight, or a weight is negative or NaN.
     #[error("route `{0}`: no service with a positive weight")]
     Weights(SmolStr),
     /// A route allows no attempts.
@@ -123,7 +123,7 @@
         &self.routes
     }
 
-    /// Finds the route for a host and path.
+    /// Finds the route for a host name and path.
     pub fn find(&self, host: &str, path: &str) -> Option<(RouteKey, &Route)> {
         let key = self.table.find(host, path)?;
         Some((key, self.route(key)))
