--- a/crates/core/src/mesh/dialect.rs
+++ b/crates/core/src/mesh/dialect.rs
@@ -11,7 +11,7 @@
     pub only_instance: &'static str,
     /// Request to a target: service of the machine on which the request originated.
     pub origin_service: &'static str,
-    /// Request: key of the sender's workspace; removed by the entry node and never forwarded.
+    /// Request: key of the caller's workspace; removed by the entry node and never forwarded.
     pub workspace_key: &'static str,
     /// Request to a target: name of the workspace that the request belongs to.
     pub workspace: &'static str,
