--- a/crates/core/src/mesh/fleet.rs
+++ b/crates/core/src/mesh/fleet.rs
@@ -171,10 +171,10 @@
     /// although the target works. Returns whether the instance had been removed and is now used again.
     ///
     /// Without this, a network partition between a third of the machines and the publisher leaves the other nodes
-    /// with the few instances that are still listed: during a load surge, one of four instances received the load
-    /// of all, with 230 requests in its queue, while the other three idled, and only 0.4 of the requests were
-    /// served. Instances that are leaving are excluded: from a partitioned machine neither the leave announcement
-    /// nor the removal of the entry would reach the publisher.
+    /// with the few instances that are still listed: in a load surge, one of four instances then receives the load
+    /// of all and has 230 requests in its queue while the other three are idle, and only 0.4 of the requests are
+    /// served. Removed instances that had announced that they leave are not used again: their machine was not
+    /// partitioned, or neither the announcement nor the removal of the entry would have reached the publisher.
     pub fn mark_partitioned_by_id(&mut self, id: &str, now: Instant) -> bool {
         let until = now + self.cfg.lapse_hold;
         if let Some(key) = self.by_id.get(id) {
@@ -191,7 +191,7 @@
         true
     }
 
-    /// Records that the host of an instance reported in a reply that it can't reach the publisher; see
+    /// Records that the host of an instance reported in a response that it can't reach the publisher; see
     /// [`Fleet::mark_partitioned_by_id`].
     pub fn mark_partitioned(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
@@ -388,7 +388,7 @@
         }
     }
 
-    /// Records that a host reported that it is about to stop, although it accepted the request.
+    /// Records that a host reported that it is shutting down, although it accepted the request.
     pub fn host_stopping(&mut self, key: InstanceKey, now: Instant) {
         if let Some(member) = self.members.get_mut(key) {
             member.stats.host_stopping(now);
