--- a/crates/core/src/mesh/fleet_config.rs
+++ b/crates/core/src/mesh/fleet_config.rs
@@ -9,7 +9,7 @@
 pub struct FleetConfig {
     /// The failure domain of this node.
     pub domain: DomainName,
-    /// How long an instance whose entry disappeared during a publisher outage is kept after the publisher's
+    /// How long an instance whose entry was removed during a publisher outage is kept after the publisher's
     /// recovery, so that it can write its entry again. Also applies after a report that the host of the instance
     /// can't reach the publisher.
     pub lapse_hold: Duration,
