--- a/crates/core/src/mesh/lapsed.rs
+++ b/crates/core/src/mesh/lapsed.rs
@@ -1,4 +1,4 @@
-//! Instances whose entries disappeared although they had not announced that they leave.
+//! Instances whose entries were removed although they had not announced that they leave.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
