--- a/crates/core/src/mesh/level.rs
+++ b/crates/core/src/mesh/level.rs
@@ -1,14 +1,14 @@
-//! Overload level of a target: which ranks, and which share of the next rank, its callers should shed.
+//! Overload level of a target: which ranks, and which share of the next rank, entry nodes should shed.
 
 use std::time::{Duration, Instant};
 
 /// How the overload level follows the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LevelConfig {
-    /// Load up to which requests are admitted, as work arriving over work that the slots can do.
+    /// Load up to which requests are admitted, as the ratio of the arriving work to the work that the slots can do.
     ///
-    /// Slightly above 1 keeps all slots busy; the resulting queue is counted as backlog as soon as it forms. 0.9 served
-    /// 3% fewer requests in surges; there was no difference between 1.0 and 1.1.
+    /// Slightly above 1 keeps all slots busy; the resulting queue is counted as backlog as soon as it forms. At 0.9,
+    /// 3% fewer requests are served in surges; 1.0 and 1.1 perform alike.
     pub target_load: f64,
     /// Window over which arrivals are averaged.
     pub load_window: Duration,
@@ -39,12 +39,12 @@
 
 /// Tracks the load of one target and derives its overload level.
 ///
-/// Each request carries the share of similar requests that entries admitted. Dividing its expected work by that share
-/// and summing up estimates the load that would arrive without shedding. The level follows directly from this estimate:
-/// the most urgent ranks are admitted first, then as much of the next rank as the remaining capacity allows.
+/// Each request carries the share of similar requests that entry nodes admitted. Dividing its expected work by that
+/// share and summing up estimates the load that would arrive without shedding. The level follows directly from this
+/// estimate: the most urgent ranks are admitted first, then as much of the next rank as the remaining capacity allows.
 ///
 /// A feedback controller that integrates the remaining load or wait does not know how much a step changes, and sees the
-/// effect only after the chain of calls above has run. It keeps rising while the queue of a surge drains, falls once
+/// effect only after the upstream calls have run. It keeps rising while the queue of a surge drains, falls once
 /// callers have left, and diverges between the hosts of a service: some at their maximum level, others idle.
 #[derive(Clone, Debug)]
 pub struct LevelControl {
@@ -92,7 +92,7 @@
     }
 
     /// Records the arrival of a request that is expected to hold a slot for `work` seconds. `admitted` is the share of
-    /// similar requests that entries admitted.
+    /// similar requests that entry nodes admitted.
     pub fn record_arrival(&mut self, shed_order: usize, work: f64, admitted: f64) {
         self.arrivals.work += work;
         self.arrivals.offered[shed_order.min(MAX_SHED_ORDERS - 1)] +=
@@ -127,7 +127,7 @@
         self.level
     }
 
-    /// Work that arrives over work that the slots can do.
+    /// Ratio of the arriving work to the work that the slots can do.
     pub fn load(&self) -> f64 {
         self.load
     }
@@ -135,9 +135,9 @@
     /// Lowest overload level at which the admitted load fits the remaining capacity: the shed order of the rank that is
     /// shed in part, plus the share of it that is shed.
     ///
-    /// Queued requests use capacity of their own rank and of those that are served after it. When the queue counted
-    /// against all ranks, urgent requests were shed for a long queue of a less urgent rank although they would have
-    /// been served before it: in a replayed surge with a slow last service, 0.79 of them were served instead of 0.90.
+    /// Queued requests use capacity of their own rank and of those that are served after it. If the queue counted
+    /// against all ranks, urgent requests would be shed for a long queue of a less urgent rank although they are served
+    /// before it: in a surge with a slow last service, 0.79 of them would be served instead of 0.90.
     fn lowest_sufficient_level(&self, backlog: &Backlog) -> f64 {
         let mut capacity = self.cfg.target_load;
         for (shed_order, offered) in self.offered.iter().enumerate().rev() {
