--- a/crates/core/src/mesh/member_state.rs
+++ b/crates/core/src/mesh/member_state.rs
@@ -9,7 +9,7 @@
     Ready,
     /// The instance has announced that it is about to end; it receives no new requests.
     Draining,
-    /// Its entry disappeared while the publisher failed, or while its own host could not reach the publisher.
+    /// Its entry was removed while the publisher failed, or while its own host could not reach the publisher.
     /// Leases expire then although the instances are alive, so the instance remains in use until the entry has had
     /// time to be written again.
     Missing {
