--- a/crates/core/src/mesh/queue_timeout.rs
+++ b/crates/core/src/mesh/queue_timeout.rs
@@ -23,7 +23,7 @@
 /// Properties of a request that determine its queue timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueTimeoutRequest {
-    /// Whether it is a call of another run.
+    /// Whether it is a call made during another run.
     pub inner: bool,
     /// When it arrived.
     pub arrived: Instant,
@@ -36,8 +36,8 @@
 impl QueueTimeoutConfig {
     /// Longest expected wait at which a request is still queued.
     ///
-    /// A call of another run waits up to its deadline, because slots upstream are already held for it. An external
-    /// request is refused while its caller still has time to retry.
+    /// A call made during another run waits up to its deadline, because slots upstream are already held for it. An
+    /// external request is refused while its caller still has time to retry.
     pub fn timeout_for(&self, req: &QueueTimeoutRequest, now: Instant) -> Duration {
         let left = req.deadline.saturating_duration_since(now);
         if req.inner {
