--- a/crates/core/src/mesh/refusal.rs
+++ b/crates/core/src/mesh/refusal.rs
@@ -23,13 +23,13 @@
     UnknownKey,
     /// The key is unknown, but the configuration of the node may be outdated.
     UnverifiedKey,
-    /// A call of a run that this node does not know, so its workspace can't be determined.
+    /// A call made during a run that this node does not know, so its workspace can't be determined.
     UnknownRun,
     /// The workspace has exhausted its quota.
     OverQuota,
     /// No instance of the service is known or reachable.
     NoInstance,
-    /// Shed at the entry because a service downstream is overloaded.
+    /// Shed at the entry node because a service downstream is overloaded.
     Shed,
     /// The expected wait in the host's queue is too long.
     Busy,
