--- a/crates/core/src/mesh/route.rs
+++ b/crates/core/src/mesh/route.rs
@@ -27,7 +27,7 @@
     pub weight: f64,
 }
 
-/// Maps requests for a host and path prefix to services, and configures how they are handled.
+/// Maps requests for a host name and path prefix to services, and configures how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name; identifies the route across configuration versions.
