--- a/crates/core/src/mesh/route_table.rs
+++ b/crates/core/src/mesh/route_table.rs
@@ -1,11 +1,11 @@
-//! Route lookup by host and longest path prefix.
+//! Route lookup by host name and longest path prefix.
 
 use smol_str::SmolStr;
 
 use crate::collections::Map;
 use crate::mesh::{Route, RouteKey};
 
-/// Routes by host, sorted by descending prefix length.
+/// Routes by host name, sorted by descending prefix length.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: Map<SmolStr, Vec<Entry>>,
