--- a/crates/core/src/mesh/shedder.rs
+++ b/crates/core/src/mesh/shedder.rs
@@ -1,4 +1,4 @@
-//! Load shedding at an entry, by the overload levels of the services downstream.
+//! Load shedding at an entry node, by the overload levels of the services downstream.
 
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 
 use crate::collections::Map;
 
-/// How an entry follows the overload levels that hosts report.
+/// How an entry node follows the overload levels that hosts report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShedderConfig {
     /// Weight of a new report in the moving average.
@@ -43,13 +43,13 @@
 
 /// Overload levels by route, as reported with responses, and the decision which requests to shed.
 ///
-/// Requests are shed at the entry, before any work has been done for them. If they were refused further downstream, the
-/// work upstream would be lost, and callers would repeat all of it.
+/// Requests are shed at the entry node, before any work has been done for them. If they were refused further
+/// downstream, the work upstream would be lost, and retries would do all of it again.
 ///
-/// The choice is made by a hash of the requested host and path, so a caller that retries too early is shed again, and
-/// an admitted request is admitted at its first attempt. With an independent random choice for each attempt, shedding a
-/// share `s` would reject only `s²` of the requests in the end and delay the others needlessly: the load falls late,
-/// and the level overshoots.
+/// The choice is made by a hash of the requested host name and path, so a caller that retries too early is shed again,
+/// and an admitted request is admitted at its first attempt. With an independent random choice for each attempt,
+/// shedding a share `s` would reject only `s²` of the requests in the end and delay the others needlessly: the load
+/// falls late, and the level overshoots.
 #[derive(Clone, Debug)]
 pub struct Shedder {
     cfg: ShedderConfig,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Records the highest overload level that a request of a route met.
+    /// Records the highest overload level that a request of a route encountered.
     pub fn report(&mut self, route: &SmolStr, level: f64, now: Instant) {
         let previous = self.level(route, now);
         let level = previous + self.cfg.report_weight * (level - previous);
