--- a/crates/core/src/mesh/target_gate.rs
+++ b/crates/core/src/mesh/target_gate.rs
@@ -48,12 +48,12 @@
     pub rank: u8,
     /// Number of ranks that are shed before its own.
     pub shed_order: usize,
-    /// Share of similar external requests that the entry was admitting when it admitted this one.
+    /// Share of similar external requests that the entry node was admitting when it admitted this one.
     pub admitted: f64,
     /// Route of the request.
     pub kind: RequestKind,
-    /// Whether it is a call of another run. Work upstream has already been done, so it is served before others of its
-    /// rank and refused only if it can't finish in time.
+    /// Whether it is a call made during another run. Work upstream has already been done, so it is served before others
+    /// of its rank and refused only if it can't finish in time.
     pub inner: bool,
     /// When the external request that it belongs to entered the mesh.
     pub began: Instant,
@@ -266,7 +266,7 @@
         self.level.level()
     }
 
-    /// Work that arrives over work that the slots can do.
+    /// Ratio of the arriving work to the work that the slots can do.
     pub fn load(&self) -> f64 {
         self.level.load()
     }
