--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Detects requests that crash the targets running them and stops them across the fleet.
 //!
-//! When a target crashes, every request running there becomes a suspect. A complete answer clears a request. Requests
+//! When a target crashes, every request running there becomes a suspect. A complete response clears a request. Requests
 //! suspected of several crashes run one at a time per target, so that the next crash identifies the culprit, which is
 //! then refused by every node.
 
