--- a/crates/core/src/quarantine/finding.rs
+++ b/crates/core/src/quarantine/finding.rs
@@ -10,7 +10,7 @@
     /// Targets have crashed while running the request.
     Crashes(Crashes),
     /// A target has answered the request completely. Overrides all crashes, because a request that crashes every target
-    /// never gets an answer.
+    /// never gets a response.
     Answered,
 }
 
