--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Keyed fingerprints that identify a request across attempts, client retries and nodes.
+//! Keyed fingerprints that identify a request across nodes, attempts and caller retries.
 
 use std::fmt;
 
