--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -142,7 +142,7 @@
         taken.collect()
     }
 
-    /// Returns the latest findings, at most `limit`, for a peer whose registry has the given digest; empty if both
+    /// Returns the latest findings, at most `limit`, for a node whose registry has the given digest; empty if both
     /// registries hold the same evidence.
     pub fn findings_for_peer(&self, digest: u64, limit: usize, now: Instant) -> Vec<Finding> {
         if digest == self.digest() {
