--- a/crates/core/src/workspace/quota.rs
+++ b/crates/core/src/workspace/quota.rs
@@ -1,9 +1,9 @@
 //! Fleet-wide quotas of workspaces, enforced without a shared store and without a remote call in the request path.
 //!
-//! Entries decide locally and report the requests that they received and admitted afterwards. The reports go to the
-//! *homes* of the workspace: a few nodes, selected by rendezvous hashing over the published instances. Each home
-//! enforces a fixed part of the quota and answers with a [`Verdict`], from which entries derive the share of requests
-//! to admit.
+//! Entry nodes, here called *entries*, decide locally and afterwards report the requests that they received and
+//! admitted. The reports go to the *homes* of the workspace: a few nodes, selected by rendezvous hashing over the
+//! published instances. Each home enforces a fixed part of the quota and answers with a [`Verdict`], from which entries
+//! derive the share of requests to admit.
 
 mod accounts;
 mod bound;
