--- a/crates/core/src/workspace/quota/bound.rs
+++ b/crates/core/src/workspace/quota/bound.rs
@@ -49,7 +49,7 @@
         quota.per_second * (1.0 + 0.25 * self.overage) + extra
     }
 
-    /// Returns the requests that all homes together may save in addition to the burst, since a small workspace
+    /// Returns the unused requests that all homes together may save in addition to the burst, since a small workspace
     /// sometimes receives several requests at once by chance. The rest of the slack is for requests that entries admit
     /// before they receive a verdict.
     pub(super) fn extra_savings(&self) -> f64 {
