--- a/crates/core/src/workspace/quota/entry.rs
+++ b/crates/core/src/workspace/quota/entry.rs
@@ -14,18 +14,18 @@
 /// Timing and limits of quota enforcement at an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Time from an uncounted request to the report of it. Requests admitted beyond the quota in between are paid back
+    /// Time from an unreported request to its report. Requests admitted beyond the quota in between are paid back
     /// by the homes within the next second or two.
     pub report_delay: Duration,
-    /// Time after the start of an entry in which it admits only an equal part of a quota, unless a home has sent a
+    /// Time after the start of an entry in which it admits only its equal part of a quota, unless a home has sent a
     /// verdict. If all nodes start during a surge, no node knows yet that a workspace exceeds its quota.
     pub startup_period: Duration,
     /// Maximum age of a verdict. Longer than the time between two requests of a workspace whose quota is in use;
     /// without demand there is nothing to refuse.
     pub verdict_ttl: Duration,
     /// Time after which an entry with an unconfirmed claim falls back to its own part of the quota. Longer than it
-    /// takes to find two homes in turn silent, and short compared to the window in which a quota is counted: no home
-    /// accounts for what is admitted in between.
+    /// takes to detect that two homes don't answer, one after the other, and short compared to the window in which a
+    /// quota is counted: no home accounts for what is admitted in between.
     pub confirm_timeout: Duration,
     /// Limit up to which all entries together may exceed a quota.
     pub bound: QuotaBound,
