--- a/crates/core/src/workspace/quota/entry_account.rs
+++ b/crates/core/src/workspace/quota/entry_account.rs
@@ -10,8 +10,8 @@
 /// Window over which an entry averages its own demand and the confirmed requests, in seconds.
 pub(super) const DEMAND_WINDOW: f64 = 2.0;
 
-/// Maximum time for which an entry's own bucket fills between two requests. Otherwise each of many entries without
-/// requests for a long time would have one saved.
+/// Maximum time for which an entry's own bucket fills between two requests. Otherwise each of many entries that
+/// have been idle for long would have a request saved.
 const MAX_REFILL_TIME: Duration = Duration::from_secs(5);
 
 /// Unconfirmed requests that every entry may have: a small workspace sometimes receives two at once by chance.
@@ -145,8 +145,8 @@
     ) -> Result<(), f64> {
         let capacity = quota.burst * part + 1.0;
         if self.tokens.is_nan() {
-            // Parts are often fractions of a request. By the phase, about as many entries start with a whole token as
-            // their parts add up to.
+            // Parts are often fractions of a request. With the phase added, the number of entries that start with a
+            // whole token is about the sum of all parts.
             self.tokens = quota.burst * part + phase;
         }
         let elapsed = elapsed.min(MAX_REFILL_TIME.as_secs_f64());
