--- a/crates/core/src/workspace/quota/home.rs
+++ b/crates/core/src/workspace/quota/home.rs
@@ -58,11 +58,11 @@
 /// yet and still use the new homes.
 const RETURNING_SHARE: f64 = 0.5;
 
-/// Time after a partition in which the entries of instances are published again and all nodes receive them.
+/// Time after a partition in which instances write their published entries again and all nodes receive them.
 const RETURN_PERIOD: Duration = Duration::from_millis(2500);
 
 /// Time without the publisher after which other nodes may have replaced this node as a home. Shorter than the time
-/// after which the publisher drops the entry of a silent instance.
+/// after which the publisher removes the published entry of a silent instance.
 const REPLACED_AFTER: Duration = Duration::from_secs(3);
 
 /// Minimum share of silent nodes at which a node without the publisher may itself be partitioned off. If nearly all
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Updates [`Self::is_replaced`] from the time since the publisher was last reached and the share of used nodes
-    /// that are silent. Returns whether it has changed.
+    /// Updates [`Self::is_replaced`] from the time since the publisher was last reached and the share of the
+    /// nodes in use that are silent. Returns whether it has changed.
     pub fn check_replaced(
         &mut self,
         publisher_silent: Duration,
