--- a/crates/core/src/workspace/quota/homes.rs
+++ b/crates/core/src/workspace/quota/homes.rs
@@ -15,7 +15,7 @@
 /// nodes with the same list agree without communication.
 ///
 /// Homes are in different failure domains if there are enough of them, so that a domain that is partitioned off
-/// contains one part of the quota.
+/// has only one part of the quota.
 ///
 /// Nodes are taken from the published list, whether they are reachable or not. If reachability counted, each half of a
 /// partitioned fleet would select homes for the whole quota.
