--- a/crates/core/src/workspace/quota/routing.rs
+++ b/crates/core/src/workspace/quota/routing.rs
@@ -107,7 +107,7 @@
         let rotation = self.rotation(&claim.usage.workspace);
         rotation.last_index = rotation.last_index.wrapping_add(1);
         let home_index = rotation.last_index;
-        // Claims of a home that does not answer are spread over both others: if all went to one of them, they would
+        // Claims to a home that does not answer are spread over both others: if all went to one of them, they would
         // exhaust its part of the quota while the other's is unused.
         let stride = match rotation.homes.len() {
             HOMES => 1 + home_index / HOMES % 2,
