--- a/crates/node/src/mesh/call.rs
+++ b/crates/node/src/mesh/call.rs
@@ -1,4 +1,4 @@
-//! Types for requests and answers on their way through a node.
+//! Types for requests and responses on their way through a node.
 
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,15 @@
 
 use crate::h1::RequestHead;
 
-/// Largest body, in bytes, that is buffered as a whole. A buffered request can be retried, and a buffered answer can be
-/// checked before it is passed on.
+/// Largest body, in bytes, that is buffered as a whole. A buffered request can be retried, and a buffered response can
+/// be checked before it is passed on.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
 /// Largest chunk of a streamed body, in bytes. What was buffered of the body is passed on as its first chunk.
 ///
-/// Other nodes reject larger chunks. The buffered part must therefore be cut to exactly this size. When it extended to
-/// the end of the read that reached the limit, bodies whose parts arrived in certain sizes were lost on a link: the
-/// caller got a 502, or an answer that ended in the middle.
+/// Other nodes reject larger chunks. The buffered part must therefore be cut to exactly this size. If it extended to
+/// the end of the read that reached the limit, bodies whose parts arrive in certain sizes would be lost on a link: the
+/// caller would get a 502, or a response that ended in the middle.
 pub const MAX_BODY_CHUNK: usize = MAX_BUFFERED_BODY;
 
 /// Number of chunks of a streamed body that are queued between two tasks. With chunks of 16 KiB, a body occupies at
@@ -33,7 +33,7 @@
 #[error("the body was truncated")]
 pub struct BodyTruncated;
 
-/// The body of a request or answer.
+/// The body of a request or response.
 #[derive(Debug)]
 pub enum Body {
     /// A buffered body.
@@ -102,17 +102,17 @@
     pub kind: RequestKind,
     /// Whether the request may run more than once.
     pub repeat: Idempotency,
-    /// Deadline, after which no one waits for the answer.
+    /// Deadline, after which no one waits for the response.
     pub deadline: Instant,
     /// Longest acceptable queueing time. If the expected time is longer, the request is refused at once.
     pub queue_timeout: Duration,
     /// Service of the entry node that sent the request.
     pub origin: ServiceName,
-    /// Id of the instance next to the sending node, if that node is cut off from the publisher.
+    /// Id of the local instance of the sending node, if that node is cut off from the publisher.
     pub cut_off: Option<SmolStr>,
 }
 
-/// A target's answer, verified to belong to the request.
+/// A target's response, verified to belong to the request.
 #[derive(Debug)]
 pub struct TargetAnswer {
     /// Status.
@@ -124,7 +124,7 @@
 }
 
 impl TargetAnswer {
-    /// Whether the target ran the request to completion and is unharmed by it. An answer at the time limit, or one sent
+    /// Whether the target ran the request to completion and is unharmed by it. A response at the deadline, or one sent
     /// instead of a run, does not show that.
     pub fn completed_normally(&self, not_run: &str) -> bool {
         let is_whole = matches!(self.body, Body::Whole(_));
@@ -132,7 +132,7 @@
     }
 }
 
-/// The reason why a request has no answer from a target.
+/// The reason why a request has no response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Reason of the refusal.
@@ -168,13 +168,13 @@
     pub finding: Option<Finding>,
 }
 
-/// How a run at the target ended, as it affects the quarantine standing of the request.
+/// How a run at the target ended, as it affects the suspicion level of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RunEnd {
     /// Any other end.
     #[default]
     Other,
-    /// The target sent a complete answer.
+    /// The target sent a complete response.
     Answered,
     /// The target's process ended during the run.
     Crashed(CrashId),
@@ -212,13 +212,13 @@
 /// A host's reply to a request.
 #[derive(Debug)]
 pub struct HostReply {
-    /// The target's answer, or the reason why there is none.
+    /// The target's response, or the reason why there is none.
     pub result: Result<TargetAnswer, Refused>,
     /// Status report of the host.
     pub report: Report,
 }
 
-/// The answer that is sent to a caller.
+/// The response that is sent to a caller.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// Status.
@@ -227,6 +227,6 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Body,
-    /// Whether to close the connection after this answer, because the next request on it could not be delimited.
+    /// Whether to close the connection after this response, because the next request on it could not be delimited.
     pub close: bool,
 }
