--- a/crates/node/src/mesh/callers/open_request.rs
+++ b/crates/node/src/mesh/callers/open_request.rs
@@ -7,8 +7,8 @@
 /// response can no longer be lost.
 ///
 /// A stopping node exits when the count reaches zero. Counting only from the end of the request body to the start of
-/// the response is not enough: a planned stop then cut off requests with slow bodies and responses that were long or
-/// read slowly. It also lost responses that the caller had not read yet, because exiting with unread bytes on a
+/// the response is not enough: a planned stop would cut off requests with slow bodies and responses that are long or
+/// read slowly. It would also lose responses that the caller has not read yet, because exiting with unread bytes on a
 /// connection resets it.
 #[derive(Debug)]
 pub struct OpenRequestGuard(Arc<AtomicUsize>);
