--- a/crates/node/src/mesh/controller/dispatch.rs
+++ b/crates/node/src/mesh/controller/dispatch.rs
@@ -40,7 +40,7 @@
         self.enter_by_suspicion(Waiter { req, reply }, now);
     }
 
-    /// Grants a request a slot, queues it or refuses it, without regard to its quarantine standing. Returns its ticket
+    /// Grants a request a slot, queues it or refuses it, without regard to its suspicion level. Returns its ticket
     /// unless it was refused.
     pub(super) fn enter_gate(&mut self, waiter: Waiter, now: Instant) -> Option<Ticket> {
         let Waiter { req, reply } = waiter;
