--- a/crates/node/src/mesh/controller/event.rs
+++ b/crates/node/src/mesh/controller/event.rs
@@ -39,15 +39,15 @@
         AcquireSlotRequest,
         oneshot::Sender<Result<SlotGrant, SlotRefusal>>,
     ),
-    /// A request has released its slot; the optional reply carries the outcome of its run.
+    /// A slot of the local target was released; the optional reply carries the outcome of the run.
     SlotReleased(Ticket, SlotRelease, Option<oneshot::Sender<RunOutcome>>),
     /// Incremental updates from the publisher, in order.
     PublisherUpdates(UpdateBatch),
-    /// A snapshot of everything published at one point in time.
+    /// A full listing: everything published at one point in time.
     PublisherSnapshot(UpdateBatch),
     /// The publisher answered without new updates.
     PublisherAnswered,
-    /// The publisher did not answer, or its answer was invalid.
+    /// The publisher did not answer, or its response was invalid.
     PublisherFailed,
     /// The node begins to shut down: its target receives no new work.
     Stop,
@@ -61,7 +61,7 @@
     QuotaUnused(SmolStr),
     /// Quota homes have announced their verdicts.
     QuotaNoticesReceived(Vec<QuotaNotice>),
-    /// The share of the peers in use by this node that do not respond.
+    /// The share of the peers in use by this node that are silent.
     SilentPeerShare(f64),
     /// Quota homes have accepted claims and returned their verdicts.
     QuotaClaimsConfirmed(Vec<(RoutedClaim, Verdict)>),
@@ -79,7 +79,7 @@
     HostedRequests(oneshot::Sender<usize>),
 }
 
-/// How a request released its slot.
+/// How long a slot was held, and how the run in it ended.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRelease {
     /// How long the slot was held.
@@ -93,7 +93,7 @@
 pub struct RunOutcome {
     /// Report that the host sends to the entry node.
     pub report: Report,
-    /// Quarantine standing of the request after this run.
+    /// Suspicion level of the request after this run.
     pub standing: SuspicionLevel,
 }
 
@@ -207,7 +207,7 @@
 pub struct CompletedSend {
     /// Outcome as it affects the instance. The controller fills in the relative response time.
     pub outcome: SendOutcome,
-    /// Time from the send to the answer.
+    /// Time from the send to the response.
     pub took: Duration,
     /// Target service.
     pub service: ServiceName,
@@ -215,7 +215,7 @@
     pub route: SmolStr,
     /// Fingerprint of the request, the same for all its retries.
     pub fingerprint: Fingerprint,
-    /// Whether the target's answer arrived completely.
+    /// Whether the target's response arrived completely.
     pub answer_complete: bool,
     /// Id of the run that made the call.
     pub parent: Option<SmolStr>,
@@ -263,7 +263,7 @@
     pub deadline: Instant,
     /// Longest expected queueing time at which the request is still enqueued.
     pub queue_timeout: Duration,
-    /// Id of the instance next to the sending node, if that node is cut off from the publisher.
+    /// Id of the local instance of the sending node, if that node is cut off from the publisher.
     pub cut_off: Option<SmolStr>,
 }
 
@@ -281,6 +281,6 @@
     pub refusal: Refusal,
     /// When the caller should retry.
     pub retry_after: Option<Duration>,
-    /// Load report of the host.
+    /// Status report of the host.
     pub report: Report,
 }
