--- a/crates/node/src/mesh/controller/guards.rs
+++ b/crates/node/src/mesh/controller/guards.rs
@@ -30,7 +30,7 @@
 }
 
 impl SendGuard {
-    /// Records that the target's answer arrived completely.
+    /// Records that the target's response arrived completely.
     pub fn set_answer_complete(&mut self) {
         self.answer_complete = true;
     }
