--- a/crates/node/src/mesh/controller/publisher_updates.rs
+++ b/crates/node/src/mesh/controller/publisher_updates.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Records that another node reported itself cut off from the publisher; `id` is the instance next to that node.
+    /// Records that another node reported itself cut off from the publisher; `id` is that node's local instance.
     pub(super) fn note_cut_off(&mut self, id: &SmolStr, now: Instant) {
         if self.fleet.mark_partitioned_by_id(id, now) {
             info!(self.journal.log(), "instance back in use"; "instance" => id.as_str(),
@@ -157,7 +157,7 @@
             "reason" => fault.as_str(), "detail" => detail, "was_used" => was_used);
     }
 
-    /// Applies a configuration unless the one in force is at least as new. The publisher's answers can be stale, and
+    /// Applies a configuration unless the one in force is at least as new. The publisher's responses can be stale, and
     /// handling a request by a removed route would be a visible step back.
     fn apply_config(&mut self, config: Arc<MeshConfig>) {
         let in_force = self.config.as_ref().map(|config| config.version());
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Returns the time since the publisher's last answer in milliseconds, or 0 if it has not answered yet.
+    /// Returns the time since the publisher's last response in milliseconds, or 0 if it has not answered yet.
     pub(super) fn publisher_age_ms(&self, now: Instant) -> u64 {
         let age = self
             .publisher_answered
