--- a/crates/node/src/mesh/controller/quota_report.rs
+++ b/crates/node/src/mesh/controller/quota_report.rs
@@ -12,7 +12,7 @@
 /// Interval between reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Maximum number of workspaces logged per report and role (entry or home).
+/// Maximum number of workspaces logged per report and role (entry node or home).
 const MAX_REPORTED: usize = 4;
 
 impl Controller {
@@ -26,8 +26,8 @@
         self.report_home_quotas();
     }
 
-    /// Counts all decisions of this node as an entry. Logs the workspaces with the most refusals, among those that had
-    /// a refusal or an admission without any reachable home.
+    /// Counts all decisions of this node as an entry node. Logs the workspaces with the most refusals, among those that
+    /// had a refusal or an admission without any reachable home.
     fn report_entry_quotas(&mut self) {
         let mut limited: Vec<(SmolStr, QuotaTally)> = Vec::new();
         for (workspace, tally) in self.entry_quotas.take_tallies() {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Logs the workspaces with the highest demand among those for which this node, as a home, lets entries admit only
-    /// a share of the requests.
+    /// Logs the workspaces with the highest demand among those for which this node, as a home, lets entry nodes admit
+    /// only a share of the requests.
     fn report_home_quotas(&mut self) {
         let mut limited: Vec<HomeTally> = self
             .home_quotas
