--- a/crates/node/src/mesh/controller/quotas.rs
+++ b/crates/node/src/mesh/controller/quotas.rs
@@ -1,5 +1,5 @@
-//! Workspace quotas. As an entry, a node counts and limits requests and reports usage to the homes of a workspace. As a
-//! home, it collects usage and decides which share of the requests entries admit.
+//! Workspace quotas. As an entry node, a node counts and limits requests and reports usage to the homes of a workspace.
+//! As a home, it collects usage and decides which share of the requests entry nodes admit.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -39,7 +39,7 @@
         Err(denial(Refusal::OverQuota, Some(over.retry_after)))
     }
 
-    /// Returns the quota used by a request that did not run.
+    /// Gives back the quota used by a request that did not run.
     pub(super) fn release_quota(&mut self, workspace: &SmolStr) {
         let now = self.clock.now();
         self.entry_quotas.release(workspace, now);
@@ -54,7 +54,7 @@
         self.send_routed_claims(routes, now);
     }
 
-    /// Sends each claim to its home, and returns claims without a home to the entry's accounts.
+    /// Sends each claim to its home, and returns claims without a home to the entry node's accounts.
     fn send_routed_claims(&mut self, routes: Vec<ClaimRoute>, now: Instant) {
         let mut by_home: Map<IpAddr, Vec<RoutedClaim>> = Map::default();
         for route in routes {
@@ -114,7 +114,7 @@
     }
 
     /// As a home, accepts claims of another node and returns a verdict for each. The result is empty if this node does
-    /// not know one of the workspaces yet, so that the entry tries another home.
+    /// not know one of the workspaces yet, so that the entry node tries another home.
     pub(super) fn accept_claims(&mut self, claims: &[QuotaUsage]) -> Vec<Verdict> {
         let now = self.clock.now();
         let verdicts = claims.iter().map(|claim| self.accept_claim(claim, now));
@@ -140,12 +140,12 @@
         Some(verdict)
     }
 
-    /// As a home, notifies all entries that a workspace exceeds its quota.
+    /// As a home, notifies all entry nodes that a workspace exceeds its quota.
     fn notify_entries(&mut self, workspace: &SmolStr, verdict: Verdict, now: Instant) {
         let own = self.cfg.target.ip();
         let homes = self.quota_router.homes(workspace);
-        // Another node, whose fleet list differs for a moment, took this node for a home. It gets the verdict as the
-        // answer to its claim.
+        // Another node, whose list of instances differs for a moment, took this node for a home. It gets the verdict
+        // in reply to its claim.
         let Some(place) = homes.iter().position(|home| *home == own) else {
             return;
         };
