--- a/crates/node/src/mesh/controller/route_stats.rs
+++ b/crates/node/src/mesh/controller/route_stats.rs
@@ -1,4 +1,4 @@
-//! Statistics that an entry keeps about a route.
+//! Statistics that an entry node keeps about a route.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 pub struct RouteStats {
     /// Moving average of the response time in seconds; 0 before the first response.
     mean_response_s: f64,
-    /// Requests that a run causes at downstream services.
+    /// Downstream calls that a run causes.
     pub downstream: Downstream,
 }
 
