--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -1,4 +1,4 @@
-//! Requests running at this node's target, and the downstream requests that they cause.
+//! Requests running at this node's target, and the downstream calls that they cause.
 
 use std::time::Instant;
 
@@ -20,17 +20,17 @@
     pub fingerprint: Fingerprint,
     /// Id of the instance that runs the request.
     pub instance: SmolStr,
-    /// Priority rank of the external request that this one serves.
+    /// Rank of the originating external request.
     pub rank: u8,
-    /// Workspace of the external request.
+    /// Workspace of the originating request.
     pub workspace: Option<SmolStr>,
-    /// Share of the requests like the external one that its entry admitted.
+    /// Share of the requests like the originating one that its entry node admitted.
     pub admitted: f64,
-    /// When the external request entered the mesh.
+    /// When the originating request entered the mesh.
     pub began: Instant,
     /// Deadline of the request.
     pub deadline: Instant,
-    /// Downstream requests that it has caused, by service.
+    /// Downstream calls that it has caused, by service.
     pub downstream: Vec<DownstreamCalls>,
 }
 
@@ -88,7 +88,7 @@
         None
     }
 
-    /// Records a finished call of a running request: one request at `service`, plus those listed in its report.
+    /// Records a finished call of a running request: one call at `service`, plus those listed in its report.
     pub fn record_call(&mut self, outer: &str, service: &ServiceName, report: Option<&Report>) {
         let Some(ticket) = self.by_id.get(outer) else {
             return;
