--- a/crates/node/src/mesh/controller/state.rs
+++ b/crates/node/src/mesh/controller/state.rs
@@ -40,7 +40,7 @@
     pub budget: RetryBudgetConfig,
     /// Instance selection.
     pub fleet: FleetConfig,
-    /// Load shedding of external requests at the entry.
+    /// Load shedding of external requests at the entry node.
     pub shedder: ShedderConfig,
     /// Queueing and concurrency limits of the local target.
     pub gate: GateConfig,
@@ -50,7 +50,7 @@
     pub quotas: QuotaConfig,
     /// Quarantine of requests that crash targets.
     pub quarantine: QuarantineConfig,
-    /// Maximum age of the publisher's last answer at which an unknown route is reported as nonexistent.
+    /// Maximum age of the publisher's last response at which an unknown route is reported as nonexistent.
     pub max_publisher_age: Duration,
     /// Overload level above which failed external requests are not retried, since retries would take capacity from
     /// other requests.
@@ -121,7 +121,7 @@
     pub(super) findings: mpsc::UnboundedSender<FindingsMessage>,
     /// Ids of the most recently removed instances, oldest first.
     pub(super) removed_instances: VecDeque<SmolStr>,
-    /// Era of the last snapshot from the publisher.
+    /// Era of the last full listing from the publisher.
     pub(super) era: Option<Era>,
     /// When the publisher last answered.
     pub(super) publisher_answered: Option<Instant>,
