--- a/crates/node/src/mesh/entry.rs
+++ b/crates/node/src/mesh/entry.rs
@@ -1,4 +1,4 @@
-//! Entry of requests into the mesh: handles a caller's request from its arrival to the answer.
+//! Entry of requests into the mesh: handles a caller's request from its arrival to the response.
 
 mod attempts;
 
@@ -131,7 +131,7 @@
         served.await
     }
 
-    /// Builds the answer by which the node itself refuses a request.
+    /// Builds the response by which the node itself refuses a request.
     pub fn refuse(&self, refused: Refused, id: &str, time_left: Option<Duration>) -> CallerAnswer {
         let rule = refused.refusal.rule();
         let mut headers = HeaderMap::new();
