--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -47,7 +47,7 @@
     result_so_far: AttemptResult,
 }
 
-/// A target's answer, or the reason why there is none.
+/// A target's response, or the reason why there is none.
 type AttemptResult = Result<TargetAnswer, Refused>;
 
 /// The next step after an attempt.
@@ -352,7 +352,7 @@
         route.name.clone()
     }
 
-    /// Gives back the workspace quota that was taken by a request which has not run.
+    /// Gives back the workspace quota used by a request that did not run.
     pub(super) fn refund_quota(&self, result: &AttemptResult) {
         let Err(refused) = result else {
             return;
