--- a/crates/node/src/mesh/feed/change_log.rs
+++ b/crates/node/src/mesh/feed/change_log.rs
@@ -30,10 +30,10 @@
     pub responses: u64,
 }
 
-/// Everything published at a position, as the publisher's responses to a list request.
+/// Everything published at a position, as the publisher's responses to list requests.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// Position at which the list was taken.
+    /// Position at which the listing was taken.
     pub position: Position,
     /// Body of the response for each page.
     pub pages: Vec<Bytes>,
