--- a/crates/node/src/mesh/feed/frames.rs
+++ b/crates/node/src/mesh/feed/frames.rs
@@ -21,7 +21,7 @@
 pub enum FeedFrame {
     /// A full listing; the publisher's responses follow unmodified.
     Listed {
-        /// Position at which the list was taken.
+        /// Position at which the listing was taken.
         position: Position,
         /// Length of each response, in bytes.
         pages: Vec<u32>,
