--- a/crates/node/src/mesh/host.rs
+++ b/crates/node/src/mesh/host.rs
@@ -15,7 +15,7 @@
 use crate::mesh::target::{CheckedResponse, ExchangeError, TargetPool, WireRequest, exchange};
 
 /// Time after its deadline for which an at-most-once request keeps its slot. The target itself stops at the deadline;
-/// the grace time leaves room for its answer to arrive, and bounds the wait for a target that fails to stop.
+/// the grace time leaves room for its response to arrive, and bounds the wait for a target that fails to stop.
 const AT_MOST_ONCE_GRACE: Duration = Duration::from_millis(500);
 
 /// Everything needed to run requests at the local target. Cheap to clone.
@@ -39,7 +39,7 @@
     end: RunEnd,
 }
 
-/// The reason why an exchange with the target yielded no answer.
+/// The reason why an exchange with the target yielded no response.
 struct ExchangeFailure {
     refused: Refused,
     /// The crash of the target's process that caused the failure, if there was one.
@@ -59,8 +59,8 @@
     /// Runs a request, or returns the reason why it did not run.
     ///
     /// If the returned future is dropped early, an idempotent request is aborted at the target, which would otherwise
-    /// work on an answer that no one reads. An at-most-once request continues, since an aborted one may or may not have
-    /// taken effect.
+    /// work on a response that no one reads. An at-most-once request continues, since an aborted one may or may not
+    /// have taken effect.
     pub async fn run(&self, req: HostedRequest) -> HostReply {
         let slot_request = AcquireSlotRequest {
             instance: req.instance.clone(),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Checks whether an answer may be passed on to the caller.
+    /// Checks whether a response may be passed on to the caller.
     fn check_answer(
         &self,
         req: &HostedRequest,
@@ -193,7 +193,8 @@
         if exchanged.not_run && status != StatusCode::BAD_REQUEST {
             return Err(self.log_failure(req, Refusal::TargetRefused, status.as_str()));
         }
-        // A success without the target's signature may come from elsewhere and must not reach the caller as its answer.
+        // A success without the target's signature may come from elsewhere and must not reach the caller as the
+        // response to its request.
         if status.is_success() && !exchanged.signed {
             return Err(self.log_failure(req, Refusal::BrokenAnswer, "an unsigned success"));
         }
