--- a/crates/node/src/mesh/journal.rs
+++ b/crates/node/src/mesh/journal.rs
@@ -44,7 +44,7 @@
     dropped: u64,
 }
 
-/// Outcome of one request at the node that received it from the caller.
+/// Outcome of one request at its entry node.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSummary<'a> {
     /// Request id.
@@ -69,7 +69,7 @@
     pub limit: Duration,
     /// Version of the configuration used to route the request.
     pub config: u64,
-    /// Whether the request was made by the local target while it handled another one.
+    /// Whether it is a call made by a run.
     pub inner: bool,
 }
 
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Logs a request that was refused because its workspace exceeds its quota; `age_ms` is the age of the directory.
+    /// Logs a request that was refused because its workspace exceeds its quota; `age_ms` is the time since
+    /// the publisher's last response.
     pub fn over_quota(
         &self,
         id: &str,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Logs that no further reply will come from the node of an instance for a request that may have reached the
+    /// Logs that no further reply will come from the host of an instance for a request that may have reached the
     /// instance.
     pub fn reply_lost(&self, id: &str, instance: &str, reason: &str) {
         if let Some(dropped) = self.admit_failure_line() {
