--- a/crates/node/src/mesh/lifecycle.rs
+++ b/crates/node/src/mesh/lifecycle.rs
@@ -63,7 +63,7 @@
     pub grace_over: watch::Sender<bool>,
     /// Number of SIGHUPs received; each increment makes the settings file be read again.
     pub reloads: watch::Sender<u64>,
-    /// Number of unanswered requests from callers.
+    /// Number of open requests from callers; see `OpenRequestGuard`.
     pub open: Arc<AtomicUsize>,
     /// Settings in force, for the grace period.
     pub settings: watch::Receiver<MeshSettings>,
