--- a/crates/node/src/mesh/link/body_stream.rs
+++ b/crates/node/src/mesh/link/body_stream.rs
@@ -20,7 +20,7 @@
 /// callers, about 10 s; a machine that fails without closing its connections is detected that much later.
 ///
 /// The kernel treats bytes that do not fit in the peer's receive window as unacknowledged, although the peer answers
-/// the window probes. With the usual [`TCP_USER_TIMEOUT`], a pause of one second aborted a long body midway.
+/// the window probes. With the usual [`TCP_USER_TIMEOUT`], a pause of one second would abort a long body midway.
 ///
 /// [`TCP_USER_TIMEOUT`]: super::pool::TCP_USER_TIMEOUT
 const BODY_TCP_USER_TIMEOUT: Duration = Duration::from_secs(30);
@@ -115,7 +115,7 @@
             }
         }
     };
-    // A sender slower than that may have its reply truncated.
+    // If the sender takes longer to send the rest, its reply may be truncated.
     timeout(DRAIN_TIMEOUT, rest).await.unwrap_or(false)
 }
 
