--- a/crates/node/src/mesh/link/client.rs
+++ b/crates/node/src/mesh/link/client.rs
@@ -115,7 +115,8 @@
         Some(length) if length > MAX_BUFFERED_BODY => Err(FrameError::TooLarge(length).into()),
         Some(length) => {
             let body = conn.read_body(length).await?;
-            // Restored only after the reply: until then, sent bytes may still wait for the target to read them.
+            // The usual timeout is restored only after the reply: until then, sent bytes may still wait for the target
+            // to read them.
             if is_sent && (!is_streamed || conn.set_user_timeout(TCP_USER_TIMEOUT).is_ok()) {
                 links.put_idle(address, Link { conn, host });
             }
