--- a/crates/node/src/mesh/link/failure_detector.rs
+++ b/crates/node/src/mesh/link/failure_detector.rs
@@ -31,8 +31,8 @@
 /// Monitors all peers for the lifetime of the process.
 ///
 /// A machine that loses power or pauses sends nothing, and the kernel drops a connection only when sent bytes stay
-/// unacknowledged. Until then, requests to that machine would occupy slots in all upstream services: in a day with
-/// one such machine, 535 requests timed out within four seconds.
+/// unacknowledged. Until then, requests to that machine would occupy slots in all upstream services: a single
+/// such machine made 535 requests time out within four seconds.
 pub async fn monitor_peers(links: PeerPool, log: Logger) {
     let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
