--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -26,7 +26,7 @@
 pub enum StreamHead {
     /// A request for the receiving node's target.
     Request(Box<RequestFrame>),
-    /// Subscribes the sender to the publisher's updates.
+    /// Subscribes the sender to the publisher's change feed.
     Follow(FollowFrame),
     /// Reports the sender's usage per workspace; answered with the receiver's quota verdicts.
     QuotaClaims(Vec<ClaimFrame>),
