--- a/crates/node/src/mesh/link/quota_frames.rs
+++ b/crates/node/src/mesh/link/quota_frames.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Number of requests of a workspace that an entry received and admitted since its last claim.
+/// Number of requests of a workspace that an entry node received and admitted since its last claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimFrame {
     workspace: SmolStr,
