--- a/crates/node/src/mesh/link/quotas.rs
+++ b/crates/node/src/mesh/link/quotas.rs
@@ -31,11 +31,11 @@
     }
 }
 
-/// Sends verdicts of this node to an entry.
+/// Sends verdicts of this node to an entry node.
 ///
 /// # Errors
 ///
-/// The entry does not answer.
+/// The entry node does not answer.
 pub async fn send_notices(
     links: &PeerPool,
     entry: SocketAddr,
