--- a/crates/node/src/mesh/link/rpc.rs
+++ b/crates/node/src/mesh/link/rpc.rs
@@ -22,7 +22,7 @@
 where
     T: DeserializeOwned,
 {
-    // The failure detector has already found that the peer is paused, disconnected or gone.
+    // The failure detector has already found that the peer is paused, disconnected or powered off.
     if links.peer(node).is_silent() {
         return Err(FrameError::Cut);
     }
