--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -34,7 +34,7 @@
 pub struct ServerContext {
     /// Runs the requests.
     pub host: Host,
-    /// Forwards the publisher's updates.
+    /// Relays the publisher's change feed.
     pub sharing: FeedServer,
     /// Random number drawn when the node's process starts.
     pub boot: u64,
@@ -140,8 +140,8 @@
         Some(length) => {
             let body = Body::Whole(conn.read_body(length).await?);
             let req = head.into_request(body, host.clock.now())?;
-            // After a pause, a node finds requests whose senders have disconnected. `biased` detects that before they
-            // run.
+            // After its machine was paused, a node finds requests whose senders have disconnected. `biased` detects
+            // that before they run.
             tokio::select! {
                 biased;
                 () = conn.closed() => None,
