--- a/crates/node/src/mesh/metrics.rs
+++ b/crates/node/src/mesh/metrics.rs
@@ -42,7 +42,7 @@
     pub config_faults: IntCounter,
     /// Published entries that do not describe a valid instance, by reason.
     entry_faults: IntCounterVec,
-    /// Requests to the publisher, by outcome.
+    /// Reads of the publisher, by outcome.
     pub reads: IntCounterVec,
     /// Overload level of the local target.
     pub level: Gauge,
@@ -164,7 +164,7 @@
         self.entry_faults.with_label_values(&[fault.as_str()]).inc();
     }
 
-    /// Records a request to the publisher.
+    /// Records a read of the publisher.
     pub fn read(&self, outcome: &str) {
         self.reads.with_label_values(&[outcome]).inc();
     }
