--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -19,7 +19,7 @@
 pub enum QuotaMessage {
     /// Reports usage to a home.
     Claims(IpAddr, Vec<RoutedClaim>),
-    /// Sends verdicts of this node, as a home, to entries.
+    /// Sends verdicts of this node, as a home, to entry nodes.
     Notices(Vec<IpAddr>, Vec<QuotaNotice>),
 }
 
@@ -83,7 +83,7 @@
     async fn notify(self, entries: Vec<IpAddr>, notices: Vec<QuotaNotice>) {
         for entry in entries {
             let address = SocketAddr::new(entry, self.peers_port);
-            // An entry that is unreachable now gets the verdicts with its next claim or with a later notice.
+            // An entry node that is unreachable now gets the verdicts with its next claim or with a later notice.
             if let Err(e) = link::send_notices(&self.links, address, &notices).await {
                 debug!(self.log, "cannot notify entry of quota verdicts"; "entry" => %entry, "reason" => %e);
             }
