--- a/crates/node/src/mesh/settings.rs
+++ b/crates/node/src/mesh/settings.rs
@@ -50,7 +50,7 @@
     pub callers: SocketAddr,
     /// HTTP listener for the readiness check and metrics.
     pub ready: SocketAddr,
-    /// QUIC listener for other nodes. All nodes use the same port.
+    /// TCP listener for other nodes. All nodes use the same port.
     pub peers: SocketAddr,
     /// Additional HTTP listener for metrics, if they have a separate address.
     pub metrics: Option<SocketAddr>,
@@ -75,7 +75,7 @@
     pub watch: Duration,
     /// Response timeout, in addition to the wait time of a watch request.
     pub timeout: Duration,
-    /// Which nodes poll the publisher in a large fleet.
+    /// Which nodes read the publisher in a large fleet.
     pub readers: ReadersConfig,
 }
 
