--- a/crates/node/src/mesh/target.rs
+++ b/crates/node/src/mesh/target.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 client for the target beside the node.
+//! HTTP/1.1 client for the local target.
 
 mod connection;
 mod crash_detector;
