--- a/crates/node/src/mesh/target/pool.rs
+++ b/crates/node/src/mesh/target/pool.rs
@@ -19,8 +19,8 @@
 /// Idle timeout of a connection if the target announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time before the target's announced timeout at which a connection is no longer used. A request that crosses the
-/// target's close is lost, and one that may run at most once can't be retried.
+/// Time before the target's announced timeout at which a connection is no longer used. A request that is sent while
+/// the target closes the connection is lost, and one that may run at most once can't be retried.
 const IDLE_MARGIN: Duration = Duration::from_millis(1500);
 
 /// Fraction of the idle timeout within which a connection may carry a request that may run at most once.
