--- a/crates/node/src/mesh/boot_clock.rs
+++ b/crates/node/src/mesh/boot_clock.rs
@@ -8,8 +8,8 @@
 
 /// Monotonic clock that keeps running while the machine is suspended, based on `CLOCK_BOOTTIME`.
 ///
-/// `CLOCK_MONOTONIC` stops during a suspension, so that a resumed host would run requests whose callers disconnected
-/// long ago. That wastes work and duplicates requests that another host has run in the meantime. With the time since
+/// `CLOCK_MONOTONIC` stops during a suspension, so that a resumed node would run requests whose callers disconnected
+/// long ago. That wastes work and duplicates requests that another node has run in the meantime. With the time since
 /// boot, which includes the suspension, the deadlines of these requests have expired.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
