--- a/crates/node/src/mesh/callers/reader.rs
+++ b/crates/node/src/mesh/callers/reader.rs
@@ -277,7 +277,7 @@
         let entry = self.cfg.entry.clone();
         tasks.spawn(async move {
             let answer = entry.serve(req).await;
-            // Fails if the caller has disconnected and the writer is gone.
+            // Fails if the caller has disconnected and the writer has stopped.
             let _ = tx.send(answer);
         });
     }
