--- a/crates/node/src/mesh/controller/drain.rs
+++ b/crates/node/src/mesh/controller/drain.rs
@@ -39,7 +39,7 @@
         drain.admits_peer(self.gate.expected_completion(req), left, now)
     }
 
-    /// Logs the requests that still run or wait on this host at the end of the grace period.
+    /// Logs the requests that still run or wait on this node at the end of the grace period.
     pub(super) fn log_unfinished(&self) {
         let now = self.clock.now();
         for run in self.runs.iter() {
