--- a/crates/node/src/mesh/link/finding_frames.rs
+++ b/crates/node/src/mesh/link/finding_frames.rs
@@ -22,7 +22,7 @@
     Answered,
 }
 
-/// Answer to a `FindingsPull`; empty as acknowledgement of `Findings`.
+/// Reply to a `FindingsPull`; empty as acknowledgement of `Findings`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingsFrame(pub Vec<FindingFrame>);
 
