--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -58,7 +58,7 @@
     kind: u32,
     /// Admitted share in thousandths.
     admitted_permille: u16,
-    /// Time since the external request entered the mesh. Relative, because the clocks of hosts differ.
+    /// Time since the external request entered the mesh. Relative, because the clocks of machines differ.
     age_ms: u32,
     /// Time left until the deadline when the frame was sent.
     left_ms: u32,
