--- a/crates/node/src/mesh/link/rpc.rs
+++ b/crates/node/src/mesh/link/rpc.rs
@@ -13,7 +13,7 @@
 /// Time within which a peer must answer; a lost packet is retransmitted within it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sends `head` to a peer and reads its answer.
+/// Sends `head` to a peer and reads its reply.
 ///
 /// # Errors
 ///
