--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -26,7 +26,7 @@
 /// Sends quota messages for as long as the controller runs.
 #[derive(Clone)]
 pub struct QuotaSender {
-    /// Receives the answers of homes and the share of silent nodes.
+    /// Receives the replies of homes and the share of silent nodes.
     pub controller: ControllerHandle,
     /// Links to other nodes.
     pub links: PeerPool,
@@ -37,8 +37,8 @@
 }
 
 impl QuotaSender {
-    /// Runs until the controller is gone. Each message is sent by a task of its own, so that an unreachable home does
-    /// not delay the others.
+    /// Runs until the controller has stopped. Each message is sent by a task of its own, so that an unreachable home
+    /// does not delay the others.
     pub async fn run(self, mut messages: mpsc::UnboundedReceiver<QuotaMessage>) {
         let mut checks = interval(SILENCE_CHECK_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
