--- a/crates/node/src/mesh/target/exchange.rs
+++ b/crates/node/src/mesh/target/exchange.rs
@@ -315,7 +315,7 @@
     Body::Stream { length, rx }
 }
 
-/// Forwards the body; returns `true` if it was forwarded completely, `false` if the receiver is gone.
+/// Forwards the body; returns `true` if it was forwarded completely, `false` if the receiver was dropped.
 async fn forward_body(
     conn: &mut TargetConn,
     decoder: &mut BodyDecoder,
