--- a/crates/node/src/mesh/findings.rs
+++ b/crates/node/src/mesh/findings.rs
@@ -33,8 +33,8 @@
 }
 
 impl FindingsExchange {
-    /// Runs until the controller has stopped. Each message is sent by a task of its own, so that an unresponsive node does
-    /// not delay the others.
+    /// Runs until the controller has stopped. Each message is sent by a task of its own, so that an unresponsive node
+    /// does not delay the others.
     pub async fn run(self, mut messages: mpsc::UnboundedReceiver<FindingsMessage>) {
         while let Some(message) = messages.recv().await {
             match message {
