--- a/crates/node/src/mesh/link/frames.rs
+++ b/crates/node/src/mesh/link/frames.rs
@@ -26,7 +26,7 @@
 pub enum StreamHead {
     /// A request for the receiving node's target.
     Request(Box<RequestFrame>),
-    /// Subscribes the sender to the publisher's updates.
+    /// Subscribes the sender to the publisher's change feed.
     Follow(FollowFrame),
     /// Reports the sender's usage per workspace; answered with the receiver's quota verdicts.
     QuotaClaims(Vec<ClaimFrame>),
@@ -58,7 +58,7 @@
     kind: u32,
     /// Admitted share in thousandths.
     admitted_permille: u16,
-    /// Time since the external request entered the mesh. Relative, because the clocks of hosts differ.
+    /// Time since the external request entered the mesh. Relative, because the clocks of machines differ.
     age_ms: u32,
     /// Time left until the deadline when the frame was sent.
     left_ms: u32,
--- a/crates/node/src/mesh/link/rpc.rs
+++ b/crates/node/src/mesh/link/rpc.rs
@@ -13,7 +13,7 @@
 /// Time within which a peer must answer; a lost packet is retransmitted within it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sends `head` to a peer and reads its answer.
+/// Sends `head` to a peer and reads its reply.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
 where
     T: DeserializeOwned,
 {
-    // The failure detector has already found that the peer is paused, disconnected or gone.
+    // The failure detector has already found that the peer is paused, disconnected or powered off.
     if links.peer(node).is_silent() {
         return Err(FrameError::Cut);
     }
--- a/crates/node/src/mesh/quotas.rs
+++ b/crates/node/src/mesh/quotas.rs
@@ -19,14 +19,14 @@
 pub enum QuotaMessage {
     /// Reports usage to a home.
     Claims(IpAddr, Vec<RoutedClaim>),
-    /// Sends verdicts of this node, as a home, to entries.
+    /// Sends verdicts of this node, as a home, to entry nodes.
     Notices(Vec<IpAddr>, Vec<QuotaNotice>),
 }
 
 /// Sends quota messages for as long as the controller runs.
 #[derive(Clone)]
 pub struct QuotaSender {
-    /// Receives the answers of homes and the share of silent nodes.
+    /// Receives the replies of homes and the share of silent nodes.
     pub controller: ControllerHandle,
     /// Links to other nodes.
     pub links: PeerPool,
@@ -37,8 +37,8 @@
 }
 
 impl QuotaSender {
-    /// Runs until the controller is gone. Each message is sent by a task of its own, so that an unreachable home does
-    /// not delay the others.
+    /// Runs until the controller has stopped. Each message is sent by a task of its own, so that an unreachable home
+    /// does not delay the others.
     pub async fn run(self, mut messages: mpsc::UnboundedReceiver<QuotaMessage>) {
         let mut checks = interval(SILENCE_CHECK_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -83,7 +83,7 @@
     async fn notify(self, entries: Vec<IpAddr>, notices: Vec<QuotaNotice>) {
         for entry in entries {
             let address = SocketAddr::new(entry, self.peers_port);
-            // An entry that is unreachable now gets the verdicts with its next claim or with a later notice.
+            // An entry node that is unreachable now gets the verdicts with its next claim or with a later notice.
             if let Err(e) = link::send_notices(&self.links, address, &notices).await {
                 debug!(self.log, "cannot notify entry of quota verdicts"; "entry" => %entry, "reason" => %e);
             }
