--- a/crates/core/src/mesh/time_limits.rs
+++ b/crates/core/src/mesh/time_limits.rs
@@ -62,7 +62,7 @@
     /// Time limit given by its caller, if any.
     pub caller_timeout: Option<Duration>,
     /// Deadline of the run that made this call; `None` for an external request.
-    pub outer_deadline: Option<Instant>,
+    pub parent_deadline: Option<Instant>,
 }
 
 impl TimeLimits {
@@ -71,7 +71,7 @@
     /// No margin is subtracted for a call made during a run: a response that comes too late for the run is of no use,
     /// and neither is a refusal.
     pub fn deadline(&self, req: &RequestLimits) -> Instant {
-        let margin = match (req.caller_timeout, req.outer_deadline) {
+        let margin = match (req.caller_timeout, req.parent_deadline) {
             (Some(limit), None) => self.answer.for_limit(limit),
             _ => Duration::ZERO,
         };
@@ -79,7 +79,7 @@
             req.route_timeout.min(caller.saturating_sub(margin))
         });
         let own = req.arrived + limit;
-        req.outer_deadline.map_or(own, |outer| own.min(outer))
+        req.parent_deadline.map_or(own, |parent| own.min(parent))
     }
 
     /// Latest time until which a request that arrives now may wait for a slot.
--- a/crates/core/tests/mesh_time_limits.rs
+++ b/crates/core/tests/mesh_time_limits.rs
@@ -17,20 +17,20 @@
 /// to its call.
 fn last_deadline(start: Instant, limit: Duration, hop: Duration, depth: u32) -> Instant {
     let limits = TimeLimits::default();
-    let mut outer = None;
+    let mut parent = None;
     let mut deadline = start;
     for index in 0..depth {
         let arrived = start + hop * index;
-        let left = outer.map_or(limit, |outer: Instant| {
-            outer.saturating_duration_since(arrived)
+        let left = parent.map_or(limit, |parent: Instant| {
+            parent.saturating_duration_since(arrived)
         });
         deadline = limits.deadline(&RequestLimits {
             arrived,
             route_timeout: ms(60_000),
             caller_timeout: Some(left),
-            outer_deadline: outer,
+            parent_deadline: parent,
         });
-        outer = Some(deadline);
+        parent = Some(deadline);
     }
     deadline
 }
--- a/crates/node/src/mesh/controller/admission.rs
+++ b/crates/node/src/mesh/controller/admission.rs
@@ -43,7 +43,7 @@
         let now = self.clock.now();
         // Targets have no keys: a request with a key comes from an external caller, whatever its id.
         let keyless = matches!(req.credential, Credential::Missing);
-        let parent = self.runs.find_outer(&req.id).filter(|_| keyless);
+        let parent = self.runs.find_parent(&req.id).filter(|_| keyless);
         let Some(config) = self.config.clone() else {
             return Err(denial(Refusal::NoConfig, Some(RETRY_AFTER_NOT_READY)));
         };
--- a/crates/node/src/mesh/controller/runs.rs
+++ b/crates/node/src/mesh/controller/runs.rs
@@ -69,10 +69,10 @@
     /// The id of such a call is the id of the running request followed by a dot and a suffix. A call with any other id
     /// is treated as an external request. The only effect is that it can be shed although work has already been done
     /// for it.
-    pub fn find_outer(&self, id: &str) -> Option<ParentRun> {
+    pub fn find_parent(&self, id: &str) -> Option<ParentRun> {
         let mut rest = id;
-        while let Some((outer, _)) = rest.rsplit_once('.') {
-            if let Some(ticket) = self.by_id.get(outer) {
+        while let Some((parent, _)) = rest.rsplit_once('.') {
+            if let Some(ticket) = self.by_id.get(parent) {
                 let run = self.by_ticket.get(ticket)?;
                 return Some(ParentRun {
                     id: run.id.clone(),
@@ -83,14 +83,14 @@
                     deadline: run.deadline,
                 });
             }
-            rest = outer;
+            rest = parent;
         }
         None
     }
 
     /// Records a finished call of a running request: one call at `service`, plus those listed in its report.
-    pub fn record_call(&mut self, outer: &str, service: &ServiceName, report: Option<&Report>) {
-        let Some(ticket) = self.by_id.get(outer) else {
+    pub fn record_call(&mut self, parent: &str, service: &ServiceName, report: Option<&Report>) {
+        let Some(ticket) = self.by_id.get(parent) else {
             return;
         };
         let Some(run) = self.by_ticket.get_mut(ticket) else {
--- a/crates/node/src/mesh/entry/attempts.rs
+++ b/crates/node/src/mesh/entry/attempts.rs
@@ -72,7 +72,7 @@
             arrived: req.arrived,
             route_timeout: route.timeout,
             caller_timeout: time_left,
-            outer_deadline: admitted.parent.as_ref().map(|parent| parent.deadline),
+            parent_deadline: admitted.parent.as_ref().map(|parent| parent.deadline),
         });
         let fingerprint = fingerprint(entry, &req, &admitted);
         let mut head = req.head;
