--- a/crates/core/tests/replay/mod.rs
+++ b/crates/core/tests/replay/mod.rs
@@ -1,7 +1,7 @@
-//! Replays of load on the decisions of mesh nodes, in virtual time.
+//! Discrete-event simulation of mesh nodes under load, in virtual time.
 //!
-//! Entries, hosts and callers are stand-ins of a few lines; levels, shedding, the queue before a target, headroom and the choice
-//! of an instance are the modules that nodes run.
+//! Entry nodes, hosts and clients are simple models. Overload levels, shedding, target queues, headroom and instance
+//! selection use the production modules.
 
 pub mod deployment;
 pub mod outcome;
