--- a/crates/core/tests/overload_replay.rs
+++ b/crates/core/tests/overload_replay.rs
@@ -1,4 +1,4 @@
-//! Load patterns replayed on the decisions of nodes: what is served, against what the slots can do.
+//! Overload tests: goodput under simulated load patterns, compared with the capacity of the slots.
 
 mod replay;
 
@@ -6,67 +6,71 @@
 
 use replay::{Deployment, Outcome, Pattern, Policy, replay};
 
-/// Seconds of a replay in which the surge lies.
-const SURGE: (usize, usize) = (6, 18);
+/// Start and end of the surge in seconds.
+const SURGE_SPAN: (usize, usize) = (6, 18);
 
-/// Load of the surge as a multiple of the calm one: a quarter more than the last service can do.
+/// Load of the surge as a multiple of the calm load, a quarter above the capacity of the last service.
 const SURGE_LOAD: f64 = 2.6;
 
 fn surge() -> Pattern {
     Pattern {
-        surges: vec![(SURGE.0 as f64, SURGE.1 as f64, SURGE_LOAD)],
+        surges: vec![(SURGE_SPAN.0 as f64, SURGE_SPAN.1 as f64, SURGE_LOAD)],
         end: 28.0,
         ..Default::default()
     }
 }
 
-/// What the last service can do without its slowdown, as a share of its slots.
-const USABLE: f64 = 0.9;
+/// Share of its slots that the last service can use without slowing down.
+const USABLE_SLOT_SHARE: f64 = 0.9;
 
 fn bound(deployment: &Deployment, load: f64) -> f64 {
     let last = deployment.services.len() - 1;
-    deployment.bound(load, USABLE * deployment.capacity(last))
+    deployment.bound(load, USABLE_SLOT_SHARE * deployment.capacity(last))
 }
 
-/// Means over some seeds.
+/// Results averaged over the seeds.
 #[derive(Clone, Copy, Debug)]
-struct Played {
-    /// Goodput of the surge over the bound.
+struct MeanResults {
+    /// Goodput during the surge as a share of the upper bound.
     goodput: f64,
-    /// Share of urgent requests that were served in the surge.
+    /// Share of urgent requests served during the surge.
     urgent: f64,
-    /// Share served of the kind of request that was served least.
+    /// Lowest share of on-time requests over all kinds.
     worst_kind: f64,
-    /// Share of the used slot seconds that went to requests which were not served.
+    /// Share of the used slot seconds spent on requests that were not served.
     waste: f64,
-    /// Share served from the second second after the surge on.
+    /// Share served on time from two to eight seconds after the surge.
     after: f64,
 }
 
-/// Plays a pattern with some seeds; a line for each stands in the output of the test.
-fn play(name: &str, deployment: &Deployment, pattern: &Pattern, policy: &Policy) -> Played {
+/// Replays a pattern with two seeds, prints a line for each and averages the results.
+fn replay_seeds(
+    name: &str,
+    deployment: &Deployment,
+    pattern: &Pattern,
+    policy: &Policy,
+) -> MeanResults {
     let bound = bound(deployment, SURGE_LOAD);
     let outcomes: Vec<Outcome> = (1..=2)
         .map(|seed| replay(deployment, pattern, policy, seed))
         .collect();
     for outcome in &outcomes {
-        println!("{}", outcome.line(name, SURGE, bound));
+        println!("{}", outcome.table_row(name, SURGE_SPAN, bound));
     }
     let count = outcomes.len() as f64;
     let mean = |f: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(f).sum::<f64>() / count;
-    Played {
-        goodput: mean(&|outcome| outcome.goodput(SURGE.0, SURGE.1)) / bound,
-        urgent: mean(&|outcome| outcome.urgent(SURGE.0, SURGE.1)),
+    MeanResults {
+        goodput: mean(&|outcome| outcome.goodput(SURGE_SPAN.0, SURGE_SPAN.1)) / bound,
+        urgent: mean(&|outcome| outcome.urgent_served_share(SURGE_SPAN.0, SURGE_SPAN.1)),
         worst_kind: mean(&Outcome::worst_kind),
-        waste: mean(&Outcome::waste),
-        after: mean(&|outcome| outcome.served(SURGE.1 + 2, SURGE.1 + 8)),
+        waste: mean(&Outcome::wasted_share),
+        after: mean(&|outcome| outcome.on_time_share(SURGE_SPAN.1 + 2, SURGE_SPAN.1 + 8)),
     }
 }
 
-/// Symptom: in a surge a quarter above what the last service can do, half of that is served, urgent requests fail after a
-/// second of work, and the fleet refuses for seconds after the surge.
-/// Sequence: each pattern below, laid over the surge.
-/// Cause: more is admitted than passes the slots that each request needs several times, or too little for too long.
+/// Guards against a surge a quarter above the capacity of the last service halving its goodput, failing urgent requests
+/// after a second of work and causing refusals for seconds afterwards. This happens if more is admitted than the slots
+/// can complete, as each request needs them several times, or if too little is admitted for too long.
 #[test]
 fn a_surge_is_served_nearly_as_far_as_the_slots_allow() {
     struct Case {
@@ -94,7 +98,7 @@
             urgent: 0.97,
             waste: 0.06,
         },
-        // One of four hosts is away or cold all the time.
+        // One of four hosts is restarting or cold at any time.
         Case {
             name: "restarts one after the other",
             pattern: Pattern {
@@ -110,7 +114,7 @@
             urgent: 0.92,
             waste: 0.24,
         },
-        // Half of the hosts are away for the whole surge; with the slots of the others, bound by urgent requests alone.
+        // Half of the hosts are away for the whole surge. Urgent requests alone need all slots of the others.
         Case {
             name: "half of the hosts gone",
             pattern: Pattern {
@@ -121,11 +125,11 @@
             urgent: 0.82,
             waste: 0.24,
         },
-        // For half of the surge the last service can do half, less than the urgent requests need.
+        // For half of the surge the last service has half of its capacity, less than urgent requests need.
         Case {
             name: "a slow last service",
             pattern: Pattern {
-                slow: Some((8.0, 14.0, 2.0)),
+                slowdown: Some((8.0, 14.0, 2.0)),
                 ..surge()
             },
             goodput: 0.66,
@@ -135,7 +139,7 @@
         Case {
             name: "nodes cut off from the publisher",
             pattern: Pattern {
-                cut_off: Some((3, 7.0, 18.0)),
+                partition: Some((3, 7.0, 18.0)),
                 ..surge()
             },
             goodput: 0.88,
@@ -145,7 +149,7 @@
         Case {
             name: "callers that repeat at once",
             pattern: Pattern {
-                abuse: 0.3,
+                immediate_retry_share: 0.3,
                 ..surge()
             },
             goodput: 0.88,
@@ -155,7 +159,7 @@
         Case {
             name: "callers that leave",
             pattern: Pattern {
-                leave: 0.2,
+                disconnect_share: 0.2,
                 ..surge()
             },
             goodput: 0.85,
@@ -164,7 +168,7 @@
         },
     ];
     for case in cases {
-        let played = play(
+        let results = replay_seeds(
             case.name,
             &Deployment::chain(),
             &case.pattern,
@@ -177,67 +181,76 @@
             waste,
             ..
         } = case;
-        assert!(played.goodput >= goodput, "{name}: {played:?}");
-        assert!(played.urgent >= urgent, "{name}: {played:?}");
-        assert!(played.waste <= waste, "{name}: {played:?}");
-        assert!(played.after >= 0.92, "{name}: {played:?}");
+        assert!(results.goodput >= goodput, "{name}: {results:?}");
+        assert!(results.urgent >= urgent, "{name}: {results:?}");
+        assert!(results.waste <= waste, "{name}: {results:?}");
+        assert!(results.after >= 0.92, "{name}: {results:?}");
     }
 }
 
-/// Symptom: a policy that fits one call tree, and wastes half of the slots of another.
-/// Sequence: a surge over deployments drawn from seeds.
-/// Cause: figures that were chosen for the deployments at hand.
+/// Guards against a policy tuned to one call tree that wastes half of the slots of another. Replays a surge on
+/// generated deployments.
 #[test]
 fn other_deployments_are_served_as_well() {
     for seed in 1..=8 {
         let deployment = Deployment::random(seed);
         let name = format!("deployment {seed}");
-        let played = play(&name, &deployment, &surge(), &Policy::default());
-        assert!(played.goodput >= 0.82, "{name}: {played:?}");
-        assert!(played.after >= 0.92, "{name}: {played:?}");
-        assert!(played.waste <= 0.03, "{name}: {played:?}");
+        let results = replay_seeds(&name, &deployment, &surge(), &Policy::default());
+        assert!(results.goodput >= 0.82, "{name}: {results:?}");
+        assert!(results.after >= 0.92, "{name}: {results:?}");
+        assert!(results.waste <= 0.03, "{name}: {results:?}");
     }
 }
 
-/// What each mechanism is worth in the surge that it answers.
+/// Checks that disabling headroom, levels or the lapse hold makes the results measurably worse.
 #[test]
 fn each_mechanism_is_worth_something() {
     let chain = Deployment::chain();
     let with = Policy::default();
-    // Without room to spare the last service works a third more slowly for as long as a queue stands before it.
+    // Without headroom the last service takes a third longer per run while requests are queued for it.
     let mut without = Policy::default();
     without.gate.headroom = false;
-    let (kept, lost) = (
-        play("a surge", &chain, &surge(), &with),
-        play("no headroom", &chain, &surge(), &without),
+    let (enabled, disabled) = (
+        replay_seeds("a surge", &chain, &surge(), &with),
+        replay_seeds("no headroom", &chain, &surge(), &without),
     );
-    assert!(kept.goodput > lost.goodput + 0.1, "{kept:?} {lost:?}");
-    // Without shedding at entries the queue decides alone: all that is lost is lost by those whose own work waits there, and
-    // calls wait as long.
+    assert!(
+        enabled.goodput > disabled.goodput + 0.1,
+        "{enabled:?} {disabled:?}"
+    );
+    // Without shedding at entry nodes only the queue drops work. All losses fall on the requests queued there, and
+    // calls between services wait as long.
     let mut without = Policy::default();
     without.gate.level.target_load = 1e6;
-    let lost = play("no level", &chain, &surge(), &without);
-    assert!(kept.worst_kind > lost.worst_kind + 0.1, "{kept:?} {lost:?}");
-    assert!(kept.waste * 2.0 < lost.waste, "{kept:?} {lost:?}");
-    // Without holding lapsed entries one host of four gets the work of all.
-    let cut_off = Pattern {
-        cut_off: Some((3, 7.0, 18.0)),
+    let disabled = replay_seeds("no level", &chain, &surge(), &without);
+    assert!(
+        enabled.worst_kind > disabled.worst_kind + 0.1,
+        "{enabled:?} {disabled:?}"
+    );
+    assert!(
+        enabled.waste * 2.0 < disabled.waste,
+        "{enabled:?} {disabled:?}"
+    );
+    // Without the hold on lapsed entries one of four hosts receives all requests.
+    let partitioned = Pattern {
+        partition: Some((3, 7.0, 18.0)),
         ..surge()
     };
     let mut without = Policy::default();
     without.fleet.lapse_hold = Duration::ZERO;
-    let (kept, lost) = (
-        play("cut off", &chain, &cut_off, &with),
-        play("cut off, no hold", &chain, &cut_off, &without),
+    let (enabled, disabled) = (
+        replay_seeds("cut off", &chain, &partitioned, &with),
+        replay_seeds("cut off, no hold", &chain, &partitioned, &without),
+    );
+    assert!(
+        enabled.goodput > disabled.goodput + 0.3,
+        "{enabled:?} {disabled:?}"
     );
-    assert!(kept.goodput > lost.goodput + 0.3, "{kept:?} {lost:?}");
 }
 
-/// Symptom: on a calm day a fifth of the requests fail that call a deep service, at that service, within milliseconds of their
-/// calls' arrival.
-/// Sequence: each hop takes 75 ms off the deadline that it hands to the calls of its run; after three hops the last service
-/// finds less time than it needs.
-/// Cause: a margin that protects the queue of one hop was handed on.
+/// Guards against a fifth of the requests that call a deep service failing there under calm load, within milliseconds
+/// of the arrival of the call. This happens if each hop passes on its queue margin: at 75 ms per hop, the last service
+/// has less time than it needs after three hops.
 #[test]
 fn a_margin_of_each_hop_starves_deep_calls() {
     let deployment = Deployment::short_limits();
@@ -250,8 +263,8 @@
         ..calm.clone()
     };
     let policy = Policy::default();
-    let once = play("margins taken once", &deployment, &calm, &policy);
-    let added = play("a margin of each hop", &deployment, &each_hop, &policy);
+    let once = replay_seeds("margins taken once", &deployment, &calm, &policy);
+    let added = replay_seeds("a margin of each hop", &deployment, &each_hop, &policy);
     assert!(once.worst_kind >= 0.9, "{once:?}");
     assert!(once.waste <= 0.1, "{once:?}");
     assert!(
@@ -261,26 +274,29 @@
     assert!(added.waste >= 2.0 * once.waste, "{added:?} {once:?}");
 }
 
-/// Symptom: in a surge a small service that many requests pass several times is busy with requests that fail, and services
-/// above it shed requests that never go there.
-/// Sequence: everyone sends 1.6 times the usual, a fifth of the callers repeats at once; the last service can do 0.7 of it.
-/// Cause: more is admitted than it can do, by levels that follow it late.
+/// Guards against a small service that requests call several times spending its slots on requests that fail, while
+/// services in front of it shed requests that never reach it. This happens if levels follow its load too late and admit
+/// too much. Load is 1.6 times the calm load, of which the last service can handle 0.7; a fifth of the clients retry at
+/// once.
 #[test]
 fn one_short_service_is_used_for_what_is_served() {
     let deployment = Deployment::short_last_service();
     let load = 1.6;
     let pattern = Pattern {
-        surges: vec![(SURGE.0 as f64, SURGE.1 as f64, load)],
-        abuse: 0.2,
+        surges: vec![(SURGE_SPAN.0 as f64, SURGE_SPAN.1 as f64, load)],
+        immediate_retry_share: 0.2,
         end: 24.0,
         ..Default::default()
     };
     let bound = bound(&deployment, load);
     let outcome = replay(&deployment, &pattern, &Policy::default(), 1);
-    println!("{}", outcome.line("one short service", SURGE, bound));
-    let goodput = outcome.goodput(SURGE.0, SURGE.1) / bound;
+    println!(
+        "{}",
+        outcome.table_row("one short service", SURGE_SPAN, bound)
+    );
+    let goodput = outcome.goodput(SURGE_SPAN.0, SURGE_SPAN.1) / bound;
     assert!(goodput >= 0.9, "{goodput}");
-    let urgent = outcome.urgent(SURGE.0, SURGE.1);
+    let urgent = outcome.urgent_served_share(SURGE_SPAN.0, SURGE_SPAN.1);
     assert!(urgent >= 0.95, "{urgent}");
-    assert!(outcome.waste() <= 0.2, "{}", outcome.waste());
+    assert!(outcome.wasted_share() <= 0.2, "{}", outcome.wasted_share());
 }
--- a/crates/core/tests/replay/world.rs
+++ b/crates/core/tests/replay/world.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes, targets and callers.
+//! Simulated nodes, targets and clients.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -18,7 +18,7 @@
 use super::deployment::{Deployment, Pattern};
 use super::outcome::{Outcome, Second};
 
-/// What is replayed with; the defaults are those of nodes.
+/// Configuration of the production modules; the defaults are those of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     pub gate: GateConfig,
@@ -26,45 +26,46 @@
     pub fleet: FleetConfig,
 }
 
-/// Network time of one way.
-const HOP: f64 = 0.001;
+/// One-way network delay in seconds.
+const NETWORK_DELAY: f64 = 0.001;
 
-/// Time between looks of a node at what only time changes.
-const TICK: f64 = 0.05;
+/// Seconds between periodic updates of a node.
+const TICK_INTERVAL: f64 = 0.05;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive(usize),
-    Back(usize),
-    Enter(usize),
-    Worked(usize),
-    Over(usize),
+    Arrival(usize),
+    Retry(usize),
+    Delivery(usize),
+    WorkDone(usize),
+    DeadlineExpired(usize),
     Reply(usize),
-    Cut(usize),
+    ClientDisconnect(usize),
     Tick,
 }
 
-/// A request from outside.
+/// An external request and its attempts.
 struct Request {
     kind: usize,
     entry: usize,
-    asked: f64,
+    arrived_at: f64,
     attempts: u32,
     path: String,
-    abuses: bool,
-    held: f64,
+    retries_at_once: bool,
+    slot_seconds: f64,
     done: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum State {
+enum RunState {
     Sent,
-    Waits,
-    Runs,
+    Queued,
+    Running,
+    /// Whether the run succeeded.
     Ended(bool),
 }
 
-/// A run at a target, for a request or for another run.
+/// One execution at a target, for an external request or for a call of another run.
 struct Run {
     kind: usize,
     request: usize,
@@ -73,14 +74,14 @@
     host: usize,
     key: InstanceKey,
     ticket: Option<Ticket>,
-    state: State,
+    state: RunState,
     admitted: f64,
     deadline: f64,
     sent: f64,
-    began: f64,
+    started: f64,
     /// Calls made so far.
     called: u32,
-    /// Sum of levels met at each service, and their number.
+    /// Sum and number of the levels reported by each service below this run.
     levels: HashMap<usize, (f64, u32)>,
 }
 
@@ -108,15 +109,15 @@
     outcome: Outcome,
 }
 
-/// Replays a pattern and tells what it brought.
+/// Replays a pattern and returns its results.
 pub fn replay(deployment: &Deployment, pattern: &Pattern, policy: &Policy, seed: u64) -> Outcome {
     let mut world = World::new(deployment, pattern, policy, seed);
     for kind in 0..deployment.kinds.len() {
-        if deployment.kinds[kind].per_s > 0.0 {
+        if deployment.kinds[kind].calm_rate_per_s > 0.0 {
             world.next_arrival(kind);
         }
     }
-    world.at(TICK, Event::Tick);
+    world.schedule(TICK_INTERVAL, Event::Tick);
     while let Some(Reverse((at, _, event))) = world.queue.pop() {
         world.now = at as f64 / 1e6;
         if world.now > pattern.end {
@@ -184,8 +185,8 @@
         }
     }
 
-    fn at(&mut self, after: f64, event: Event) {
-        let at = ((self.now + after.max(0.0)) * 1e6) as u64;
+    fn schedule(&mut self, delay: f64, event: Event) {
+        let at = ((self.now + delay.max(0.0)) * 1e6) as u64;
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence, event)));
     }
@@ -196,21 +197,21 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(kind) => self.arrive(kind),
-            Event::Back(request) => self.attempt(request),
-            Event::Enter(run) => self.enter(run),
-            Event::Worked(run) => self.go_on(run),
-            Event::Over(run) => self.over(run),
+            Event::Arrival(kind) => self.arrive(kind),
+            Event::Retry(request) => self.attempt(request),
+            Event::Delivery(run) => self.deliver(run),
+            Event::WorkDone(run) => self.advance(run),
+            Event::DeadlineExpired(run) => self.expire_deadline(run),
             Event::Reply(run) => self.reply(run),
-            Event::Cut(run) => self.leave(run),
+            Event::ClientDisconnect(run) => self.disconnect_client(run),
             Event::Tick => self.tick(),
         }
     }
 
     fn next_arrival(&mut self, kind: usize) {
-        let rate = self.deployment.kinds[kind].per_s * self.pattern.load(self.now);
+        let rate = self.deployment.kinds[kind].calm_rate_per_s * self.pattern.load(self.now);
         let pause = -self.rng.random::<f64>().max(1e-9).ln() / rate;
-        self.at(pause, Event::Arrive(kind));
+        self.schedule(pause, Event::Arrival(kind));
     }
 
     fn arrive(&mut self, kind: usize) {
@@ -219,27 +220,27 @@
         self.requests.push(Request {
             kind,
             entry: self.rng.random_range(0..self.nodes.len()),
-            asked: self.now,
+            arrived_at: self.now,
             attempts: 0,
             path: format!("/{request}"),
-            abuses: self.rng.random_bool(self.pattern.abuse),
-            held: 0.0,
+            retries_at_once: self.rng.random_bool(self.pattern.immediate_retry_share),
+            slot_seconds: 0.0,
             done: false,
         });
         let spec = &self.deployment.kinds[kind];
         self.outcome.kinds[kind].0 += 1;
-        let second = self.second(request);
-        second.asked += 1;
+        let second = self.arrival_second(request);
+        second.arrived += 1;
         second.urgent.0 += u32::from(spec.rank == 0);
         self.attempt(request);
     }
 
-    fn second(&mut self, request: usize) -> &mut Second {
-        let at = self.requests[request].asked as usize;
+    fn arrival_second(&mut self, request: usize) -> &mut Second {
+        let at = self.requests[request].arrived_at as usize;
         &mut self.outcome.seconds[at]
     }
 
-    /// One attempt of a caller.
+    /// Sends one attempt of a client through its entry node.
     fn attempt(&mut self, request: usize) {
         let now = self.instant(self.now);
         let Request { kind, entry, .. } = self.requests[request];
@@ -247,33 +248,41 @@
         let spec = &self.deployment.kinds[kind];
         let node = &self.nodes[entry];
         let path = &self.requests[request].path;
-        match node.shedder.admit(&route(kind), spec.order, "h", path, now) {
-            Err(shed) => self.refused(request, shed.retry_after.as_secs_f64()),
+        match node
+            .shedder
+            .admit(&route(kind), spec.shed_order, "h", path, now)
+        {
+            Err(shed) => self.attempt_refused(request, shed.retry_after.as_secs_f64()),
             Ok(admitted) => {
                 let deadline = self.now + spec.timeout_ms as f64 / 1000.0;
                 let run = self.send(kind, request, None, admitted, deadline);
-                let leaves = self.rng.random_bool(self.pattern.leave);
-                if let Some(run) = run.filter(|_| leaves) {
-                    self.at(spec.aim_ms as f64 / 2000.0, Event::Cut(run));
+                let disconnects = self.rng.random_bool(self.pattern.disconnect_share);
+                if let Some(run) = run.filter(|_| disconnects) {
+                    self.schedule(
+                        spec.latency_target_ms as f64 / 2000.0,
+                        Event::ClientDisconnect(run),
+                    );
                 }
             }
         }
     }
 
-    /// An attempt was refused; its caller comes back once, or three times at once.
-    fn refused(&mut self, request: usize, retry_after: f64) {
+    /// Handles a refused attempt. Clients retry once after the given delay; those that ignore it retry three times.
+    fn attempt_refused(&mut self, request: usize, retry_after: f64) {
         let Request {
-            attempts, abuses, ..
+            attempts,
+            retries_at_once,
+            ..
         } = self.requests[request];
-        let most = if abuses { 4 } else { 2 };
-        self.outcome.back.0 += u32::from(attempts == 1);
-        self.outcome.back.1 += u32::from(attempts == 2);
-        if attempts < most {
-            let wait = if abuses { 0.01 } else { retry_after };
-            return self.at(wait, Event::Back(request));
+        let max_attempts = if retries_at_once { 4 } else { 2 };
+        self.outcome.refusals.0 += u32::from(attempts == 1);
+        self.outcome.refusals.1 += u32::from(attempts == 2);
+        if attempts < max_attempts {
+            let wait = if retries_at_once { 0.01 } else { retry_after };
+            return self.schedule(wait, Event::Retry(request));
         }
         self.requests[request].done = true;
-        self.second(request).refused += 1;
+        self.arrival_second(request).refused += 1;
     }
 
     fn send(
@@ -294,8 +303,8 @@
         let chosen = fleet.select(&name, &[], now, &mut self.rng);
         let Some(chosen) = chosen else {
             match parent {
-                Some(parent) => self.end(parent, false),
-                None => self.refused(request, 0.5),
+                Some(parent) => self.end_run(parent, false),
+                None => self.attempt_refused(request, 0.5),
             }
             return None;
         };
@@ -309,19 +318,19 @@
             host: host_of(chosen.address),
             key: chosen.key,
             ticket: None,
-            state: State::Sent,
+            state: RunState::Sent,
             admitted,
             deadline,
             sent: self.now,
-            began: 0.0,
+            started: 0.0,
             called: 0,
             levels: HashMap::new(),
         });
-        self.at(HOP, Event::Enter(run));
+        self.schedule(NETWORK_DELAY, Event::Delivery(run));
         Some(run)
     }
 
-    fn enter(&mut self, run: usize) {
+    fn deliver(&mut self, run: usize) {
         let Run {
             kind,
             request,
@@ -331,7 +340,7 @@
             sent,
             ..
         } = self.runs[run];
-        if self.runs[run].state != State::Sent {
+        if self.runs[run].state != RunState::Sent {
             return;
         }
         let spec = &self.deployment.kinds[kind];
@@ -341,49 +350,49 @@
         let queue_req = QueueTimeoutRequest {
             inner,
             arrived: self.instant(sent),
-            latency_target: Duration::from_millis(spec.aim_ms),
+            latency_target: Duration::from_millis(spec.latency_target_ms),
             deadline: self.instant(deadline),
         };
         let waiting = SlotRequest {
             rank: root.rank,
-            shed_order: root.order,
+            shed_order: root.shed_order,
             admitted,
             kind: RequestKind(kind as u32),
             inner,
-            began: self.instant(self.requests[request].asked),
+            began: self.instant(self.requests[request].arrived_at),
             deadline: self.instant(deadline),
             queue_timeout: QueueTimeoutConfig::default().timeout_for(&queue_req, now),
         };
         match self.nodes[host].gate.admit(waiting, now) {
-            Admission::Dispatched(ticket) => self.start(run, ticket),
+            Admission::Dispatched(ticket) => self.start_run(run, ticket),
             Admission::Queued(ticket) => {
-                self.runs[run].state = State::Waits;
+                self.runs[run].state = RunState::Queued;
                 self.runs[run].ticket = Some(ticket);
                 self.nodes[host].waiting.insert(ticket, run);
             }
-            Admission::Refused { .. } | Admission::DeadlineUnreachable => self.end(run, false),
+            Admission::Refused { .. } | Admission::DeadlineUnreachable => self.end_run(run, false),
         }
     }
 
-    fn start(&mut self, run: usize, ticket: Ticket) {
+    fn start_run(&mut self, run: usize, ticket: Ticket) {
         let Run {
             kind,
             host,
             deadline,
             ..
         } = self.runs[run];
-        self.runs[run].state = State::Runs;
+        self.runs[run].state = RunState::Running;
         self.runs[run].ticket = Some(ticket);
-        self.runs[run].began = self.now;
+        self.runs[run].started = self.now;
         let node = &mut self.nodes[host];
         node.running += 1;
         let spec = &self.deployment.services[node.service];
         let full = f64::from(node.running) >= 0.95 * f64::from(spec.slots);
         let mut work = self.deployment.kinds[kind].work_ms / 1000.0;
-        work *= if full { spec.knee } else { 1.0 };
+        work *= if full { spec.saturation_slowdown } else { 1.0 };
         work *= if self.now < node.cold_until { 2.0 } else { 1.0 };
         let is_last = node.service + 1 == self.deployment.services.len();
-        if let Some((from, to, factor)) = self.pattern.slow
+        if let Some((from, to, factor)) = self.pattern.slowdown
             && is_last
             && (from..to).contains(&self.now)
         {
@@ -392,13 +401,13 @@
         // Log-normal with a mean of one.
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         work *= (0.6 * normal - 0.18).exp();
-        self.at(work, Event::Worked(run));
-        self.at(deadline - self.now, Event::Over(run));
+        self.schedule(work, Event::WorkDone(run));
+        self.schedule(deadline - self.now, Event::DeadlineExpired(run));
     }
 
-    /// Own work or a call has ended well: the next call, or the end.
-    fn go_on(&mut self, run: usize) {
-        if self.runs[run].state != State::Runs {
+    /// Makes the next call after own work or a call has succeeded, or ends the run after the last one.
+    fn advance(&mut self, run: usize) {
+        if self.runs[run].state != RunState::Running {
             return;
         }
         let Run {
@@ -414,33 +423,33 @@
             if called < before + times {
                 self.runs[run].called += 1;
                 let own = self.now + self.deployment.kinds[*next].timeout_ms as f64 / 1000.0;
-                let outer = deadline - self.pattern.hop_margin;
-                self.send(*next, request, Some(run), admitted, own.min(outer));
+                let inherited = deadline - self.pattern.hop_margin;
+                self.send(*next, request, Some(run), admitted, own.min(inherited));
                 return;
             }
             before += times;
         }
-        self.end(run, true);
+        self.end_run(run, true);
     }
 
-    fn over(&mut self, run: usize) {
-        if self.runs[run].state == State::Runs {
-            self.end(run, false);
+    fn expire_deadline(&mut self, run: usize) {
+        if self.runs[run].state == RunState::Running {
+            self.end_run(run, false);
         }
     }
 
-    /// The caller of a request leaves: what waits or runs for it is broken off.
-    fn leave(&mut self, run: usize) {
-        if matches!(self.runs[run].state, State::Ended(_)) {
+    /// Handles the disconnect of a client: cancels all queued and running work of its request.
+    fn disconnect_client(&mut self, run: usize) {
+        if matches!(self.runs[run].state, RunState::Ended(_)) {
             return;
         }
         let request = self.runs[run].request;
         let of_request = |other: &usize| self.runs[*other].request == request;
         let all: Vec<usize> = (run..self.runs.len()).filter(of_request).collect();
         for other in all.into_iter().rev() {
-            if !matches!(self.runs[other].state, State::Ended(_)) {
-                self.free(other);
-                self.runs[other].state = State::Ended(false);
+            if !matches!(self.runs[other].state, RunState::Ended(_)) {
+                self.release_slot(other);
+                self.runs[other].state = RunState::Ended(false);
                 let Run { entry, key, .. } = self.runs[other];
                 let now = self.instant(self.now);
                 let fleet = &mut self.nodes[entry].fleet;
@@ -450,21 +459,21 @@
         self.finish(request, false);
     }
 
-    /// A run has ended at its host.
-    fn end(&mut self, run: usize, well: bool) {
-        self.free(run);
-        self.runs[run].state = State::Ended(well);
-        self.at(HOP, Event::Reply(run));
+    /// Ends a run at its host and schedules the reply.
+    fn end_run(&mut self, run: usize, succeeded: bool) {
+        self.release_slot(run);
+        self.runs[run].state = RunState::Ended(succeeded);
+        self.schedule(NETWORK_DELAY, Event::Reply(run));
     }
 
-    /// Gives back what a run holds.
-    fn free(&mut self, run: usize) {
+    /// Releases the slot or the queue entry of a run.
+    fn release_slot(&mut self, run: usize) {
         let now = self.instant(self.now);
         let Run {
             host,
             ticket,
             state,
-            began,
+            started,
             request,
             ..
         } = self.runs[run];
@@ -473,43 +482,43 @@
         };
         let node = &mut self.nodes[host];
         match state {
-            State::Runs => {
-                let held = self.now - began;
+            RunState::Running => {
+                let slot_seconds = self.now - started;
                 node.running -= 1;
                 node.gate
-                    .release(ticket, Duration::from_secs_f64(held), now);
-                self.requests[request].held += held;
-                self.outcome.used += held;
-                self.pump(host);
+                    .release(ticket, Duration::from_secs_f64(slot_seconds), now);
+                self.requests[request].slot_seconds += slot_seconds;
+                self.outcome.used += slot_seconds;
+                self.dispatch_queued(host);
             }
-            State::Waits => {
+            RunState::Queued => {
                 node.gate.cancel(ticket);
                 node.waiting.remove(&ticket);
             }
-            State::Sent | State::Ended(_) => {}
+            RunState::Sent | RunState::Ended(_) => {}
         }
     }
 
-    fn pump(&mut self, host: usize) {
+    fn dispatch_queued(&mut self, host: usize) {
         let now = self.instant(self.now);
         for ticket in self.nodes[host].gate.expire(now) {
             if let Some(run) = self.nodes[host].waiting.remove(&ticket) {
                 self.runs[run].ticket = None;
-                self.end(run, false);
+                self.end_run(run, false);
             }
         }
         while let Some(ticket) = self.nodes[host].gate.dispatch_next() {
             match self.nodes[host].waiting.remove(&ticket) {
-                Some(run) => self.start(run, ticket),
+                Some(run) => self.start_run(run, ticket),
                 None => self.nodes[host].gate.release_unused(ticket),
             }
         }
     }
 
-    /// The entry of a run hears how it ended.
+    /// Handles the reply to a run at the node that sent it.
     fn reply(&mut self, run: usize) {
         let now = self.instant(self.now);
-        let State::Ended(well) = self.runs[run].state else {
+        let RunState::Ended(succeeded) = self.runs[run].state else {
             return;
         };
         let Run {
@@ -522,10 +531,10 @@
             sent,
             ..
         } = self.runs[run];
-        let usual = self.deployment.kinds[kind].work_ms / 1000.0;
-        let outcome = match well {
+        let expected_latency = self.deployment.kinds[kind].work_ms / 1000.0;
+        let outcome = match succeeded {
             true => SendOutcome::Answered {
-                relative_latency: ((self.now - sent) / usual.max(0.02)).clamp(0.5, 2.0),
+                relative_latency: ((self.now - sent) / expected_latency.max(0.02)).clamp(0.5, 2.0),
             },
             false => SendOutcome::Abandoned,
         };
@@ -535,93 +544,99 @@
         self.nodes[entry]
             .fleet
             .request_ended(key, outcome, Some(busy), now);
-        let met = std::mem::take(&mut self.runs[run].levels);
+        let levels_below = std::mem::take(&mut self.runs[run].levels);
         let Some(parent) = parent else {
-            let below = met.values().map(|(sum, count)| sum / f64::from(*count));
-            let highest = below.fold(level, f64::max);
+            let means = levels_below
+                .values()
+                .map(|(sum, count)| sum / f64::from(*count));
+            let highest = means.fold(level, f64::max);
             self.nodes[entry].shedder.report(&route(kind), highest, now);
-            return self.finish(request, well);
+            return self.finish(request, succeeded);
         };
         let own = [(service, (level, 1))];
-        for (service, (sum, count)) in own.into_iter().chain(met) {
+        for (service, (sum, count)) in own.into_iter().chain(levels_below) {
             let levels = self.runs[parent].levels.entry(service).or_default();
             levels.0 += sum;
             levels.1 += count;
         }
-        match well {
-            true => self.go_on(parent),
-            false if self.runs[parent].state == State::Runs => self.end(parent, false),
+        match succeeded {
+            true => self.advance(parent),
+            false if self.runs[parent].state == RunState::Running => self.end_run(parent, false),
             false => {}
         }
     }
 
-    /// A request from outside has its answer.
-    fn finish(&mut self, request: usize, well: bool) {
+    /// Records the result of an external request.
+    fn finish(&mut self, request: usize, succeeded: bool) {
         if std::mem::replace(&mut self.requests[request].done, true) {
             return;
         }
         let Request {
-            kind, asked, held, ..
+            kind,
+            arrived_at,
+            slot_seconds,
+            ..
         } = self.requests[request];
         let spec = &self.deployment.kinds[kind];
-        let in_aim = (self.now - asked) * 1000.0 <= spec.aim_ms as f64;
-        let urgent = u32::from(spec.rank == 0 && well);
-        self.outcome.kinds[kind].1 += u32::from(well && in_aim);
-        let second = self.second(request);
+        let within_target = (self.now - arrived_at) * 1000.0 <= spec.latency_target_ms as f64;
+        let urgent = u32::from(spec.rank == 0 && succeeded);
+        self.outcome.kinds[kind].1 += u32::from(succeeded && within_target);
+        let second = self.arrival_second(request);
         second.urgent.1 += urgent;
-        match (well, in_aim) {
-            (true, true) => second.well += 1,
+        match (succeeded, within_target) {
+            (true, true) => second.on_time += 1,
             (true, false) => second.late += 1,
             (false, _) => {
                 second.failed += 1;
-                self.outcome.wasted += held;
+                self.outcome.wasted += slot_seconds;
             }
         }
     }
 
     fn tick(&mut self) {
-        self.at(TICK, Event::Tick);
+        self.schedule(TICK_INTERVAL, Event::Tick);
         let now = self.instant(self.now);
         let last = self.deployment.services.len() - 1;
-        let of_last = |nodes: &[Node]| nodes.iter().position(|node| node.service == last);
-        let first = of_last(&self.nodes).expect("hosts of the last service");
-        self.restart(first, now);
-        self.cut_off(first, now);
+        let first_of_last = |nodes: &[Node]| nodes.iter().position(|node| node.service == last);
+        let first = first_of_last(&self.nodes).expect("hosts of the last service");
+        self.apply_restarts(first, now);
+        self.apply_partition(first, now);
         for host in 0..self.nodes.len() {
             self.nodes[host].fleet.tick(now);
             self.nodes[host].gate.update_level(now);
-            self.pump(host);
+            self.dispatch_queued(host);
         }
     }
 
-    /// Whether a moment of the pattern has come since the last tick.
-    fn has_come(&self, at: f64) -> bool {
-        (self.now - TICK..self.now).contains(&at)
+    /// Whether a time of the pattern has passed since the last tick.
+    fn is_due(&self, at: f64) -> bool {
+        (self.now - TICK_INTERVAL..self.now).contains(&at)
     }
 
-    /// Hosts of the last service leave and come back cold.
-    fn restart(&mut self, first: usize, now: Instant) {
+    /// Takes hosts of the last service out for a restart and brings them back cold.
+    fn apply_restarts(&mut self, first: usize, now: Instant) {
         for (n, from, to) in &self.pattern.restarts {
             let host = first + n;
-            let leaves = self.has_come(*from);
-            if !leaves && !self.has_come(*to) {
+            let leaving = self.is_due(*from);
+            if !leaving && !self.is_due(*to) {
                 continue;
             }
             self.nodes[host].cold_until = to + 3.0;
             for node in &mut self.nodes {
                 let mut instance = node.fleet.at_address(address(host)).expect("known").clone();
-                instance.leaving = leaves;
+                instance.leaving = leaving;
                 node.fleet.put(instance, now);
             }
         }
     }
 
-    /// Entries of the last service lapse; the nodes beside its targets say that they are cut off with all that they send.
-    fn cut_off(&mut self, first: usize, now: Instant) {
-        let Some((hosts, from, to)) = self.pattern.cut_off else {
+    /// Lets entries of the last service lapse. The nodes of these hosts report in all their messages that they are
+    /// partitioned from the publisher.
+    fn apply_partition(&mut self, first: usize, now: Instant) {
+        let Some((hosts, from, to)) = self.pattern.partition else {
             return;
         };
-        let (lapse, relist) = (self.has_come(from), self.has_come(to));
+        let (lapse, relist) = (self.is_due(from), self.is_due(to));
         for host in first..first + hosts {
             let id = format!("i-{host}");
             for other in 0..self.nodes.len() {
