--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -29,7 +29,7 @@
 use crate::recorder::Recorder;
 use crate::routes::{Routes, RoutesHandle, RoutesSetup};
 use crate::spread::{
-    PlatformClient, Published, Spread, SpreadHandle, SpreadMessage, SpreadSetup, Word,
+    PlatformClient, Published, Spread, SpreadHandle, SpreadMessage, SpreadSetup, StateReport,
 };
 
 /// What all parts of a node are built with; each method starts the tasks of one part.
@@ -61,7 +61,7 @@
 /// The channels of the spread task, which others send to before it is started.
 pub(super) struct SpreadChannels {
     pub(super) published: watch::Sender<Arc<Published>>,
-    pub(super) words: mpsc::UnboundedReceiver<Word>,
+    pub(super) words: mpsc::UnboundedReceiver<StateReport>,
     pub(super) tx: mpsc::UnboundedSender<SpreadMessage>,
     pub(super) rx: mpsc::UnboundedReceiver<SpreadMessage>,
 }
@@ -116,7 +116,7 @@
         RunningGate { handle, task, life }
     }
 
-    pub(super) fn routes(&self, words: mpsc::UnboundedSender<Word>) -> RoutesHandle {
+    pub(super) fn routes(&self, words: mpsc::UnboundedSender<StateReport>) -> RoutesHandle {
         let admission = &self.settings.admission;
         let (task, routes) = Routes::new(RoutesSetup {
             routing: RoutingConfig::from(&self.settings),
@@ -205,7 +205,7 @@
             metrics: self.metrics.clone(),
             log: self.log.clone(),
             published: channels.published,
-            words: channels.words,
+            state_reports: channels.words,
             tx: channels.tx,
             rx: channels.rx,
         });
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -23,7 +23,7 @@
 };
 use crate::clock::SharedClock;
 use crate::data::HostReport;
-use crate::spread::{Published, Word};
+use crate::spread::{Published, StateReport};
 
 /// What the routes task is made of.
 pub struct RoutesSetup {
@@ -38,7 +38,7 @@
     /// What is published, with the list of instances.
     pub published: watch::Receiver<Arc<Published>>,
     /// Where words of nodes about themselves go.
-    pub words: mpsc::UnboundedSender<Word>,
+    pub words: mpsc::UnboundedSender<StateReport>,
 }
 
 /// The task that owns routing, levels, budgets and minting.
@@ -56,7 +56,7 @@
     rng: SmallRng,
     clock: SharedClock,
     published: watch::Receiver<Arc<Published>>,
-    words: mpsc::UnboundedSender<Word>,
+    words: mpsc::UnboundedSender<StateReport>,
     tx: mpsc::UnboundedSender<RoutesMessage>,
     rx: mpsc::UnboundedReceiver<RoutesMessage>,
 }
@@ -254,7 +254,7 @@
             self.router.record_leaving(&report.node, report.incarnation);
         }
         self.known = self.known.max(report.revision);
-        let _ = self.words.send(Word::from(report));
+        let _ = self.words.send(StateReport::from(report));
     }
 
     fn spend_retry(&mut self, service: ServiceName, reply: oneshot::Sender<bool>) {
--- a/crates/node/src/spread.rs
+++ b/crates/node/src/spread.rs
@@ -8,14 +8,14 @@
 mod published;
 mod read;
 mod setup;
+mod state_report;
 mod status;
 mod task;
-mod word;
 
 pub use handle::SpreadHandle;
 pub use message::SpreadMessage;
 pub use platform_client::{PlatformClient, PlatformError};
 pub use published::{DocumentInForce, NodeEntry, Published};
 pub use setup::SpreadSetup;
+pub use state_report::StateReport;
 pub use task::Spread;
-pub use word::Word;
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::once::Tick;
 use smol_str::SmolStr;
 
-use super::{Spread, Word};
+use super::{Spread, StateReport};
 use crate::wire::{
     ControlReply, ControlRequest, DigestFrame, EntryFrame, NewsFrame, VersionFrame, WordFrame,
 };
@@ -52,11 +52,11 @@
                 self.apply_from_peer(entries, None);
                 ControlReply::Done
             }
-            ControlRequest::Words(words) => {
-                words
+            ControlRequest::Words(reports) => {
+                reports
                     .into_iter()
-                    .map(Word::from)
-                    .for_each(|word| self.hear(word));
+                    .map(StateReport::from)
+                    .for_each(|report| self.record_state_report(report));
                 ControlReply::Done
             }
             ControlRequest::Greet(_)
@@ -92,7 +92,7 @@
     pub(super) fn digest_frame(&self) -> DigestFrame {
         let now = self.now();
         DigestFrame {
-            word: WordFrame::from(&self.own_word()),
+            word: WordFrame::from(&self.own_state_report()),
             digest: self.replica.digest(),
             list: self.view.revision().0,
             config_age_ms: self.config_reads.read_age(now).map(millis),
@@ -104,7 +104,7 @@
     fn take_digest(&mut self, theirs: &DigestFrame) {
         let now = self.now();
         let node = NodeName(theirs.word.node.clone());
-        self.hear(Word::from(theirs.word.clone()));
+        self.record_state_report(StateReport::from(theirs.word.clone()));
         self.take_ages(theirs, now);
         if theirs.list > self.view.revision().0 {
             self.ask(&node, ControlRequest::PullList(self.view.revision().0));
@@ -236,7 +236,7 @@
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl From<WordFrame> for Word {
+impl From<WordFrame> for StateReport {
     fn from(frame: WordFrame) -> Self {
         Self {
             node: NodeName(frame.node),
@@ -248,13 +248,13 @@
     }
 }
 
-impl From<&Word> for WordFrame {
-    fn from(word: &Word) -> Self {
+impl From<&StateReport> for WordFrame {
+    fn from(report: &StateReport) -> Self {
         Self {
-            node: word.node.0.clone(),
-            incarnation: word.incarnation.0,
-            state: word.state,
-            tick: word.tick.0,
+            node: report.node.0.clone(),
+            incarnation: report.incarnation.0,
+            state: report.state,
+            tick: report.tick.0,
         }
     }
 }
--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -7,7 +7,7 @@
 use coltsfootport_core::membership::ListedState;
 use rand::seq::IteratorRandom;
 
-use super::{Spread, SpreadMessage, Word};
+use super::{Spread, SpreadMessage, StateReport};
 use crate::wire::{ControlRequest, EntryFrame, NewsFrame, VersionFrame, WordFrame};
 
 impl Spread {
@@ -25,8 +25,8 @@
     }
 
     /// Passes on what a node told about itself.
-    pub(super) fn pass_on(&mut self, word: &Word) {
-        self.tell_peers(&ControlRequest::Words(vec![WordFrame::from(word)]));
+    pub(super) fn forward_state_report(&mut self, report: &StateReport) {
+        self.tell_peers(&ControlRequest::Words(vec![WordFrame::from(report)]));
     }
 
     /// Compares copies with one peer where it is time.
--- a/crates/node/src/spread/setup.rs
+++ b/crates/node/src/spread/setup.rs
@@ -8,7 +8,7 @@
 use slog::Logger;
 use tokio::sync::{mpsc, watch};
 
-use super::{PlatformClient, Published, SpreadMessage, Word};
+use super::{PlatformClient, Published, SpreadMessage, StateReport};
 use crate::clock::SharedClock;
 use crate::metrics::Metrics;
 use crate::peers::HubHandle;
@@ -42,8 +42,8 @@
     pub log: Logger,
     /// Where snapshots are published to the other tasks.
     pub published: watch::Sender<Arc<Published>>,
-    /// Words of nodes about themselves.
-    pub words: mpsc::UnboundedReceiver<Word>,
+    /// State reports that nodes sent about themselves, taken from greetings, announcements and call replies.
+    pub state_reports: mpsc::UnboundedReceiver<StateReport>,
     /// Sends to the task itself.
     pub tx: mpsc::UnboundedSender<SpreadMessage>,
     /// Messages to the task.
--- a/crates/node/src/spread/word.rs
+++ b/crates/node/src/spread/state_report.rs
@@ -1,4 +1,4 @@
-//! What a node tells about itself.
+//! State reports: the state that a node announces about itself.
 
 use coltsfootport_core::id::{Incarnation, NodeName};
 use coltsfootport_core::membership::NodeState;
@@ -6,22 +6,22 @@
 
 use crate::data::HostReport;
 
-/// A node's word about its own state, which goes before the lagging list.
+/// State that a node announced about itself. It takes precedence over the platform's instance list, which lags behind.
 #[derive(Clone, Debug)]
-pub struct Word {
-    /// The node.
+pub struct StateReport {
+    /// Name of the reporting node.
     pub node: NodeName,
-    /// Its run.
+    /// Identifies the run of the process that sent the report.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Lifecycle state of the node.
     pub state: NodeState,
-    /// When it was told, by the node's own tick.
+    /// Time of the report on the reporting node's own clock; orders reports of one run.
     pub tick: Tick,
-    /// Revision of the newest entry that it holds; 0 in words that are passed on.
+    /// Highest revision in the node's replica; 0 in reports that did not come with a `HostReport`.
     pub revision: u64,
 }
 
-impl From<&HostReport> for Word {
+impl From<&HostReport> for StateReport {
     fn from(report: &HostReport) -> Self {
         Self {
             node: report.node.clone(),
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -24,7 +24,7 @@
 
 use crate::wire::ControlRequest;
 
-use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, Word};
+use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, StateReport};
 
 /// The task that owns the replica of published entries and the view of the fleet.
 pub struct Spread {
@@ -92,7 +92,7 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                Some(word) = self.setup.words.recv() => self.hear(word),
+                Some(report) = self.setup.state_reports.recv() => self.record_state_report(report),
                 _ = tick.tick() => self.advance(),
             }
             self.read_if_due();
@@ -121,7 +121,7 @@
             }
             SpreadMessage::State(state) => {
                 self.state = state;
-                self.hear(self.own_word());
+                self.record_state_report(self.own_state_report());
             }
             SpreadMessage::Documents(reply) => {
                 let _ = reply.send(self.document_status());
@@ -185,16 +185,20 @@
     }
 
     /// Takes in what a node told about itself, and passes on what changed.
-    pub(super) fn hear(&mut self, word: Word) {
+    pub(super) fn record_state_report(&mut self, report: StateReport) {
         let now = self.now();
-        let (node, state) = (word.node.clone(), word.state);
-        if word.revision > self.replica.revision().0 {
+        let (node, state) = (report.node.clone(), report.state);
+        if report.revision > self.replica.revision().0 {
             let after = self.replica.complete().0;
             self.ask(&node, ControlRequest::PullSince(after));
         }
-        let outcome =
-            self.view
-                .record_report(&word.node, word.incarnation, word.state, word.tick, now);
+        let outcome = self.view.record_report(
+            &report.node,
+            report.incarnation,
+            report.state,
+            report.tick,
+            now,
+        );
         if outcome != StateReportOutcome::Changed {
             return;
         }
@@ -207,14 +211,14 @@
             NodeState::Starting | NodeState::Serving => Event::PeerUp { peer: node },
         };
         self.setup.recorder.record(None, event);
-        self.pass_on(&word);
+        self.forward_state_report(&report);
         self.view_changed();
     }
 
     /// What this node tells about itself.
-    pub(super) fn own_word(&self) -> Word {
+    pub(super) fn own_state_report(&self) -> StateReport {
         let age = self.now().saturating_duration_since(self.setup.started);
-        Word {
+        StateReport {
             node: self.setup.node.clone(),
             incarnation: self.setup.incarnation,
             state: self.state,
