--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -29,7 +29,7 @@
 use crate::recorder::Recorder;
 use crate::routes::{Routes, RoutesHandle, RoutesSetup};
 use crate::spread::{
-    PlatformClient, Published, Spread, SpreadHandle, SpreadMessage, SpreadSetup, StateReport,
+    PlatformClient, Published, SpreadHandle, SpreadMessage, SpreadSetup, SpreadTask, StateReport,
 };
 
 /// What all parts of a node are built with; each method starts the tasks of one part.
@@ -191,7 +191,7 @@
 
     pub(super) fn spread(&self, channels: SpreadChannels, hub: &HubHandle) {
         let platform = &self.settings.platform;
-        let task = Spread::new(SpreadSetup {
+        let task = SpreadTask::new(SpreadSetup {
             node: self.settings.node.name.clone(),
             incarnation: self.incarnation,
             started: self.started,
--- a/crates/node/src/spread.rs
+++ b/crates/node/src/spread.rs
@@ -18,4 +18,4 @@
 pub use published::{DocumentInForce, NodeEntry, Published};
 pub use setup::SpreadSetup;
 pub use state_report::StateReport;
-pub use task::Spread;
+pub use task::SpreadTask;
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -8,12 +8,12 @@
 use coltsfootport_core::once::Tick;
 use smol_str::SmolStr;
 
-use super::{Spread, StateReport};
+use super::{SpreadTask, StateReport};
 use crate::wire::{
     ControlReply, ControlRequest, DigestFrame, EntryFrame, NewsFrame, VersionFrame, WordFrame,
 };
 
-impl Spread {
+impl SpreadTask {
     /// Answers a peer's request.
     pub(super) fn answer(&mut self, request: ControlRequest) -> ControlReply {
         match request {
--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -7,10 +7,10 @@
 use coltsfootport_core::membership::ListedState;
 use rand::seq::IteratorRandom;
 
-use super::{Spread, SpreadMessage, StateReport};
+use super::{SpreadMessage, SpreadTask, StateReport};
 use crate::wire::{ControlRequest, EntryFrame, NewsFrame, VersionFrame, WordFrame};
 
-impl Spread {
+impl SpreadTask {
     /// Tells all peers of new entries, small ones whole.
     pub(super) fn tell_news(&mut self, news: &[Entry]) {
         let (whole, notices): (Vec<&Entry>, Vec<&Entry>) = news
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -5,10 +5,10 @@
 use coltsfootport_core::dissemination::{Entry, Key, NextRead, Revision};
 
 use super::platform_client::{ConfigEntry, ConfigPage, InstancePage};
-use super::{Spread, SpreadMessage};
+use super::{SpreadMessage, SpreadTask};
 use crate::metrics::PlatformRead;
 
-impl Spread {
+impl SpreadTask {
     /// Starts the reads whose time has come.
     pub(super) fn read_if_due(&mut self) {
         let now = self.now();
--- a/crates/node/src/spread/status.rs
+++ b/crates/node/src/spread/status.rs
@@ -3,11 +3,11 @@
 use coltsfootport_core::dissemination::Key;
 use smol_str::SmolStr;
 
-use super::Spread;
+use super::SpreadTask;
 use super::task::service_of;
 use crate::operators::{DocumentStatus, PlatformStatus};
 
-impl Spread {
+impl SpreadTask {
     /// State of every document.
     pub(super) fn document_status(&self) -> Vec<DocumentStatus> {
         let mut documents: Vec<_> = self
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -27,7 +27,7 @@
 use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, StateReport};
 
 /// The task that owns the replica of published entries and the view of the fleet.
-pub struct Spread {
+pub struct SpreadTask {
     pub(super) setup: SpreadSetup,
     pub(super) replica: Replica,
     pub(super) documents: InForce<Arc<Document>, Vec<Fault>>,
@@ -55,7 +55,7 @@
     ready: bool,
 }
 
-impl Spread {
+impl SpreadTask {
     /// The task.
     pub fn new(setup: SpreadSetup) -> Self {
         let view = View::new(MembershipConfig::default());
