--- a/crates/node/src/node/desk.rs
+++ b/crates/node/src/node/desk.rs
@@ -91,8 +91,8 @@
             service: node.service.clone(),
             domain: node.domain.clone(),
             phase: gate.map_or_else(SmolStr::default, |gate| phase_name(gate.phase)),
-            documents: setup.spread.documents().await,
-            platform: setup.spread.platform().await,
+            documents: setup.spread.document_status().await,
+            platform: setup.spread.platform_status().await,
             peers: setup
                 .routes
                 .peers()
--- a/crates/node/src/node/life.rs
+++ b/crates/node/src/node/life.rs
@@ -67,7 +67,7 @@
             return false;
         }
         self.gate.ready();
-        self.spread.state(NodeState::Serving);
+        self.spread.set_state(NodeState::Serving);
         info!(self.log, "node serves");
         true
     }
@@ -78,7 +78,7 @@
     /// hosts, so that a planned stop cuts off nobody.
     async fn stop(&mut self) {
         info!(self.log, "node leaves");
-        self.spread.state(NodeState::Leaving);
+        self.spread.set_state(NodeState::Leaving);
         let _ = self.listeners.send(ListenerStage::Leaving);
         let gate = self.gate.clone();
         let drained = gate.leave();
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -215,7 +215,7 @@
             let refusal = services.gate.refuse(token, Try(up_to)).await;
             ControlReply::Refuse(refusal_frame(refusal))
         }
-        published => services.spread.answer(published).await,
+        published => services.spread.handle_request(published).await,
     };
     let reply = PeerReply::Control(reply);
     let writing = write_frame(&mut tx, &reply, Bytes::new());
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -15,19 +15,19 @@
 
 impl SpreadTask {
     /// Answers a peer's request.
-    pub(super) fn answer(&mut self, request: ControlRequest) -> ControlReply {
+    pub(super) fn handle_request(&mut self, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Digest(theirs) => {
                 let own = self.digest_frame();
-                self.take_digest(&theirs);
+                self.reconcile_digest(&theirs);
                 ControlReply::Digest(own)
             }
             ControlRequest::PullSince(after) => ControlReply::Entries {
-                entries: frames(&self.replica.since(Revision(after))),
+                entries: entry_frames(&self.replica.since(Revision(after))),
                 complete: Some(self.replica.complete().0),
             },
             ControlRequest::PullKeys(keys) => ControlReply::Entries {
-                entries: frames(&self.replica.pick(&keys_of(keys))),
+                entries: entry_frames(&self.replica.pick(&into_keys(keys))),
                 complete: None,
             },
             ControlRequest::Versions(theirs) => {
@@ -45,7 +45,7 @@
                 ControlReply::List(self.view.delta_since(Revision(after)))
             }
             ControlRequest::News(news) => {
-                self.take_news(news);
+                self.handle_news(news);
                 ControlReply::Done
             }
             ControlRequest::Entries(entries) => {
@@ -67,14 +67,15 @@
     }
 
     /// Takes in a peer's reply.
-    pub(super) fn replied(&mut self, node: &NodeName, reply: ControlReply) {
+    pub(super) fn handle_reply(&mut self, node: &NodeName, reply: ControlReply) {
         match reply {
             ControlReply::Digest(theirs) => {
-                if theirs.word.state == NodeState::Serving && self.start_peers.insert(node.clone())
+                if theirs.word.state == NodeState::Serving
+                    && self.startup_responders.insert(node.clone())
                 {
                     self.start_up.heard_peer(&theirs.digest);
                 }
-                self.take_digest(&theirs);
+                self.reconcile_digest(&theirs);
             }
             ControlReply::Entries { entries, complete } => {
                 self.apply_from_peer(entries, complete.map(Revision));
@@ -83,7 +84,7 @@
                 let theirs: Vec<_> = theirs.into_iter().map(KeyVersion::from).collect();
                 self.apply_difference(Some(node), &theirs);
             }
-            ControlReply::List(delta) => self.take_list(delta),
+            ControlReply::List(delta) => self.apply_list_delta(delta),
             ControlReply::Hello(_) | ControlReply::Refuse(_) | ControlReply::Done => {}
         }
     }
@@ -95,25 +96,25 @@
             word: WordFrame::from(&self.own_state_report()),
             digest: self.replica.digest(),
             list: self.view.revision().0,
-            config_age_ms: self.config_reads.read_age(now).map(millis),
-            list_age_ms: self.list_reads.read_age(now).map(millis),
+            config_age_ms: self.config_reads.read_age(now).map(whole_millis),
+            list_age_ms: self.list_reads.read_age(now).map(whole_millis),
         }
     }
 
     /// Compares a peer's copies with the own ones and fetches what is missing here.
-    fn take_digest(&mut self, theirs: &DigestFrame) {
+    fn reconcile_digest(&mut self, theirs: &DigestFrame) {
         let now = self.now();
         let node = NodeName(theirs.word.node.clone());
         self.record_state_report(StateReport::from(theirs.word.clone()));
-        self.take_ages(theirs, now);
+        self.record_peer_read_ages(theirs, now);
         if theirs.list > self.view.revision().0 {
-            self.ask(&node, ControlRequest::PullList(self.view.revision().0));
+            self.send_request(&node, ControlRequest::PullList(self.view.revision().0));
         }
         match self.replica.compare(&theirs.digest) {
             Comparison::TheyAreNewer => {
-                self.ask(&node, ControlRequest::PullSince(self.replica.complete().0));
+                self.send_request(&node, ControlRequest::PullSince(self.replica.complete().0));
             }
-            Comparison::Differ => self.ask_versions(&node, &theirs.digest),
+            Comparison::Differ => self.request_versions(&node, &theirs.digest),
             // The peer sees the same in this node's digest and pulls.
             Comparison::Same | Comparison::WeAreNewer => {}
         }
@@ -123,7 +124,7 @@
     ///
     /// Not before this node has read for itself: without the list it knows nobody to ask, and peers that found it first would keep
     /// it from reading; one would see a node that stays in its start while all others serve.
-    fn take_ages(&mut self, theirs: &DigestFrame, now: Instant) {
+    fn record_peer_read_ages(&mut self, theirs: &DigestFrame, now: Instant) {
         if let Some(age) = theirs.config_age_ms.filter(|_| self.is_ready()) {
             self.config_reads
                 .heard_fresh(Duration::from_millis(age), now);
@@ -133,36 +134,36 @@
         }
     }
 
-    fn ask_versions(&mut self, node: &NodeName, digest: &Digest) {
-        self.compared = Some(*digest);
+    fn request_versions(&mut self, node: &NodeName, digest: &Digest) {
+        self.version_exchange = Some(*digest);
         let versions = self
             .replica
             .versions()
             .iter()
             .map(VersionFrame::from)
             .collect();
-        self.ask(node, ControlRequest::Versions(versions));
+        self.send_request(node, ControlRequest::Versions(versions));
     }
 
     /// Acts on the versions of a peer whose digest differed at the same highest revision.
     ///
     /// The asked side learns nothing here that it may pull, since the asking one pushes what it lacks.
     fn apply_difference(&mut self, asker: Option<&NodeName>, theirs: &[KeyVersion]) {
-        let (Some(node), Some(digest)) = (asker, self.compared.take()) else {
+        let (Some(node), Some(digest)) = (asker, self.version_exchange.take()) else {
             return;
         };
         let difference = self.replica.difference(&digest, theirs);
         if !difference.wanted.is_empty() {
             let keys = difference.wanted.into_iter().map(|key| key.0).collect();
-            self.ask(node, ControlRequest::PullKeys(keys));
+            self.send_request(node, ControlRequest::PullKeys(keys));
         }
         if !difference.lacking.is_empty() {
-            let entries = frames(&self.replica.pick(&difference.lacking));
-            self.ask(node, ControlRequest::Entries(entries));
+            let entries = entry_frames(&self.replica.pick(&difference.lacking));
+            self.send_request(node, ControlRequest::Entries(entries));
         }
     }
 
-    fn take_news(&mut self, news: NewsFrame) {
+    fn handle_news(&mut self, news: NewsFrame) {
         let now = self.now();
         let from = NodeName(news.node);
         if !news.entries.is_empty() {
@@ -180,7 +181,7 @@
             .map(|key| key.0)
             .collect();
         if !wanted.is_empty() {
-            self.ask(&from, ControlRequest::PullKeys(wanted));
+            self.send_request(&from, ControlRequest::PullKeys(wanted));
         }
     }
 
@@ -194,7 +195,7 @@
             return;
         }
         let sent = entries.len();
-        let mut room = MOST_BYTES.saturating_sub(self.replica.bytes());
+        let mut room = MAX_REPLICA_BYTES.saturating_sub(self.replica.bytes());
         let mut taken = Vec::new();
         for entry in entries {
             let bytes = entry.key.len() + entry.value.len();
@@ -207,7 +208,7 @@
         self.apply(taken, complete.filter(|_| whole));
     }
 
-    fn take_list(&mut self, delta: ListDelta) {
+    fn apply_list_delta(&mut self, delta: ListDelta) {
         let now = self.now();
         self.view.apply_delta(delta, now);
         self.view_changed();
@@ -216,23 +217,23 @@
     /// Fetches from other nodes what the first one did not send in time.
     pub(super) fn retry_pulls(&mut self, now: Instant) {
         for retry in self.pulls.overdue(now) {
-            self.ask(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
+            self.send_request(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
         }
     }
 }
 
 /// Bytes of published entries above which none are taken from peers.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+const MAX_REPLICA_BYTES: usize = 16 * 1024 * 1024;
 
-fn frames(entries: &[Entry]) -> Vec<EntryFrame> {
+fn entry_frames(entries: &[Entry]) -> Vec<EntryFrame> {
     entries.iter().map(EntryFrame::from).collect()
 }
 
-fn keys_of(keys: Vec<SmolStr>) -> Vec<Key> {
+fn into_keys(keys: Vec<SmolStr>) -> Vec<Key> {
     keys.into_iter().map(Key).collect()
 }
 
-fn millis(age: Duration) -> u64 {
+fn whole_millis(age: Duration) -> u64 {
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
 }
 
--- a/crates/node/src/spread/handle.rs
+++ b/crates/node/src/spread/handle.rs
@@ -20,25 +20,29 @@
     }
 
     /// Answers a peer's request about what is published.
-    pub async fn answer(&self, request: ControlRequest) -> ControlReply {
-        self.ask(|reply| SpreadMessage::Asked(request, reply))
+    pub async fn handle_request(&self, request: ControlRequest) -> ControlReply {
+        self.ask(|reply| SpreadMessage::Request(request, reply))
             .await
             .unwrap_or(ControlReply::Done)
     }
 
     /// Tells that this node has begun to serve or to leave, for its own view and its peers.
-    pub fn state(&self, state: NodeState) {
-        let _ = self.tx.send(SpreadMessage::State(state));
+    pub fn set_state(&self, state: NodeState) {
+        let _ = self.tx.send(SpreadMessage::StateChanged(state));
     }
 
     /// State of every document.
-    pub async fn documents(&self) -> Vec<DocumentStatus> {
-        self.ask(SpreadMessage::Documents).await.unwrap_or_default()
+    pub async fn document_status(&self) -> Vec<DocumentStatus> {
+        self.ask(SpreadMessage::DocumentStatus)
+            .await
+            .unwrap_or_default()
     }
 
     /// State of the platform as seen from here.
-    pub async fn platform(&self) -> PlatformStatus {
-        self.ask(SpreadMessage::Platform).await.unwrap_or_default()
+    pub async fn platform_status(&self) -> PlatformStatus {
+        self.ask(SpreadMessage::PlatformStatus)
+            .await
+            .unwrap_or_default()
     }
 
     async fn ask<T, M>(&self, message: M) -> Option<T>
--- a/crates/node/src/spread/message.rs
+++ b/crates/node/src/spread/message.rs
@@ -16,17 +16,17 @@
     /// A read of the list of instances ended; `None` where it failed.
     ListRead(Option<InstancePage>),
     /// A peer sent a control request about what is published.
-    Asked(ControlRequest, oneshot::Sender<ControlReply>),
+    Request(ControlRequest, oneshot::Sender<ControlReply>),
     /// A peer replied to this node's request.
-    Replied(NodeName, ControlReply),
+    Reply(NodeName, ControlReply),
     /// A peer did not reply in time.
     NoReply,
     /// A peer could not be reached.
     Unreachable(NodeName),
     /// This node has begun to serve or to leave.
-    State(NodeState),
+    StateChanged(NodeState),
     /// State of every document, for operators.
-    Documents(oneshot::Sender<Vec<DocumentStatus>>),
+    DocumentStatus(oneshot::Sender<Vec<DocumentStatus>>),
     /// State of the platform, for operators.
-    Platform(oneshot::Sender<PlatformStatus>),
+    PlatformStatus(oneshot::Sender<PlatformStatus>),
 }
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -43,9 +43,9 @@
         });
     }
 
-    pub(super) fn config_read(&mut self, page: Option<ConfigPage>) {
+    pub(super) fn handle_config_read(&mut self, page: Option<ConfigPage>) {
         let now = self.now();
-        self.note_read(page.as_ref().map(|page| !page.entries.is_empty()));
+        self.record_read(page.as_ref().map(|page| !page.entries.is_empty()));
         let Some(page) = page else {
             self.config_reads.read_failed(now);
             return;
@@ -57,9 +57,9 @@
         self.apply(entries, Some(revision));
     }
 
-    pub(super) fn list_read(&mut self, page: Option<InstancePage>) {
+    pub(super) fn handle_list_read(&mut self, page: Option<InstancePage>) {
         let now = self.now();
-        self.note_read(page.as_ref().map(|page| !page.instances.is_empty()));
+        self.record_read(page.as_ref().map(|page| !page.instances.is_empty()));
         let Some(page) = page else {
             self.list_reads.read_failed(now);
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    fn note_read(&mut self, news: Option<bool>) {
+    fn record_read(&mut self, news: Option<bool>) {
         let end = match news {
             Some(true) => PlatformRead::News,
             Some(false) => PlatformRead::Nothing,
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -38,17 +38,17 @@
     pub(super) pulls: Pulls,
     pub(super) start_up: StartUp,
     /// Peers whose copies were heard of at the start.
-    pub(super) start_peers: Set<NodeName>,
+    pub(super) startup_responders: Set<NodeName>,
     /// Digest of the peer with which versions are being compared.
-    pub(super) compared: Option<Digest>,
+    pub(super) version_exchange: Option<Digest>,
     pub(super) last_read: Option<Instant>,
     pub(super) reachable: bool,
     /// State of this node.
     pub(super) state: NodeState,
     /// Requests to peers that are not answered yet.
-    pub(super) unanswered: usize,
+    pub(super) pending_requests: usize,
     /// When each node that the list still shows as live was heard to leave.
-    pub(super) left: Map<NodeName, Instant>,
+    pub(super) departed: Map<NodeName, Instant>,
     pub(super) rng: SmallRng,
     epoch: u64,
     reader: bool,
@@ -67,13 +67,13 @@
             gossip: GossipPlan::new(setup.gossip, &setup.node, &view),
             pulls: Pulls::new(PullConfig::default()),
             start_up: StartUp::new(setup.start_up, setup.started),
-            start_peers: Set::default(),
-            compared: None,
+            startup_responders: Set::default(),
+            version_exchange: None,
             last_read: None,
             reachable: false,
             state: NodeState::Starting,
-            unanswered: 0,
-            left: Map::default(),
+            pending_requests: 0,
+            departed: Map::default(),
             rng: SmallRng::from_os_rng(),
             epoch: view.epoch(),
             reader: false,
@@ -93,40 +93,40 @@
                     None => return,
                 },
                 Some(report) = self.setup.state_reports.recv() => self.record_state_report(report),
-                _ = tick.tick() => self.advance(),
+                _ = tick.tick() => self.run_periodic(),
             }
             self.read_if_due();
-            self.serve_if_ready();
+            self.update_readiness();
         }
     }
 
     fn handle(&mut self, message: SpreadMessage) {
         match message {
-            SpreadMessage::ConfigRead(page) => self.config_read(page),
-            SpreadMessage::ListRead(page) => self.list_read(page),
-            SpreadMessage::Asked(request, reply) => {
-                let _ = reply.send(self.answer(request));
+            SpreadMessage::ConfigRead(page) => self.handle_config_read(page),
+            SpreadMessage::ListRead(page) => self.handle_list_read(page),
+            SpreadMessage::Request(request, reply) => {
+                let _ = reply.send(self.handle_request(request));
             }
-            SpreadMessage::Replied(node, reply) => {
-                self.unanswered -= 1;
-                self.replied(&node, reply);
+            SpreadMessage::Reply(node, reply) => {
+                self.pending_requests -= 1;
+                self.handle_reply(&node, reply);
             }
-            SpreadMessage::NoReply => self.unanswered -= 1,
+            SpreadMessage::NoReply => self.pending_requests -= 1,
             SpreadMessage::Unreachable(node) => {
-                self.unanswered -= 1;
+                self.pending_requests -= 1;
                 self.view.unreachable(&node, self.now());
                 let event = Event::PeerDown { peer: node };
                 self.setup.recorder.record(None, event);
                 self.view_changed();
             }
-            SpreadMessage::State(state) => {
+            SpreadMessage::StateChanged(state) => {
                 self.state = state;
                 self.record_state_report(self.own_state_report());
             }
-            SpreadMessage::Documents(reply) => {
+            SpreadMessage::DocumentStatus(reply) => {
                 let _ = reply.send(self.document_status());
             }
-            SpreadMessage::Platform(reply) => {
+            SpreadMessage::PlatformStatus(reply) => {
                 let _ = reply.send(self.platform_status());
             }
         }
@@ -137,7 +137,7 @@
         let before = self.replica.digest();
         let mut news = Vec::new();
         for applied in self.replica.apply(entries, complete) {
-            self.offer(&applied.entry);
+            self.offer_document(&applied.entry);
             self.pulls
                 .arrived(&applied.entry.key, applied.entry.revision);
             if applied.newest {
@@ -146,7 +146,7 @@
         }
         self.start_up.have(&self.replica);
         if !news.is_empty() {
-            self.tell_news(&news);
+            self.push_entries(&news);
         }
         if self.replica.digest() != before {
             self.publish();
@@ -154,7 +154,7 @@
     }
 
     /// Puts a version in force, or shows why it can't be.
-    fn offer(&mut self, entry: &Entry) {
+    fn offer_document(&mut self, entry: &Entry) {
         let Some(service) = service_of(&entry.key) else {
             return;
         };
@@ -190,7 +190,7 @@
         let (node, state) = (report.node.clone(), report.state);
         if report.revision > self.replica.revision().0 {
             let after = self.replica.complete().0;
-            self.ask(&node, ControlRequest::PullSince(after));
+            self.send_request(&node, ControlRequest::PullSince(after));
         }
         let outcome = self.view.record_report(
             &report.node,
@@ -203,8 +203,8 @@
             return;
         }
         match state {
-            NodeState::Leaving => self.left.insert(node.clone(), now),
-            NodeState::Starting | NodeState::Serving => self.left.remove(&node),
+            NodeState::Leaving => self.departed.insert(node.clone(), now),
+            NodeState::Starting | NodeState::Serving => self.departed.remove(&node),
         };
         let event = match state {
             NodeState::Leaving => Event::PeerLeaving { peer: node },
@@ -227,22 +227,22 @@
         }
     }
 
-    fn advance(&mut self) {
+    fn run_periodic(&mut self) {
         let now = self.now();
         if self.view.advance(now) {
             self.view_changed();
         }
         self.exchange_digests(now);
         self.retry_pulls(now);
-        self.probe_left(now);
+        self.probe_departed(now);
     }
 
     /// Lets the node serve once it has the newest of what the platform and its peers hold.
     ///
     /// While a peer is still asked, something newer, or the last good version behind an invalid one, may be on its way; a node
     /// that served before it came would act on an older document than all others.
-    fn serve_if_ready(&mut self) {
-        if self.ready || self.unanswered > 0 || !self.start_up.ready(self.now()) {
+    fn update_readiness(&mut self) {
+        if self.ready || self.pending_requests > 0 || !self.start_up.ready(self.now()) {
             return;
         }
         self.ready = true;
@@ -260,16 +260,16 @@
         self.list_reads.observe(&self.setup.node, &self.view, now);
         self.gossip.update(&self.setup.node, &self.view);
         if !self.ready {
-            self.ask_at_start();
+            self.request_startup_digests();
         }
-        self.note_reader(
+        self.set_reader(
             self.config_reads
                 .is_reader(&self.setup.node, &self.view, now),
         );
         self.publish();
     }
 
-    fn note_reader(&mut self, reader: bool) {
+    fn set_reader(&mut self, reader: bool) {
         if reader == self.reader {
             return;
         }
