--- a/crates/node/src/spread.rs
+++ b/crates/node/src/spread.rs
@@ -1,4 +1,5 @@
-//! What is published: documents and instances, as this node holds them.
+//! Dissemination of published documents and of the instance list: reads of the platform, gossip between nodes and the
+//! local snapshot of both.
 
 mod exchange;
 mod handle;
