--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and replies between nodes about what is published.
+//! Requests and replies by which nodes reconcile their published entries and instance lists.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 };
 
 impl SpreadTask {
-    /// Answers a peer's request.
+    /// Handles a request from a peer and returns the reply.
     pub(super) fn handle_request(&mut self, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Digest(theirs) => {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes in a peer's reply.
+    /// Applies a peer's reply to an earlier request.
     pub(super) fn handle_reply(&mut self, node: &NodeName, reply: ControlReply) {
         match reply {
             ControlReply::Digest(theirs) => {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What this node tells of its copies.
+    /// Summarizes this node's replica, instance list and read ages for comparison by a peer.
     pub(super) fn digest_frame(&self) -> DigestFrame {
         let now = self.now();
         DigestFrame {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Compares a peer's copies with the own ones and fetches what is missing here.
+    /// Compares a peer's digest with the local replica and list, and requests what is newer or different at the peer.
     fn reconcile_digest(&mut self, theirs: &DigestFrame) {
         let now = self.now();
         let node = NodeName(theirs.word.node.clone());
@@ -115,15 +115,16 @@
                 self.send_request(&node, ControlRequest::PullSince(self.replica.complete().0));
             }
             Comparison::Differ => self.request_versions(&node, &theirs.digest),
-            // The peer sees the same in this node's digest and pulls.
+            // A peer that is behind finds this out from this node's digest and pulls.
             Comparison::Same | Comparison::WeAreNewer => {}
         }
     }
 
-    /// Lets a peer's recent reads stand for own ones.
+    /// Counts a peer's recent platform reads as reads of this node, so that it need not read by itself.
     ///
-    /// Not before this node has read for itself: without the list it knows nobody to ask, and peers that found it first would keep
-    /// it from reading; one would see a node that stays in its start while all others serve.
+    /// Configuration reads count only once the node is ready, list reads only once it has an instance list. Without the list
+    /// it has no peers to pull from; if peers that contact it first postponed its own reads, it would stay in startup while
+    /// all other nodes serve.
     fn record_peer_read_ages(&mut self, theirs: &DigestFrame, now: Instant) {
         if let Some(age) = theirs.config_age_ms.filter(|_| self.is_ready()) {
             self.config_reads
@@ -145,11 +146,12 @@
         self.send_request(node, ControlRequest::Versions(versions));
     }
 
-    /// Acts on the versions of a peer whose digest differed at the same highest revision.
+    /// Reconciles with a peer whose digest differs although its highest revision is the same.
     ///
-    /// The asked side learns nothing here that it may pull, since the asking one pushes what it lacks.
-    fn apply_difference(&mut self, asker: Option<&NodeName>, theirs: &[KeyVersion]) {
-        let (Some(node), Some(digest)) = (asker, self.version_exchange.take()) else {
+    /// Only the side that requested the versions acts: it pulls the keys it wants and pushes the entries that the peer
+    /// lacks. `peer` is `None` on the side that received the request.
+    fn apply_difference(&mut self, peer: Option<&NodeName>, theirs: &[KeyVersion]) {
+        let (Some(node), Some(digest)) = (peer, self.version_exchange.take()) else {
             return;
         };
         let difference = self.replica.difference(&digest, theirs);
@@ -185,27 +187,27 @@
         }
     }
 
-    /// Takes in entries of a peer as far as there is room.
+    /// Applies entries received from a peer, up to `MAX_REPLICA_BYTES`.
     ///
-    /// Nothing proves that the platform ever held them, so that a peer could fill every node's memory. Own reads are not
-    /// bounded: they bring what was left out here.
+    /// Entries from peers carry no proof that the platform published them, so without this limit one peer could exhaust the
+    /// memory of every node. Reads from the platform are not limited and deliver the entries that are dropped here.
     fn apply_from_peer(&mut self, entries: Vec<EntryFrame>, complete: Option<Revision>) {
         if entries.is_empty() {
             self.apply(Vec::new(), complete);
             return;
         }
         let sent = entries.len();
-        let mut room = MAX_REPLICA_BYTES.saturating_sub(self.replica.bytes());
+        let mut remaining = MAX_REPLICA_BYTES.saturating_sub(self.replica.bytes());
         let mut taken = Vec::new();
         for entry in entries {
             let bytes = entry.key.len() + entry.value.len();
-            if bytes <= room {
-                room -= bytes;
+            if bytes <= remaining {
+                remaining -= bytes;
                 taken.push(Entry::from(entry));
             }
         }
-        let whole = taken.len() == sent;
-        self.apply(taken, complete.filter(|_| whole));
+        let all_taken = taken.len() == sent;
+        self.apply(taken, complete.filter(|_| all_taken));
     }
 
     fn apply_list_delta(&mut self, delta: ListDelta) {
@@ -214,7 +216,7 @@
         self.view_changed();
     }
 
-    /// Fetches from other nodes what the first one did not send in time.
+    /// Retries overdue pulls at another node that announced the entry.
     pub(super) fn retry_pulls(&mut self, now: Instant) {
         for retry in self.pulls.overdue(now) {
             self.send_request(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
@@ -222,7 +224,7 @@
     }
 }
 
-/// Bytes of published entries above which none are taken from peers.
+/// Size of the replica in bytes above which entries from peers are dropped.
 const MAX_REPLICA_BYTES: usize = 16 * 1024 * 1024;
 
 fn entry_frames(entries: &[Entry]) -> Vec<EntryFrame> {
