--- a/crates/node/src/spread/message.rs
+++ b/crates/node/src/spread/message.rs
@@ -1,4 +1,4 @@
-//! What is said to the spread task.
+//! Messages to the spread task.
 
 use coltsfootport_core::id::NodeName;
 use coltsfootport_core::membership::NodeState;
@@ -8,25 +8,25 @@
 use crate::operators::{DocumentStatus, PlatformStatus};
 use crate::wire::{ControlReply, ControlRequest};
 
-/// Everything that is said to the spread task.
+/// A message to the spread task.
 #[derive(Debug)]
 pub enum SpreadMessage {
-    /// A read of the configuration service ended; `None` where it failed.
+    /// A read of the configuration service finished; `None` if it failed.
     ConfigRead(Option<ConfigPage>),
-    /// A read of the list of instances ended; `None` where it failed.
+    /// A read of the instance list finished; `None` if it failed.
     ListRead(Option<InstancePage>),
-    /// A peer sent a control request about what is published.
+    /// A peer sent a control request about published entries, the instance list or node states.
     Request(ControlRequest, oneshot::Sender<ControlReply>),
-    /// A peer replied to this node's request.
+    /// A peer replied to a request of this node.
     Reply(NodeName, ControlReply),
-    /// A peer did not reply in time.
+    /// The request failed or timed out after a connection to the peer was established.
     NoReply,
-    /// A peer could not be reached.
+    /// No connection to the peer could be established.
     Unreachable(NodeName),
-    /// This node has begun to serve or to leave.
+    /// This node has started serving or leaving.
     StateChanged(NodeState),
-    /// State of every document, for operators.
+    /// Requests the state of every document for the operators' listener.
     DocumentStatus(oneshot::Sender<Vec<DocumentStatus>>),
-    /// State of the platform, for operators.
+    /// Requests the state of platform reads for the operators' listener.
     PlatformStatus(oneshot::Sender<PlatformStatus>),
 }
