--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! What this node sends to its peers about what is published.
+//! Requests that this node sends to peers: pushes, digest exchanges and probes.
 
 use std::time::{Duration, Instant};
 
@@ -11,25 +11,25 @@
 use crate::wire::{ControlRequest, EntryFrame, NewsFrame, VersionFrame, WordFrame};
 
 impl SpreadTask {
-    /// Tells all peers of new entries, small ones whole.
-    pub(super) fn push_entries(&mut self, news: &[Entry]) {
-        let (whole, notices): (Vec<&Entry>, Vec<&Entry>) = news
+    /// Pushes new entries to all push targets: small entries with their value, others as a notice with key and revision.
+    pub(super) fn push_entries(&mut self, entries: &[Entry]) {
+        let (inlined, notices): (Vec<&Entry>, Vec<&Entry>) = entries
             .iter()
             .partition(|entry| self.gossip.push_form(entry.value.len()) == PushForm::Whole);
         let frame = NewsFrame {
             node: self.setup.node.0.clone(),
             notices: notices.into_iter().map(VersionFrame::from).collect(),
-            entries: whole.into_iter().map(EntryFrame::from).collect(),
+            entries: inlined.into_iter().map(EntryFrame::from).collect(),
         };
         self.broadcast(&ControlRequest::News(frame));
     }
 
-    /// Passes on what a node told about itself.
+    /// Forwards a node's state report to all push targets.
     pub(super) fn forward_state_report(&mut self, report: &StateReport) {
         self.broadcast(&ControlRequest::Words(vec![WordFrame::from(report)]));
     }
 
-    /// Compares copies with one peer where it is time.
+    /// Sends a digest to one peer when the gossip plan has an exchange due.
     pub(super) fn exchange_digests(&mut self, now: Instant) {
         let Some(peer) = self.gossip.digest_peer(now, &mut self.rng).cloned() else {
             return;
@@ -37,10 +37,10 @@
         self.send_request(&peer, ControlRequest::Digest(self.digest_frame()));
     }
 
-    /// Looks whether a node that left has come back.
+    /// Probes a node that reported leaving but is still listed as live, in case it has restarted.
     ///
-    /// A node that is restarted under its name before the list has shown its leaving stays out of use until somebody hears its
-    /// new incarnation; nobody would, since nobody sends it work.
+    /// A node that restarts under its old name before the instance list shows its departure stays unused until some node
+    /// receives a report of its new incarnation. Without the probe none would, since no calls are routed to it.
     pub(super) fn probe_departed(&mut self, now: Instant) {
         let view = &self.view;
         self.departed
@@ -58,7 +58,8 @@
         self.send_request(&node, ControlRequest::Digest(self.digest_frame()));
     }
 
-    /// Compares copies with every peer that was not heard yet, so that a starting node knows of the newest before it serves.
+    /// Sends a digest to every push target that has not answered one yet as a serving node, so that a starting node learns the
+    /// newest revisions before it serves.
     pub(super) fn request_startup_digests(&mut self) {
         let peers = self.gossip.push_targets().to_vec();
         for peer in peers {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sends a request; the reply comes back as a message to this task.
+    /// Sends a request in a separate task, which delivers the result as a message to this one.
     pub(super) fn send_request(&mut self, node: &NodeName, request: ControlRequest) {
         let Some(entry) = self.view.get(node) else {
             return;
@@ -96,10 +97,10 @@
     }
 }
 
-/// How long a peer's reply is waited for.
+/// Time after which a request to a peer counts as unanswered.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which a node that left, but is still listed as live, is looked for.
+/// Time between a node's report of leaving and the first probe, and between probes, while it is listed as live.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl From<&Entry> for VersionFrame {
