--- a/crates/node/src/spread/platform_client.rs
+++ b/crates/node/src/spread/platform_client.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's configuration service and instance list.
+//! HTTP client of the platform's configuration service and instance list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,69 +15,69 @@
 
 use crate::http::read_whole;
 
-/// Reads the platform; nothing is ever written to it.
+/// Read-only client of the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
     timeout: Duration,
 }
 
-/// Why a read gave nothing.
+/// Why a read of the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No connection or no answer in time.
-    #[error("the platform can't be reached")]
+    /// The connection failed, or no complete response arrived in time.
+    #[error("platform unreachable")]
     Unreachable,
-    /// An answer other than 200.
-    #[error("the platform answered {0}")]
+    /// The response status was not 200.
+    #[error("platform responded with status {0}")]
     Status(StatusCode),
-    /// An answer that can't be read.
-    #[error("the platform's answer is malformed: {0}")]
+    /// The response body is not the expected JSON.
+    #[error("malformed response from the platform: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Entries newer than a revision.
+/// Configuration entries newer than the requested revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ConfigPage {
-    /// Highest revision of the store.
+    /// Highest revision in the configuration store.
     pub revision: u64,
-    /// The entries.
+    /// Entries newer than the requested revision.
     pub entries: Vec<ConfigEntry>,
 }
 
 /// One entry of the configuration service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ConfigEntry {
-    /// Its key.
+    /// Key in the configuration store.
     pub key: String,
-    /// Its revision.
+    /// Revision at which the value was written.
     pub revision: u64,
-    /// Its value.
+    /// Unparsed value.
     pub value: String,
 }
 
-/// The whole list of instances, where it is newer than asked for.
+/// The complete instance list, if it is newer than the requested revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InstancePage {
-    /// Revision of the list.
+    /// Revision of the instance list.
     pub revision: u64,
-    /// The list; absent or empty where nothing is newer.
+    /// All instances; absent or empty if the list has not changed since the requested revision.
     #[serde(default)]
     pub instances: Vec<InstanceEntry>,
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address`, which waits `timeout` beyond what it asks the platform to wait.
+    /// Creates a client of the platform at `address`. A request times out `timeout` after the wait it asks the platform for.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
 
-    /// Entries newer than `after`; waits up to `wait` for one.
+    /// Returns entries newer than `after`; the platform holds the request for up to `wait` until there is one.
     pub async fn config(&self, after: u64, wait: Duration) -> Result<ConfigPage, PlatformError> {
         self.get("config", after, wait).await
     }
 
-    /// The list of instances where newer than `after`; waits up to `wait` for it.
+    /// Returns the instance list if it is newer than `after`; the platform holds the request for up to `wait` until it is.
     pub async fn instances(
         &self,
         after: u64,
@@ -86,11 +86,11 @@
         self.get("instances", after, wait).await
     }
 
-    async fn get<T>(&self, what: &str, after: u64, wait: Duration) -> Result<T, PlatformError>
+    async fn get<T>(&self, resource: &str, after: u64, wait: Duration) -> Result<T, PlatformError>
     where
         T: DeserializeOwned,
     {
-        let uri = format!("/{what}?after={after}&wait_ms={}", wait.as_millis());
+        let uri = format!("/{resource}?after={after}&wait_ms={}", wait.as_millis());
         let body = tokio::time::timeout(self.timeout + wait, self.fetch(uri))
             .await
             .map_err(|_| PlatformError::Unreachable)??;
@@ -118,11 +118,11 @@
         if res.status() != StatusCode::OK {
             return Err(PlatformError::Status(res.status()));
         }
-        read_whole(res.into_body(), MAX_PAGE)
+        read_whole(res.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|_| PlatformError::Unreachable)
     }
 }
 
-/// Largest answer read, in bytes.
-const MAX_PAGE: usize = 64 * 1024 * 1024;
+/// Largest accepted response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
