--- a/crates/node/src/spread/published.rs
+++ b/crates/node/src/spread/published.rs
@@ -1,4 +1,4 @@
-//! The snapshot that every other task reads.
+//! Snapshot of documents and nodes that the spread task publishes to all other tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::routing::PeerView;
 
-/// Documents in force and nodes believed to exist, at one moment.
+/// Snapshot of the documents in force and the nodes on the instance list.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
-    /// Documents in force by service.
+    /// Documents in force, by service.
     pub documents: Map<ServiceName, DocumentInForce>,
-    /// Nodes on the list with what they told of themselves.
+    /// Nodes on the instance list, with the state from their own reports.
     pub nodes: Vec<NodeEntry>,
-    /// Highest revision of the configuration service known here.
+    /// Highest configuration revision in the local replica.
     pub revision: u64,
-    /// Whether this node knows enough to serve.
+    /// Whether startup synchronization has completed, so that this node may serve.
     pub ready: bool,
 }
 
-/// A document that calls are classified by.
+/// The newest valid version of a document, by which calls are classified.
 #[derive(Clone, Debug)]
 pub struct DocumentInForce {
-    /// Its revision.
+    /// Revision of this version.
     pub revision: u64,
-    /// The document.
+    /// Parsed document.
     pub document: Arc<Document>,
 }
 
-/// A node on the list.
+/// A node on the instance list.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
-    /// As routing sees it.
+    /// Properties used for routing.
     pub view: PeerView,
-    /// Its peers' address.
+    /// Address of its listener for peers.
     pub peer: SocketAddr,
-    /// Its operators' address.
+    /// Address of its listener for operators.
     pub operators: SocketAddr,
 }
