--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform.
+//! Reads of the configuration service and the instance list from the platform.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::metrics::PlatformRead;
 
 impl SpreadTask {
-    /// Starts the reads whose time has come.
+    /// Starts the platform reads that are due.
     pub(super) fn read_if_due(&mut self) {
         let now = self.now();
         let watch = self.setup.reader.watch_wait;
-        if let Some(wait) = due(self.config_reads.next_read(now, &mut self.rng), now, watch)
+        if let Some(wait) = due_wait(self.config_reads.next_read(now, &mut self.rng), now, watch)
             && self.config_reads.begin_read()
         {
             self.read_config(wait);
         }
-        if let Some(wait) = due(self.list_reads.next_read(now, &mut self.rng), now, watch)
+        if let Some(wait) = due_wait(self.list_reads.next_read(now, &mut self.rng), now, watch)
             && self.list_reads.begin_read()
         {
             self.read_list(wait);
@@ -72,22 +72,23 @@
         }
     }
 
-    fn record_read(&mut self, news: Option<bool>) {
-        let end = match news {
+    /// Records the result of a read: whether it returned changes, or `None` if it failed.
+    fn record_read(&mut self, has_changes: Option<bool>) {
+        let result = match has_changes {
             Some(true) => PlatformRead::News,
             Some(false) => PlatformRead::Nothing,
             None => PlatformRead::Failed,
         };
-        self.setup.metrics.documents.read(end);
-        self.reachable = news.is_some();
+        self.setup.metrics.documents.read(result);
+        self.reachable = has_changes.is_some();
         if self.reachable {
             self.last_read = Some(self.now());
         }
     }
 }
 
-/// How long the read that is due now may wait at the platform; `None` where none is due.
-fn due(next: NextRead, now: std::time::Instant, watch: Duration) -> Option<Duration> {
+/// Returns how long the platform may hold a read that is due now, or `None` if no read is due.
+fn due_wait(next: NextRead, now: std::time::Instant, watch: Duration) -> Option<Duration> {
     match next {
         NextRead::Watch => Some(watch),
         NextRead::At(at) if at <= now => Some(Duration::ZERO),
