--- a/crates/node/src/spread/setup.rs
+++ b/crates/node/src/spread/setup.rs
@@ -1,4 +1,4 @@
-//! What the task is made of.
+//! Dependencies and settings of the spread task.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,38 +14,38 @@
 use crate::peers::HubHandle;
 use crate::recorder::Recorder;
 
-/// What the task is made of.
+/// Dependencies and settings of the spread task.
 pub struct SpreadSetup {
-    /// Name of the node.
+    /// Name of this node.
     pub node: NodeName,
-    /// This run of the node.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// When this run began.
+    /// Time at which this run started.
     pub started: Instant,
-    /// Settings of the reads.
+    /// Settings of reads from the platform.
     pub reader: ReaderConfig,
-    /// Settings of the exchange with peers.
+    /// Settings of gossip with peers.
     pub gossip: GossipConfig,
-    /// Settings of the wait at the start.
+    /// Settings of startup synchronization.
     pub start_up: StartUpConfig,
-    /// Reads the platform.
+    /// Client of the platform.
     pub platform: PlatformClient,
     /// Connections to peers.
     pub hub: HubHandle,
-    /// The process's clock.
+    /// Clock shared by the whole process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records timeline events.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// The node's log.
+    /// Logger of the node.
     pub log: Logger,
-    /// Where snapshots are published to the other tasks.
+    /// Publishes snapshots to the other tasks.
     pub published: watch::Sender<Arc<Published>>,
     /// State reports that nodes sent about themselves, taken from greetings, announcements and call replies.
     pub state_reports: mpsc::UnboundedReceiver<StateReport>,
-    /// Sends to the task itself.
+    /// Sends messages to this task; cloned into the tasks that read the platform or send requests.
     pub tx: mpsc::UnboundedSender<SpreadMessage>,
-    /// Messages to the task.
+    /// Receives the messages to this task.
     pub rx: mpsc::UnboundedReceiver<SpreadMessage>,
 }
