--- a/crates/node/src/spread/status.rs
+++ b/crates/node/src/spread/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of documents and platform.
+//! Status of documents and platform reads for the operators' listener.
 
 use coltsfootport_core::dissemination::Key;
 use smol_str::SmolStr;
@@ -8,18 +8,18 @@
 use crate::operators::{DocumentStatus, PlatformStatus};
 
 impl SpreadTask {
-    /// State of every document.
+    /// Returns the state of every document, sorted by service.
     pub(super) fn document_status(&self) -> Vec<DocumentStatus> {
         let mut documents: Vec<_> = self
             .documents
             .keys()
-            .filter_map(|key| self.status_of(key))
+            .filter_map(|key| self.status_for_key(key))
             .collect();
         documents.sort_unstable_by(|a, b| a.service.cmp(&b.service));
         documents
     }
 
-    /// State of the platform.
+    /// Returns the state of platform reads as seen by this node.
     pub(super) fn platform_status(&self) -> PlatformStatus {
         let now = self.now();
         let age = self
@@ -33,7 +33,7 @@
         }
     }
 
-    fn status_of(&self, key: &Key) -> Option<DocumentStatus> {
+    fn status_for_key(&self, key: &Key) -> Option<DocumentStatus> {
         let rejected = self.documents.rejected(key);
         let faults = rejected
             .map(|rejected| rejected.faults.as_slice())
