--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the node's copy of what is published.
+//! The task that owns the local replica of published entries and the view of the fleet.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, StateReport};
 
-/// The task that owns the replica of published entries and the view of the fleet.
+/// Actor that owns the replica and the view of the fleet, reads the platform and gossips with peers.
 pub struct SpreadTask {
     pub(super) setup: SpreadSetup,
     pub(super) replica: Replica,
@@ -37,17 +37,17 @@
     pub(super) gossip: GossipPlan,
     pub(super) pulls: Pulls,
     pub(super) start_up: StartUp,
-    /// Peers whose copies were heard of at the start.
+    /// Serving peers whose digest has been received in a reply. Readiness takes their revisions into account.
     pub(super) startup_responders: Set<NodeName>,
-    /// Digest of the peer with which versions are being compared.
+    /// Digest of the peer to which the last version request was sent.
     pub(super) version_exchange: Option<Digest>,
     pub(super) last_read: Option<Instant>,
     pub(super) reachable: bool,
-    /// State of this node.
+    /// Lifecycle state of this node.
     pub(super) state: NodeState,
-    /// Requests to peers that are not answered yet.
+    /// Number of requests to peers without a reply or error yet.
     pub(super) pending_requests: usize,
-    /// When each node that the list still shows as live was heard to leave.
+    /// Nodes that reported leaving, with the time of that report or of the last probe.
     pub(super) departed: Map<NodeName, Instant>,
     pub(super) rng: SmallRng,
     epoch: u64,
@@ -56,7 +56,7 @@
 }
 
 impl SpreadTask {
-    /// The task.
+    /// Creates the task; `run` starts it.
     pub fn new(setup: SpreadSetup) -> Self {
         let view = View::new(MembershipConfig::default());
         Self {
@@ -132,28 +132,28 @@
         }
     }
 
-    /// Takes in entries from the platform or a peer and tells peers what is new.
+    /// Applies entries from the platform or a peer to the replica and pushes the new ones to peers.
     pub(super) fn apply(&mut self, entries: Vec<Entry>, complete: Option<Revision>) {
         let before = self.replica.digest();
-        let mut news = Vec::new();
+        let mut new_entries = Vec::new();
         for applied in self.replica.apply(entries, complete) {
             self.offer_document(&applied.entry);
             self.pulls
                 .arrived(&applied.entry.key, applied.entry.revision);
             if applied.newest {
-                news.push(applied.entry);
+                new_entries.push(applied.entry);
             }
         }
         self.start_up.have(&self.replica);
-        if !news.is_empty() {
-            self.push_entries(&news);
+        if !new_entries.is_empty() {
+            self.push_entries(&new_entries);
         }
         if self.replica.digest() != before {
             self.publish();
         }
     }
 
-    /// Puts a version in force, or shows why it can't be.
+    /// Parses a document version and puts it in force, or records why it was rejected.
     fn offer_document(&mut self, entry: &Entry) {
         let Some(service) = service_of(&entry.key) else {
             return;
@@ -184,7 +184,7 @@
         self.setup.recorder.record(None, event);
     }
 
-    /// Takes in what a node told about itself, and passes on what changed.
+    /// Applies a state report to the view, and forwards it to peers if it changed the view.
     pub(super) fn record_state_report(&mut self, report: StateReport) {
         let now = self.now();
         let (node, state) = (report.node.clone(), report.state);
@@ -215,7 +215,7 @@
         self.view_changed();
     }
 
-    /// What this node tells about itself.
+    /// Returns this node's report about itself.
     pub(super) fn own_state_report(&self) -> StateReport {
         let age = self.now().saturating_duration_since(self.setup.started);
         StateReport {
@@ -227,6 +227,7 @@
         }
     }
 
+    /// Expires reports in the view and starts the digest exchanges, retries and probes that are due.
     fn run_periodic(&mut self) {
         let now = self.now();
         if self.view.advance(now) {
@@ -237,10 +238,10 @@
         self.probe_departed(now);
     }
 
-    /// Lets the node serve once it has the newest of what the platform and its peers hold.
+    /// Marks the node as ready once its replica is as new as the platform and its peers, within the limits of `StartUp`.
     ///
-    /// While a peer is still asked, something newer, or the last good version behind an invalid one, may be on its way; a node
-    /// that served before it came would act on an older document than all others.
+    /// While a request to a peer is pending, its reply may bring a newer entry, or the last valid version behind an invalid
+    /// one. A node that served before it arrived would act on an older document than all other nodes.
     fn update_readiness(&mut self) {
         if self.ready || self.pending_requests > 0 || !self.start_up.ready(self.now()) {
             return;
@@ -249,7 +250,7 @@
         self.publish();
     }
 
-    /// Follows a changed view: other peers, perhaps another reader, and another snapshot.
+    /// Updates push targets, the reader role and the published snapshot if the view has changed.
     pub(super) fn view_changed(&mut self) {
         if self.view.epoch() == self.epoch {
             return;
@@ -269,6 +270,7 @@
         self.publish();
     }
 
+    /// Records a timeline event when this node becomes a reader or ceases to be one.
     fn set_reader(&mut self, reader: bool) {
         if reader == self.reader {
             return;
@@ -338,14 +340,16 @@
     }
 }
 
-/// Time between two looks at what is due.
+/// Interval of the periodic work.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Prefix of the keys under which documents are published.
-const DOCUMENTS: &str = "documents/";
+/// Prefix of document keys in the configuration service.
+const DOCUMENT_KEY_PREFIX: &str = "documents/";
 
 pub(super) fn service_of(key: &Key) -> Option<ServiceName> {
-    key.0.strip_prefix(DOCUMENTS).map(ServiceName::from)
+    key.0
+        .strip_prefix(DOCUMENT_KEY_PREFIX)
+        .map(ServiceName::from)
 }
 
 fn first_fault(parsed: &Result<Arc<Document>, Vec<Fault>>) -> SmolStr {
