--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -177,7 +177,7 @@
                 head: HEAD_ALLOWANCE + limits.header_bytes as usize,
                 body: limits.body_bytes as usize,
             },
-            frame_time: limits.header_timeout,
+            frame_timeout: limits.header_timeout,
         };
         let (hub_task, hub) = Hub::new(endpoint.clone(), services.clone(), limits.idle_timeout);
         tokio::spawn(hub_task.run());
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -48,7 +48,7 @@
     /// Limits of what is read.
     pub limits: FrameLimits,
     /// Time in which a handshake, or a whole frame, must arrive.
-    pub frame_time: Duration,
+    pub frame_timeout: Duration,
 }
 
 /// Accepts connections of peers.
@@ -91,7 +91,7 @@
             };
             let (services, hub) = (self.services.clone(), self.hub.clone());
             tokio::spawn(async move {
-                let handshake = timeout(services.frame_time, incoming.into_future()).await;
+                let handshake = timeout(services.frame_timeout, incoming.into_future()).await;
                 drop(place);
                 match handshake {
                     Ok(Ok(connection)) => {
@@ -138,7 +138,7 @@
     services: PeerServices,
 ) -> Result<(), FrameError> {
     // A peer that stops halfway would keep its place and its buffer for ever, and with enough streams everybody's.
-    let reading = timeout(services.frame_time, read(&mut rx, &services)).await;
+    let reading = timeout(services.frame_timeout, read(&mut rx, &services)).await;
     match reading.unwrap_or(Err(FrameError::Slow))? {
         // Boxed, so that a stream whose frame has not arrived takes little memory.
         Asked::Call(frame, body) => Box::pin(serve_call(*frame, body, tx, services)).await,
