--- a/crates/node/src/node/life.rs
+++ b/crates/node/src/node/life.rs
@@ -109,7 +109,7 @@
         };
         let hello = HelloFrame::new(&report, self.recorder.stamp());
         self.hub
-            .tell_all(ControlRequest::Announce(hello), ANNOUNCE_PATIENCE);
+            .broadcast(ControlRequest::Announce(hello), ANNOUNCE_PATIENCE);
     }
 }
 
--- a/crates/node/src/peers/hub.rs
+++ b/crates/node/src/peers/hub.rs
@@ -52,7 +52,7 @@
     ),
     Opened(NodeName, SocketAddr, Option<Link>, u32),
     Accepted(Link),
-    TellAll(ControlRequest, Duration),
+    Broadcast(ControlRequest, Duration),
 }
 
 /// A connection that a peer opened.
@@ -140,7 +140,7 @@
                     self.opened(node, address, link, failures);
                 }
                 HubMessage::Accepted(link) => self.accepted(link),
-                HubMessage::TellAll(request, patience) => self.tell_all(request, patience),
+                HubMessage::Broadcast(request, patience) => self.broadcast(request, patience),
             }
         }
     }
@@ -177,7 +177,7 @@
     }
 
     /// Tells everybody who has a connection here, in either direction.
-    fn tell_all(&self, request: ControlRequest, patience: Duration) {
+    fn broadcast(&self, request: ControlRequest, patience: Duration) {
         let opened = self.slots.values().filter_map(|slot| match slot {
             Slot::Open(_, link) | Slot::Unproven(_, link) => Some(link),
             Slot::Opening(..) | Slot::Failed(_) => None,
@@ -339,8 +339,8 @@
     }
 
     /// Tells everybody who has a connection to this node, without waiting for replies.
-    pub fn tell_all(&self, request: ControlRequest, patience: Duration) {
-        let _ = self.tx.send(HubMessage::TellAll(request, patience));
+    pub fn broadcast(&self, request: ControlRequest, patience: Duration) {
+        let _ = self.tx.send(HubMessage::Broadcast(request, patience));
     }
 }
 
