--- a/crates/node/src/peers/identity.rs
+++ b/crates/node/src/peers/identity.rs
@@ -1,4 +1,4 @@
-//! Who the other end of a connection is, by its certificate.
+//! Identity of the remote end of a connection, by its certificate.
 
 use std::any::Any;
 use std::hash::{Hash, Hasher};
@@ -9,20 +9,20 @@
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::server::ParsedCertificate;
 
-/// The certificate that the other end of a connection has shown and the handshake has verified.
+/// End-entity certificate that a peer presented and the TLS handshake verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerIdentity(CertificateDer<'static>);
 
 impl PeerIdentity {
-    /// The identity of the other end; `None` where it showed no certificate.
+    /// Returns the identity of the remote end, or `None` if it presented no certificate.
     pub fn of(connection: &Connection) -> Option<Self> {
-        let shown: Box<dyn Any> = connection.peer_identity()?;
-        let chain = shown.downcast::<Vec<CertificateDer<'static>>>().ok()?;
+        let identity: Box<dyn Any> = connection.peer_identity()?;
+        let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
         chain.into_iter().next().map(Self)
     }
 
-    /// Whether the certificate was made out to a node of this name.
-    pub fn is(&self, node: &NodeName) -> bool {
+    /// Returns whether the certificate is valid for the name of this node.
+    pub fn is_node(&self, node: &NodeName) -> bool {
         let Ok(name) = ServerName::try_from(node.as_str()) else {
             return false;
         };
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Serves the streams that peers open.
+//! Server for the streams that peers open.
 
 use std::future::IntoFuture;
 use std::sync::Arc;
@@ -26,32 +26,32 @@
     PeerRequest, RefusalFrame, ReplyFrame, read_body, read_head, write_frame,
 };
 
-/// What the streams of peers are served with.
+/// Dependencies and limits for serving the streams of peers.
 #[derive(Clone)]
 pub struct PeerServices {
-    /// Places for streams at a time; all are free again when the last answer has been taken in by its peer.
+    /// Limits concurrent streams. All permits are available again once peers have acknowledged all answers.
     pub streams: Arc<Semaphore>,
-    /// Runs calls.
+    /// Runs calls at this node's target.
     pub host: Host,
-    /// Refuses tokens.
+    /// Handles requests to refuse a token.
     pub gate: GateHandle,
-    /// Takes note of what peers tell about themselves.
+    /// Receives the state reports in greetings and announcements.
     pub routes: RoutesHandle,
-    /// Exchanges what is published.
+    /// Handles control requests about published entries, the instance list and node states.
     pub spread: SpreadHandle,
-    /// The process's clock.
+    /// Clock shared by the whole process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records timeline events and keeps the hybrid logical clock.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Limits of what is read.
+    /// Size limits of frames.
     pub limits: FrameLimits,
-    /// Time in which a handshake, or a whole frame, must arrive.
+    /// Time within which a handshake must complete or a whole frame must arrive.
     pub frame_timeout: Duration,
 }
 
-/// Accepts connections of peers.
+/// Accepts connections from peers.
 #[derive(Clone)]
 pub struct PeerServer {
     endpoint: Endpoint,
@@ -64,14 +64,14 @@
         Link::new(connection, node, self.limits, self.metrics.clone())
     }
 
-    fn hear(&self, hello: HelloFrame) {
+    fn record_hello(&self, hello: HelloFrame) {
         self.recorder.observe(hello.stamp);
         self.routes.heard(HostReport::from(hello.report));
     }
 }
 
 impl PeerServer {
-    /// A server on the peers' endpoint.
+    /// Creates a server that accepts connections on `endpoint`.
     pub fn new(endpoint: Endpoint, services: PeerServices, hub: HubHandle) -> Self {
         Self {
             endpoint,
@@ -82,23 +82,23 @@
 
     /// Runs until the endpoint is closed.
     pub async fn run(self) {
-        let handshakes = Arc::new(Semaphore::new(MOST_HANDSHAKES));
+        let handshakes = Arc::new(Semaphore::new(MAX_PENDING_HANDSHAKES));
         while let Some(incoming) = self.endpoint.accept().await {
-            // Anybody can begin handshakes, under any sender's address, and each takes memory until it ends.
-            let Ok(place) = Arc::clone(&handshakes).try_acquire_owned() else {
+            // Handshakes need no authentication, can come from spoofed source addresses and occupy memory until they end.
+            let Ok(permit) = Arc::clone(&handshakes).try_acquire_owned() else {
                 incoming.refuse();
                 continue;
             };
             let (services, hub) = (self.services.clone(), self.hub.clone());
             tokio::spawn(async move {
                 let handshake = timeout(services.frame_timeout, incoming.into_future()).await;
-                drop(place);
+                drop(permit);
                 match handshake {
                     Ok(Ok(connection)) => {
                         hub.accepted(services.link(connection.clone(), None));
                         serve_connection(connection, services).await;
                     }
-                    // A peer without a certificate of the fleet ends here, before any stream.
+                    // A peer without a certificate of the fleet fails the handshake before it can open a stream.
                     Ok(Err(_)) | Err(_) => services.metrics.faults.rejected(Rejected::Certificate),
                 }
             });
@@ -106,27 +106,27 @@
     }
 }
 
-/// Serves the streams that the peer opens on a connection, whoever opened the connection itself.
+/// Serves the streams that the peer opens on a connection, whichever side opened the connection.
 pub(super) async fn serve_connection(connection: Connection, services: PeerServices) {
     let identity = PeerIdentity::of(&connection);
     while let Ok((tx, rx)) = connection.accept_bi().await {
-        let Ok(place) = Arc::clone(&services.streams).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&services.streams).acquire_owned().await else {
             return;
         };
         let (services, identity) = (services.clone(), identity.clone());
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let metrics = services.metrics.clone();
-            let served = serve_stream(tx, rx, identity, services).await;
-            if let Some(what) = served.err().and_then(|e| e.rejected()) {
-                metrics.faults.rejected(what);
+            let result = serve_stream(tx, rx, identity, services).await;
+            if let Some(rejected) = result.err().and_then(|e| e.rejected()) {
+                metrics.faults.rejected(rejected);
             }
         });
     }
 }
 
-/// What a peer asks for, whole.
-enum Asked {
+/// A completely received request of a peer.
+enum IncomingRequest {
     Call(Box<CallFrame>, Bytes),
     Control(ControlRequest),
 }
@@ -137,14 +137,19 @@
     identity: Option<PeerIdentity>,
     services: PeerServices,
 ) -> Result<(), FrameError> {
-    // A peer that stops halfway would keep its place and its buffer for ever, and with enough streams everybody's.
-    let reading = timeout(services.frame_timeout, read(&mut rx, &services)).await;
+    // Without the timeout a peer that stops halfway would hold its permit and buffer forever, and enough such streams would
+    // exhaust the permits of all peers.
+    let reading = timeout(services.frame_timeout, read_request(&mut rx, &services)).await;
     match reading.unwrap_or(Err(FrameError::Slow))? {
-        // Boxed, so that a stream whose frame has not arrived takes little memory.
-        Asked::Call(frame, body) => Box::pin(serve_call(*frame, body, tx, services)).await,
-        Asked::Control(request) => {
+        // Boxed so that the task of a stream whose frame has not arrived yet stays small.
+        IncomingRequest::Call(frame, body) => {
+            Box::pin(serve_call(*frame, body, tx, services)).await
+        }
+        IncomingRequest::Control(request) => {
             let sender = request.sender().cloned().map(NodeName);
-            if sender.is_some_and(|sender| !identity.is_some_and(|own| own.is(&sender))) {
+            if sender
+                .is_some_and(|sender| !identity.is_some_and(|identity| identity.is_node(&sender)))
+            {
                 return Err(FrameError::Name);
             }
             Box::pin(serve_control(request, tx, services)).await
@@ -152,17 +157,20 @@
     }
 }
 
-async fn read(rx: &mut RecvStream, services: &PeerServices) -> Result<Asked, FrameError> {
+async fn read_request(
+    rx: &mut RecvStream,
+    services: &PeerServices,
+) -> Result<IncomingRequest, FrameError> {
     let limits = services.limits;
     let Head { value, bytes } = read_head(rx, limits.head.max(limits.body)).await?;
     match value {
         PeerRequest::Call(frame) => {
             let body = read_body(rx, frame.body_len, limits.body).await?;
-            Ok(Asked::Call(frame, body))
+            Ok(IncomingRequest::Call(frame, body))
         }
         PeerRequest::Control(request) => {
             services.metrics.control.received(request.kind(), bytes);
-            Ok(Asked::Control(request))
+            Ok(IncomingRequest::Control(request))
         }
     }
 }
@@ -184,14 +192,16 @@
     };
     let body = reply.body();
     let head = PeerReply::Call(Box::new(ReplyFrame::new(&reply, services.recorder.stamp())));
-    // Until the peer has taken in the whole answer, this node must not end: closing the endpoint would cut it off. But a
-    // peer that never reads would keep the answer in memory for ever.
-    let answering = async {
+    // The stream counts as in use until the peer has acknowledged the whole answer, because closing the endpoint at shutdown
+    // would truncate it. The timeout keeps a peer that never reads from holding the answer in memory forever.
+    let delivery = async {
         write_frame(&mut tx, &head, body).await?;
         let _ = tx.stopped().await;
         Ok(())
     };
-    timeout(TAKE_IN, answering).await.unwrap_or(Ok(()))
+    timeout(REPLY_DELIVERY_TIMEOUT, delivery)
+        .await
+        .unwrap_or(Ok(()))
 }
 
 async fn serve_control(
@@ -202,27 +212,27 @@
     let kind = request.kind();
     let reply = match request {
         ControlRequest::Greet(hello) => {
-            services.hear(hello);
+            services.record_hello(hello);
             let report = services.host.report().await.ok_or(FrameError::Cut)?;
             ControlReply::Hello(HelloFrame::new(&report, services.recorder.stamp()))
         }
         ControlRequest::Ping => ControlReply::Done,
         ControlRequest::Announce(hello) => {
-            services.hear(hello);
+            services.record_hello(hello);
             ControlReply::Done
         }
         ControlRequest::Refuse { token, up_to } => {
             let refusal = services.gate.refuse(token, Try(up_to)).await;
             ControlReply::Refuse(refusal_frame(refusal))
         }
-        published => services.spread.handle_request(published).await,
+        request => services.spread.handle_request(request).await,
     };
     let reply = PeerReply::Control(reply);
     let writing = write_frame(&mut tx, &reply, Bytes::new());
-    let written = timeout(TAKE_IN, writing)
+    let bytes_sent = timeout(REPLY_DELIVERY_TIMEOUT, writing)
         .await
         .unwrap_or(Err(FrameError::Slow))?;
-    services.metrics.control.sent(kind, written);
+    services.metrics.control.sent(kind, bytes_sent);
     Ok(())
 }
 
@@ -240,8 +250,8 @@
     }
 }
 
-/// Handshakes at a time that are not finished.
-const MOST_HANDSHAKES: usize = 512;
+/// Maximum number of concurrent unfinished handshakes.
+const MAX_PENDING_HANDSHAKES: usize = 512;
 
-/// How long a peer may take to read and acknowledge an answer.
-const TAKE_IN: Duration = Duration::from_secs(5);
+/// Time within which a peer must read and acknowledge a reply.
+const REPLY_DELIVERY_TIMEOUT: Duration = Duration::from_secs(5);
