--- a/crates/node/src/peers/hub.rs
+++ b/crates/node/src/peers/hub.rs
@@ -1,4 +1,4 @@
-//! The task that owns the connections to peers.
+//! The task that owns the connections to and from peers.
 
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -17,29 +17,31 @@
 use crate::metrics::Rejected;
 use crate::wire::{ControlReply, ControlRequest, HelloFrame};
 
-/// The task that owns the connections to peers and opens them when they are first needed.
+/// Actor that owns the connections to and from peers. Connections are opened on first use.
 pub struct Hub {
     endpoint: Endpoint,
     services: PeerServices,
     inbound: Vec<Inbound>,
-    hashes: RandomState,
+    certificate_hasher: RandomState,
     slots: Map<NodeName, Slot>,
-    pauses: PauseDetector,
+    pause_detector: PauseDetector,
     tx: mpsc::UnboundedSender<HubMessage>,
     rx: mpsc::UnboundedReceiver<HubMessage>,
 }
 
-/// Handle to the connections.
+/// Handle to the hub task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct HubHandle {
     tx: mpsc::UnboundedSender<HubMessage>,
 }
 
-/// Whether another peer would do as well.
+/// Whether a request for a connection fails at once while the peer is in backoff after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Insistence {
-    AnyPeer,
-    ThisPeer,
+enum BackoffMode {
+    /// Fail at once; the caller can use another peer.
+    Respect,
+    /// Try to connect all the same; no other peer can serve the request.
+    Ignore,
 }
 
 #[derive(Debug)]
@@ -47,7 +49,7 @@
     Get(
         NodeName,
         SocketAddr,
-        Insistence,
+        BackoffMode,
         oneshot::Sender<Option<Link>>,
     ),
     Opened(NodeName, SocketAddr, Option<Link>, u32),
@@ -59,38 +61,39 @@
 #[derive(Debug)]
 struct Inbound {
     link: Link,
-    /// Hash of the certificate that the peer showed.
+    /// Hash of the certificate that the peer presented.
     certificate: u64,
 }
 
+/// State of the connection to one node.
 #[derive(Debug)]
 enum Slot {
-    Opening(SocketAddr, Vec<Waiting>),
+    Opening(SocketAddr, Vec<Waiter>),
     Open(SocketAddr, Link),
-    /// Open before this process was paused; the peer may have given it up since.
-    Unproven(SocketAddr, Link),
-    Failed(Failure),
+    /// Opened before this process was paused; the peer may have closed it since.
+    Unverified(SocketAddr, Link),
+    Failed(ConnectFailure),
 }
 
-/// A call that waits for a connection.
+/// A caller that waits for a connection.
 #[derive(Debug)]
-struct Waiting {
+struct Waiter {
     reply: oneshot::Sender<Option<Link>>,
-    /// Whether it joined an attempt that had begun before and needs one of its own if that fails.
-    insists: bool,
+    /// Whether to start a new attempt if this one, which began before the caller joined it, fails.
+    retry_on_failure: bool,
 }
 
-/// A peer that could not be reached.
+/// The last failed attempt to connect to a peer.
 #[derive(Clone, Copy, Debug)]
-struct Failure {
+struct ConnectFailure {
     address: SocketAddr,
-    until: Instant,
+    retry_at: Instant,
     failures: u32,
 }
 
 impl Hub {
-    /// The task and its handle; streams that peers open on these connections are served by `services`. A connection without
-    /// a packet ends after the idle timeout.
+    /// Creates the task and its handle. `services` serves the streams that peers open on the connections. `idle_timeout` is
+    /// the time without a packet after which the transport closes a connection.
     pub fn new(
         endpoint: Endpoint,
         services: PeerServices,
@@ -100,15 +103,15 @@
         let handle = HubHandle { tx: tx.clone() };
         let slots = Map::default();
         let inbound = Vec::new();
-        let pauses = PauseDetector::new(idle_timeout / 2, services.clock.now());
+        let pause_detector = PauseDetector::new(idle_timeout / 2, services.clock.now());
         (
             Self {
                 endpoint,
                 services,
                 inbound,
-                hashes: RandomState::new(),
+                certificate_hasher: RandomState::new(),
                 slots,
-                pauses,
+                pause_detector,
                 tx,
                 rx,
             },
@@ -118,114 +121,118 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut looks = interval(self.pauses.longest / 2);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut pause_checks = interval(self.pause_detector.threshold / 2);
+        pause_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let message = tokio::select! {
                 message = self.rx.recv() => message,
-                _ = looks.tick() => {
-                    self.look_for_pause();
+                _ = pause_checks.tick() => {
+                    self.check_for_pause();
                     continue;
                 }
             };
             let Some(message) = message else {
                 return;
             };
-            self.look_for_pause();
+            self.check_for_pause();
             match message {
-                HubMessage::Get(node, address, insistence, reply) => {
-                    self.get(node, address, insistence, reply);
+                HubMessage::Get(node, address, backoff, reply) => {
+                    self.get(node, address, backoff, reply);
                 }
                 HubMessage::Opened(node, address, link, failures) => {
-                    self.opened(node, address, link, failures);
+                    self.finish_opening(node, address, link, failures);
                 }
-                HubMessage::Accepted(link) => self.accepted(link),
-                HubMessage::Broadcast(request, patience) => self.broadcast(request, patience),
+                HubMessage::Accepted(link) => self.register_inbound(link),
+                HubMessage::Broadcast(request, timeout) => self.broadcast(request, timeout),
             }
         }
     }
 
-    /// Takes note of a connection that a peer opened, and closes the oldest where it has too many.
+    /// Registers a connection that a peer opened, and closes the peer's oldest one if it has too many.
     ///
-    /// Places for streams are shared by all peers. One that opens connection after connection would take them all, seen as
-    /// calls from other nodes that expire unserved.
-    fn accepted(&mut self, link: Link) {
+    /// All peers share the permits for streams. A peer that keeps opening connections would take all of them, and calls from
+    /// other nodes would expire unserved.
+    fn register_inbound(&mut self, link: Link) {
         self.inbound.retain(|inbound| !inbound.link.is_closed());
-        let certificate = self.hashes.hash_one(link.identity());
+        let certificate = self.certificate_hasher.hash_one(link.identity());
         let mut same = self
             .inbound
             .iter()
             .filter(|inbound| inbound.certificate == certificate);
         if let Some(oldest) = same.next()
-            && same.count() + 2 > MOST_CONNECTIONS
+            && same.count() + 2 > MAX_INBOUND_PER_CERTIFICATE
         {
             oldest.link.close();
         }
         self.inbound.push(Inbound { link, certificate });
     }
 
-    /// Doubts all connections after a pause of this process.
-    fn look_for_pause(&mut self) {
-        if !self.pauses.has_paused(self.services.clock.now()) {
+    /// Marks all open connections as unverified if this process was paused.
+    fn check_for_pause(&mut self) {
+        if !self.pause_detector.has_paused(self.services.clock.now()) {
             return;
         }
         for slot in self.slots.values_mut() {
             if let Slot::Open(address, link) = slot {
-                *slot = Slot::Unproven(*address, link.clone());
+                *slot = Slot::Unverified(*address, link.clone());
             }
         }
     }
 
-    /// Tells everybody who has a connection here, in either direction.
-    fn broadcast(&self, request: ControlRequest, patience: Duration) {
+    /// Sends a request on every open connection, in either direction, without waiting for replies.
+    fn broadcast(&self, request: ControlRequest, timeout: Duration) {
         let opened = self.slots.values().filter_map(|slot| match slot {
-            Slot::Open(_, link) | Slot::Unproven(_, link) => Some(link),
+            Slot::Open(_, link) | Slot::Unverified(_, link) => Some(link),
             Slot::Opening(..) | Slot::Failed(_) => None,
         });
         let inbound = self.inbound.iter().map(|inbound| &inbound.link);
         for link in opened.chain(inbound).filter(|link| !link.is_closed()) {
             let (link, request) = (link.clone(), request.clone());
-            tokio::spawn(async move { link.control(request, patience).await });
+            tokio::spawn(async move { link.control(request, timeout).await });
         }
     }
 
+    /// Replies with an open connection, joins an attempt in progress, fails during backoff, or starts an attempt.
     fn get(
         &mut self,
         node: NodeName,
         address: SocketAddr,
-        insistence: Insistence,
+        backoff: BackoffMode,
         reply: oneshot::Sender<Option<Link>>,
     ) {
         match self.slots.get_mut(&node) {
             Some(Slot::Open(at, link)) if *at == address && !link.is_closed() => {
                 let _ = reply.send(Some(link.clone()));
             }
-            // Concurrent calls to one peer wait for one handshake instead of making one each.
+            // Concurrent calls to one peer share a single handshake.
             Some(Slot::Opening(at, waiting)) if *at == address => {
-                let insists = insistence == Insistence::ThisPeer;
-                waiting.push(Waiting { reply, insists });
+                let retry_on_failure = backoff == BackoffMode::Ignore;
+                waiting.push(Waiter {
+                    reply,
+                    retry_on_failure,
+                });
             }
             Some(Slot::Failed(failure))
-                if insistence == Insistence::AnyPeer
-                    && failure.is_fresh(address, self.services.clock.now()) =>
+                if backoff == BackoffMode::Respect
+                    && failure.is_in_backoff(address, self.services.clock.now()) =>
             {
                 let _ = reply.send(None);
             }
-            Some(Slot::Unproven(at, link)) if *at == address && !link.is_closed() => {
+            Some(Slot::Unverified(at, link)) if *at == address && !link.is_closed() => {
                 let link = link.clone();
-                self.open(node, address, Some(link), vec![Waiting::first(reply)]);
+                self.open(node, address, Some(link), vec![Waiter::first(reply)]);
             }
-            _ => self.open(node, address, None, vec![Waiting::first(reply)]),
+            _ => self.open(node, address, None, vec![Waiter::first(reply)]),
         }
     }
 
-    /// Opens a connection, unless the one from before still answers.
+    /// Starts an attempt to connect. If `unverified` is given and its peer still answers, that connection is kept instead.
     fn open(
         &mut self,
         node: NodeName,
         address: SocketAddr,
-        unproven: Option<Link>,
-        waiting: Vec<Waiting>,
+        unverified: Option<Link>,
+        waiting: Vec<Waiter>,
     ) {
         let failures = match self.slots.get(&node) {
             Some(Slot::Failed(failure)) if failure.address == address => failure.failures,
@@ -241,7 +248,7 @@
         );
         let tx = self.tx.clone();
         tokio::spawn(async move {
-            let link = match prove(unproven).await {
+            let link = match verify(unverified).await {
                 Some(link) => Some(link),
                 None => opening.await,
             };
@@ -249,7 +256,14 @@
         });
     }
 
-    fn opened(&mut self, node: NodeName, address: SocketAddr, link: Option<Link>, failures: u32) {
+    /// Replies to the waiting callers with the result of an attempt to connect.
+    fn finish_opening(
+        &mut self,
+        node: NodeName,
+        address: SocketAddr,
+        link: Option<Link>,
+        failures: u32,
+    ) {
         let Some(Slot::Opening(at, _)) = self.slots.get(&node) else {
             return;
         };
@@ -259,95 +273,99 @@
         let Some(Slot::Opening(_, waiting)) = self.slots.remove(&node) else {
             return;
         };
-        // An attempt that began while the peer was cut off tells nothing of the moment after; those who joined it and have
-        // nobody else to turn to get an attempt of their own.
+        // An attempt that began while the peer was partitioned can fail although the peer is reachable again. Callers that
+        // joined it and cannot use another peer get a new attempt.
         let failed = link.is_none();
-        let (again, done): (Vec<_>, Vec<_>) = waiting
+        let (retrying, done): (Vec<_>, Vec<_>) = waiting
             .into_iter()
-            .partition(|waiting| failed && waiting.insists);
-        for waiting in done {
-            let _ = waiting.reply.send(link.clone());
+            .partition(|waiter| failed && waiter.retry_on_failure);
+        for waiter in done {
+            let _ = waiter.reply.send(link.clone());
         }
         let slot = match link {
             Some(link) => Slot::Open(address, link),
-            None => Slot::Failed(Failure::new(address, failures, self.services.clock.now())),
+            None => Slot::Failed(ConnectFailure::new(
+                address,
+                failures,
+                self.services.clock.now(),
+            )),
         };
         self.slots.insert(node.clone(), slot);
-        if !again.is_empty() {
-            let again = again
+        if !retrying.is_empty() {
+            let waiting = retrying
                 .into_iter()
-                .map(|waiting| Waiting::first(waiting.reply));
-            self.open(node, address, None, again.collect());
+                .map(|waiter| Waiter::first(waiter.reply));
+            self.open(node, address, None, waiting.collect());
         }
     }
 }
 
-impl Waiting {
-    /// A call for which the attempt is made.
+impl Waiter {
+    /// Creates the waiter for which an attempt is started.
     fn first(reply: oneshot::Sender<Option<Link>>) -> Self {
         Self {
             reply,
-            insists: false,
+            retry_on_failure: false,
         }
     }
 }
 
-impl Failure {
+impl ConnectFailure {
     fn new(address: SocketAddr, failures: u32, now: Instant) -> Self {
-        let pause = FIRST_PAUSE * 2u32.pow(failures.min(MOST_DOUBLINGS));
+        let backoff = INITIAL_BACKOFF * 2u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS));
         Self {
             address,
-            until: now + pause,
+            retry_at: now + backoff,
             failures: failures + 1,
         }
     }
 
-    /// Whether it is too early to try again.
+    /// Returns whether it is too early for another attempt.
     ///
-    /// Without the pause each call that picks a dead host would wait for a handshake of its own until routing has ejected it.
-    fn is_fresh(&self, address: SocketAddr, now: Instant) -> bool {
-        self.address == address && now < self.until
+    /// Without the backoff each call routed to a dead host would wait for its own handshake until routing ejects the host.
+    fn is_in_backoff(&self, address: SocketAddr, now: Instant) -> bool {
+        self.address == address && now < self.retry_at
     }
 }
 
 impl HubHandle {
-    /// The connection to a peer, opened if need be; `None` when it can't be reached or could not a moment ago.
+    /// Returns the connection to a peer, opening it if necessary, or `None` if the peer is unreachable or in backoff.
     pub async fn link(&self, node: &NodeName, address: SocketAddr) -> Option<Link> {
-        self.get(node, address, Insistence::AnyPeer).await
+        self.get(node, address, BackoffMode::Respect).await
     }
 
-    /// The same for a peer that nobody can stand in for: it is tried again even where it could not be reached a moment ago.
+    /// Like [`link`](Self::link), but ignores the backoff. For the home of a token, which no other peer can replace.
     pub async fn link_to_home(&self, node: &NodeName, address: SocketAddr) -> Option<Link> {
-        self.get(node, address, Insistence::ThisPeer).await
+        self.get(node, address, BackoffMode::Ignore).await
     }
 
     async fn get(
         &self,
         node: &NodeName,
         address: SocketAddr,
-        insistence: Insistence,
+        backoff: BackoffMode,
     ) -> Option<Link> {
         let (reply, link) = oneshot::channel();
-        let message = HubMessage::Get(node.clone(), address, insistence, reply);
+        let message = HubMessage::Get(node.clone(), address, backoff, reply);
         self.tx.send(message).ok()?;
         link.await.ok().flatten()
     }
 
-    /// Takes note of a connection that a peer opened.
+    /// Registers a connection that a peer opened.
     pub fn accepted(&self, link: Link) {
         let _ = self.tx.send(HubMessage::Accepted(link));
     }
 
-    /// Tells everybody who has a connection to this node, without waiting for replies.
-    pub fn broadcast(&self, request: ControlRequest, patience: Duration) {
-        let _ = self.tx.send(HubMessage::Broadcast(request, patience));
+    /// Sends a request on every open connection, in either direction, without waiting for replies.
+    pub fn broadcast(&self, request: ControlRequest, timeout: Duration) {
+        let _ = self.tx.send(HubMessage::Broadcast(request, timeout));
     }
 }
 
-/// The connection, if its peer still answers on it; closed otherwise.
-async fn prove(unproven: Option<Link>) -> Option<Link> {
-    let link = unproven?;
-    match link.control(ControlRequest::Ping, CONNECT_TIME).await {
+/// Returns the connection if its peer still answers a ping, and closes it otherwise.
+async fn verify(unverified: Option<Link>) -> Option<Link> {
+    let link = unverified?;
+    match link.control(ControlRequest::Ping, CONNECT_TIMEOUT).await {
         Ok(_) => Some(link),
         Err(_) => {
             link.close();
@@ -356,23 +374,24 @@
     }
 }
 
+/// Connects to a node, exchanges greetings and starts serving the streams that the node opens.
 async fn open(
     endpoint: Endpoint,
     node: NodeName,
     address: SocketAddr,
     services: PeerServices,
 ) -> Option<Link> {
-    // The certificate must be that of the named node: an address that the platform's lagging list still gives to a replaced
-    // node would otherwise reach another one under its name.
+    // The certificate must match the node's name. Otherwise an address that the lagging instance list still assigns to a
+    // replaced node could lead to a different node.
     let connecting = endpoint.connect(address, node.as_str()).ok()?;
-    let connection = tokio::time::timeout(CONNECT_TIME, connecting)
+    let connection = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .ok()?
         .ok()?;
     let link = services.link(connection.clone(), Some(node.clone()));
     let own = services.host.report().await?;
     let hello = HelloFrame::new(&own, services.recorder.stamp());
-    let greeting = link.control(ControlRequest::Greet(hello), CONNECT_TIME);
+    let greeting = link.control(ControlRequest::Greet(hello), CONNECT_TIMEOUT);
     let ControlReply::Hello(HelloFrame { report, .. }) = greeting.await.ok()? else {
         return None;
     };
@@ -385,14 +404,14 @@
     Some(link)
 }
 
-/// Connections that one certificate may have open to this node; a node that restarts needs two for a while.
-const MOST_CONNECTIONS: usize = 4;
+/// Maximum number of inbound connections per certificate. A node that restarts needs two for a while.
+const MAX_INBOUND_PER_CERTIFICATE: usize = 4;
 
-/// Time for the handshake and again for the greeting.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+/// Timeout of the handshake, of the greeting after it, and of the ping that verifies a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after a first failure to connect; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Backoff after the first failed attempt to connect; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Doublings of the pause at most.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum number of times the backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
--- a/crates/node/src/peers/pause.rs
+++ b/crates/node/src/peers/pause.rs
@@ -1,27 +1,27 @@
-//! Notices that this process did not run for a while.
+//! Detection of periods in which this process did not run.
 
 use std::time::{Duration, Instant};
 
-/// Finds pauses of a task that looks often.
+/// Detects pauses of the process from the time between regular checks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PauseDetector {
-    /// Longest time between two looks that is not a pause.
-    pub(super) longest: Duration,
-    looked: Instant,
+    /// Longest time between two checks that does not count as a pause.
+    pub(super) threshold: Duration,
+    last_check: Instant,
 }
 
 impl PauseDetector {
-    /// A detector whose first look is now.
-    pub(super) fn new(longest: Duration, now: Instant) -> Self {
+    /// Creates a detector with `now` as its first check.
+    pub(super) fn new(threshold: Duration, now: Instant) -> Self {
         Self {
-            longest,
-            looked: now,
+            threshold,
+            last_check: now,
         }
     }
 
-    /// Whether there was a pause since the last look.
+    /// Returns whether more than `threshold` has passed since the last check, and makes `now` the last check.
     pub(super) fn has_paused(&mut self, now: Instant) -> bool {
-        let looked = std::mem::replace(&mut self.looked, now);
-        now.saturating_duration_since(looked) > self.longest
+        let last_check = std::mem::replace(&mut self.last_check, now);
+        now.saturating_duration_since(last_check) > self.threshold
     }
 }
