--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! QUIC between nodes: mutual TLS, one stream for each call or control message.
+//! QUIC connections between nodes, with mutual TLS and one stream per call or control request.
 
 mod endpoint;
 mod hub;
