--- a/crates/node/src/peers/endpoint.rs
+++ b/crates/node/src/peers/endpoint.rs
@@ -1,4 +1,4 @@
-//! The QUIC endpoint of a node.
+//! QUIC endpoint of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use super::{TlsError, TlsMaterial};
 
-/// Binds the peers' listener, an endpoint for both directions on one UDP port.
+/// Binds the QUIC endpoint that accepts and opens connections to peers on one UDP port.
 pub fn bind(
     address: SocketAddr,
     tls: &TlsMaterial,
@@ -26,13 +26,14 @@
     Ok(endpoint)
 }
 
-/// Bytes of one stream that may be on their way unread; bounds the memory that a peer can take.
+/// Receive window of a stream in bytes; bounds the memory that a peer can occupy with unread data.
 const STREAM_WINDOW: u32 = 256 * 1024;
 
-/// Bytes of all streams of one connection that may be on their way unread.
+/// Receive window in bytes of all streams of a connection together.
 const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
 
-/// First estimate of the round trip, near to what one region has; a lost first packet is repeated soon.
+/// Initial estimate of the round-trip time, close to that within one region, so that a lost first packet is retransmitted
+/// early.
 const INITIAL_RTT: Duration = Duration::from_millis(5);
 
 fn transport(streams: u32, idle: Duration) -> TransportConfig {
