--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer.
+//! A connection to a peer.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
     read_body, read_head, write_frame,
 };
 
-/// Limits of what is read from a peer, in bytes.
+/// Size limits in bytes of frames read from a peer.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameLimits {
-    /// Largest head.
+    /// Largest accepted frame head.
     pub head: usize,
-    /// Largest body.
+    /// Largest accepted body.
     pub body: usize,
 }
 
@@ -28,25 +28,25 @@
 #[derive(Clone, Debug)]
 pub struct Link {
     connection: Connection,
-    /// The node that this one connected to; unknown where the other end connected.
+    /// Node that this node connected to; `None` if the peer opened the connection.
     node: Option<NodeName>,
     limits: FrameLimits,
     metrics: Metrics,
 }
 
-/// Why an exchange with a peer failed.
+/// Why a call or control request to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// Nothing was sent: the peer can't be reached.
-    #[error("the peer can't be reached")]
+    /// No stream could be opened, so nothing was sent.
+    #[error("peer unreachable")]
     NotSent,
-    /// Something may have been sent and no whole reply came.
-    #[error("contact was lost: {0}")]
+    /// The request may have been sent, but no complete valid reply was received.
+    #[error("no valid reply from the peer: {0}")]
     Lost(#[from] FrameError),
 }
 
 impl Link {
-    /// Wraps an open connection; `node` is whose certificate was asked for where this node opened it.
+    /// Wraps an open connection. `node` is the node whose certificate was required, if this node opened the connection.
     pub fn new(
         connection: Connection,
         node: Option<NodeName>,
@@ -61,36 +61,36 @@
         }
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection has been closed by either end or has timed out.
     pub fn is_closed(&self) -> bool {
         self.connection.close_reason().is_some()
     }
 
-    /// Who the other end is; `None` where it showed no certificate.
+    /// Returns the identity of the peer, or `None` if it presented no certificate.
     pub fn identity(&self) -> Option<PeerIdentity> {
         PeerIdentity::of(&self.connection)
     }
 
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(&self) {
         self.connection.close(VarInt::from_u32(0), b"closed");
     }
 
-    /// Sends a call and waits for its whole reply; dropping the future cancels the call at the host.
+    /// Sends a call and waits for the complete reply. Dropping the future cancels the call at the host.
     pub async fn call(&self, call: &Call, recorder: &Recorder) -> Result<Reply, LinkError> {
         let exchange = self.exchange_call(call, recorder);
         tokio::pin!(exchange);
-        let mut heard = self.datagrams_heard();
+        let mut received = self.datagrams_received();
         loop {
             tokio::select! {
-                done = &mut exchange => return done.inspect_err(|e| self.count(e)),
-                () = tokio::time::sleep(SILENCE) => {}
+                done = &mut exchange => return done.inspect_err(|e| self.count_rejection(e)),
+                () = tokio::time::sleep(PING_AFTER_SILENCE) => {}
             }
-            if !self.is_alive(heard).await {
+            if !self.is_alive(received).await {
                 self.close();
                 return Err(LinkError::Lost(FrameError::Cut));
             }
-            heard = self.datagrams_heard();
+            received = self.datagrams_received();
         }
     }
 
@@ -108,19 +108,19 @@
         let PeerReply::Call(frame) = head.value else {
             return Err(FrameError::Malformed.into());
         };
-        self.check(&frame, call)?;
+        self.validate_reply(&frame, call)?;
         recorder.observe(frame.stamp);
         let body = read_body(&mut rx, frame.body_len, self.limits.body).await?;
         Ok(frame.into_reply(body)?)
     }
 
-    /// Refuses a reply that can't be the one to this call.
+    /// Rejects a reply that does not belong to this call or to the connected node.
     ///
-    /// A defective or hostile host could otherwise have its answer taken for that of another call, give back more allowance
-    /// than it got, or report another node as leaving, seen as an instance that gets no work.
-    fn check(&self, frame: &ReplyFrame, call: &Call) -> Result<(), FrameError> {
-        let named = |node: &NodeName| node.0 == frame.report.node;
-        if !self.node.as_ref().is_none_or(named) {
+    /// Without these checks a faulty or malicious host could have its answer accepted for another call, return more allowance
+    /// than it was granted, or report another node as leaving, whose instance would then receive no calls.
+    fn validate_reply(&self, frame: &ReplyFrame, call: &Call) -> Result<(), FrameError> {
+        let sent_report = |node: &NodeName| node.0 == frame.report.node;
+        if !self.node.as_ref().is_none_or(sent_report) {
             return Err(FrameError::Name);
         }
         if frame.attempt != call.attempt.0 || frame.allowance_left > call.allowance {
@@ -129,7 +129,8 @@
         Ok(())
     }
 
-    fn count(&self, e: &LinkError) {
+    /// Counts an invalid reply in the metrics of rejected input.
+    fn count_rejection(&self, e: &LinkError) {
         if let LinkError::Lost(e) = e
             && let Some(what) = e.rejected()
         {
@@ -137,35 +138,35 @@
         }
     }
 
-    /// Whether the peer was heard since `heard` datagrams, or answers when asked.
+    /// Returns whether datagrams have arrived since the count was `received`, or the peer answers a ping.
     ///
-    /// A peer that was killed, paused or cut off sends nothing, and the transport's own timeout is far longer than a call has
-    /// time: callers would wait for their whole deadline although another host could have answered. A slow call on a quiet
-    /// connection looks the same, so the peer is asked before it is given up.
-    async fn is_alive(&self, heard: u64) -> bool {
-        if self.datagrams_heard() != heard {
+    /// A peer that was killed, paused or partitioned sends nothing, and the idle timeout of the transport is much longer than
+    /// the deadline of a call: callers would wait until their deadline although another host could have answered. A slow call
+    /// on an otherwise idle connection looks the same, so the peer is pinged before the connection is closed.
+    async fn is_alive(&self, received: u64) -> bool {
+        if self.datagrams_received() != received {
             return true;
         }
-        let asked = self.control(ControlRequest::Ping, PING_PATIENCE).await;
-        asked.is_ok() || self.datagrams_heard() != heard
+        let ping = self.control(ControlRequest::Ping, PING_TIMEOUT).await;
+        ping.is_ok() || self.datagrams_received() != received
     }
 
-    fn datagrams_heard(&self) -> u64 {
+    fn datagrams_received(&self) -> u64 {
         self.connection.stats().udp_rx.datagrams
     }
 
-    /// Sends a control request and waits at most `patience` for its reply.
+    /// Sends a control request and waits for the reply for at most `timeout`.
     pub async fn control(
         &self,
         request: ControlRequest,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ControlReply, LinkError> {
-        tokio::time::timeout(patience, self.exchange(request))
+        tokio::time::timeout(timeout, self.exchange_control(request))
             .await
             .unwrap_or(Err(LinkError::Lost(FrameError::Cut)))
     }
 
-    async fn exchange(&self, request: ControlRequest) -> Result<ControlReply, LinkError> {
+    async fn exchange_control(&self, request: ControlRequest) -> Result<ControlReply, LinkError> {
         let (mut tx, mut rx) = self
             .connection
             .open_bi()
@@ -185,11 +186,11 @@
     }
 }
 
-/// Control messages go before calls on a connection, so that load does not delay them.
+/// Stream priority of control requests, above that of calls, so that load does not delay them.
 const CONTROL_PRIORITY: i32 = 1;
 
-/// Time without a reply after which it is looked whether the peer is alive.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Time without a reply after which the liveness of the peer is checked.
+const PING_AFTER_SILENCE: Duration = Duration::from_millis(150);
 
-/// Time in which a living peer answers a ping, above what a busy instance is late.
-const PING_PATIENCE: Duration = Duration::from_millis(350);
+/// Timeout of a ping, longer than the delay of replies from a busy instance.
+const PING_TIMEOUT: Duration = Duration::from_millis(350);
