--- a/crates/node/src/peers/tls.rs
+++ b/crates/node/src/peers/tls.rs
@@ -1,4 +1,4 @@
-//! TLS both ways between nodes of one fleet.
+//! Mutual TLS between the nodes of a fleet.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use rustls::server::WebPkiClientVerifier;
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// Certificates and key of a node, as parsed from its settings.
+/// Certificates and private key of a node, parsed from its settings.
 #[derive(Debug)]
 pub struct TlsMaterial {
     roots: Arc<RootCertStore>,
@@ -15,19 +15,19 @@
     key: PrivateKeyDer<'static>,
 }
 
-/// Why certificates or the key can't be used.
+/// Error in the TLS settings, or in the setup of the endpoint that uses them.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A PEM text holds nothing usable.
+    /// The named PEM setting contains no certificate or private key.
     #[error("tls.{0}: no usable PEM block")]
     Pem(&'static str),
-    /// The library refused them.
+    /// The TLS library rejected the certificates or key, or the endpoint could not be bound.
     #[error("tls: {0}")]
     Refused(String),
 }
 
 impl TlsMaterial {
-    /// Parses the PEM texts of the settings.
+    /// Parses the PEM settings.
     pub fn parse(ca_pem: &str, cert_pem: &str, key_pem: &str) -> Result<Self, TlsError> {
         let mut roots = RootCertStore::empty();
         for cert in certs(ca_pem, "ca_pem")? {
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Settings of the accepting side: only peers with a certificate of the fleet get through.
+    /// Returns the configuration for accepted connections, which requires a certificate signed by the fleet's CA.
     pub fn server(&self) -> Result<QuicServerConfig, TlsError> {
         let verifier = WebPkiClientVerifier::builder_with_provider(
             Arc::clone(&self.roots),
@@ -58,42 +58,42 @@
             .map_err(|e| TlsError::Refused(e.to_string()))?;
         let mut tls = ServerConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(refused)?
+            .map_err(rustls_error)?
             .with_client_cert_verifier(verifier)
             .with_single_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(refused)?;
+            .map_err(rustls_error)?;
         tls.alpn_protocols = vec![ALPN.to_vec()];
         QuicServerConfig::try_from(tls).map_err(|e| TlsError::Refused(e.to_string()))
     }
 
-    /// Settings of the connecting side, which shows its own certificate.
+    /// Returns the configuration for opened connections, which presents the certificate of this node.
     pub fn client(&self) -> Result<QuicClientConfig, TlsError> {
         let mut tls = ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(refused)?
+            .map_err(rustls_error)?
             .with_root_certificates(Arc::clone(&self.roots))
             .with_client_auth_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(refused)?;
+            .map_err(rustls_error)?;
         tls.alpn_protocols = vec![ALPN.to_vec()];
         QuicClientConfig::try_from(tls).map_err(|e| TlsError::Refused(e.to_string()))
     }
 }
 
-/// Protocol name and version between nodes.
+/// Name and version of the protocol between nodes, negotiated with ALPN.
 const ALPN: &[u8] = b"coltsfootport/1";
 
 fn provider() -> Arc<rustls::crypto::CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-fn refused(e: rustls::Error) -> TlsError {
+fn rustls_error(e: rustls::Error) -> TlsError {
     TlsError::Refused(e.to_string())
 }
 
 fn certs(pem: &str, key: &'static str) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let found: Result<Vec<_>, _> = rustls_pemfile::certs(&mut pem.as_bytes()).collect();
-    match found {
-        Ok(found) if !found.is_empty() => Ok(found),
+    let parsed: Result<Vec<_>, _> = rustls_pemfile::certs(&mut pem.as_bytes()).collect();
+    match parsed {
+        Ok(certs) if !certs.is_empty() => Ok(certs),
         _ => Err(TlsError::Pem(key)),
     }
 }
