--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -1,4 +1,4 @@
-//! The host's side of a call: admission, the target, the reply.
+//! Host side of a call: admission, exchange with the target, and reply.
 
 mod runner;
 mod target;
