--- a/crates/node/src/host/runner.rs
+++ b/crates/node/src/host/runner.rs
@@ -18,20 +18,20 @@
 use crate::metrics::Metrics;
 use crate::recorder::Recorder;
 
-/// What a host is made of.
+/// Dependencies of a host.
 #[derive(Clone)]
 pub struct HostSetup {
-    /// The service of the target.
+    /// Service that the target implements.
     pub service: ServiceName,
-    /// The gate in front of the target.
+    /// Admission gate in front of the target.
     pub gate: GateHandle,
-    /// The target.
+    /// Client of the target.
     pub target: TargetClient,
-    /// This run of the node.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// The process's clock.
+    /// Clock shared by the whole process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records timeline events.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
@@ -44,16 +44,16 @@
 }
 
 impl Host {
-    /// A host.
+    /// Creates a host.
     pub fn new(setup: HostSetup) -> Self {
         Self {
             setup: Arc::new(setup),
         }
     }
 
-    /// Runs a call and answers with its reply; dropping the future cancels the call.
+    /// Runs a call and returns its reply. Dropping the future cancels the call.
     ///
-    /// A call that runs at most once is not cancelled after its dispatch: its answer is kept for the caller's next try.
+    /// An at-most-once call is not cancelled once it is dispatched: its answer is kept for the caller's next try.
     pub async fn run(&self, call: Call) -> Option<Reply> {
         let event = Event::Received {
             service: call.service.clone(),
@@ -62,9 +62,11 @@
             allowance: call.allowance,
         };
         self.setup.recorder.record(Some(call.request), event);
-        // A list that lags may still show this node's name with the service of the instance that it replaced.
+        // A lagging instance list may still list this node's name with the service of the instance that it replaced.
         if call.service != self.setup.service {
-            return self.aside(&call, Verdict::from(ErrorKind::NoTarget)).await;
+            return self
+                .reply_without_flight(&call, Verdict::from(ErrorKind::NoTarget))
+                .await;
         }
         match self.setup.gate.enter(Admittance::from(&call)).await {
             Entered::Admitted(guard) if call.once.is_some() => self.run_detached(call, guard).await,
@@ -81,24 +83,28 @@
                     replayed: true,
                     ..(*answer).clone()
                 };
-                self.aside(&call, Verdict::Answered(answer)).await
+                self.reply_without_flight(&call, Verdict::Answered(answer))
+                    .await
+            }
+            Entered::Refused(refused) => {
+                self.reply_without_flight(&call, Verdict::Refused(refused))
+                    .await
             }
-            Entered::Refused(refused) => self.aside(&call, Verdict::Refused(refused)).await,
         }
     }
 
-    /// The state of this host outside of any call.
+    /// Returns the state of this host for use outside of a call.
     pub async fn report(&self) -> Option<HostReport> {
         self.setup.gate.report(Default::default()).await
     }
 
-    /// Refuses all tries of a token of this node up to a number for good.
+    /// Permanently refuses all tries of a token of this node up to and including `up_to`.
     pub async fn refuse(&self, token: Token, up_to: Try) -> Refusal<Arc<Answer>> {
         self.setup.gate.refuse(token, up_to).await
     }
 
-    /// A reply about a call that never was in flight; its whole allowance goes back.
-    async fn aside(&self, call: &Call, verdict: Verdict) -> Option<Reply> {
+    /// Builds the reply to a call that was never in flight. It returns the whole allowance.
+    async fn reply_without_flight(&self, call: &Call, verdict: Verdict) -> Option<Reply> {
         let report = self.setup.gate.report(call.operation.clone()).await?;
         Some(Reply {
             attempt: call.attempt,
@@ -108,106 +114,117 @@
         })
     }
 
-    /// Runs a call in a task of its own, so that its answer is kept even where its caller goes.
+    /// Runs a call in a separate task, so that its answer is kept even if the caller disconnects.
     async fn run_detached(&self, call: Call, guard: FlightGuard) -> Option<Reply> {
-        let (reply, replied) = oneshot::channel();
+        let (tx, rx) = oneshot::channel();
         let host = self.clone();
         let attempt = call.attempt;
-        let patience = call.deadline + ONCE_GRACE;
+        let answer_deadline = call.deadline + ONCE_ANSWER_GRACE;
         tokio::spawn(async move {
-            let done = host.execute(call, guard, patience, Some(&reply)).await;
-            let _ = reply.send(done);
+            let finished = host.execute(call, guard, answer_deadline, Some(&tx)).await;
+            let _ = tx.send(finished);
         });
-        Some(replied.await.ok()??.into_reply(attempt))
+        Some(rx.await.ok()??.into_reply(attempt))
     }
 
+    /// Dispatches an admitted call to the target and waits for the answer until `answer_deadline`. `caller` is given for
+    /// detached calls; if it is closed before the dispatch, the call is withdrawn.
     async fn execute(
         &self,
         call: Call,
         guard: FlightGuard,
-        patience: Instant,
-        caller: Option<&oneshot::Sender<Option<Executed>>>,
-    ) -> Option<Executed> {
-        let began = self.setup.clock.now();
+        answer_deadline: Instant,
+        caller: Option<&oneshot::Sender<Option<FinishedCall>>>,
+    ) -> Option<FinishedCall> {
+        let started = self.setup.clock.now();
         let connection = self.setup.target.connection().await;
         let Some(connection) = connection else {
-            return self.withdraw(guard, ErrorKind::NoTarget).await;
+            return self.finish_withdrawn(guard, ErrorKind::NoTarget).await;
         };
         let context = ContextHandle::new(self.setup.incarnation, guard.key());
         let now = self.setup.clock.now();
         let req = match self.setup.target.request(&call, context, now) {
             Ok(req) => req,
-            Err(kind) => return self.withdraw(guard, kind).await,
+            Err(kind) => return self.finish_withdrawn(guard, kind).await,
         };
         if caller.is_some_and(oneshot::Sender::is_closed) {
-            return self.withdraw(guard, ErrorKind::Cancelled).await;
+            return self.finish_withdrawn(guard, ErrorKind::Cancelled).await;
         }
         if let Err(kind) = self.setup.gate.dispatch(guard.key()).await {
-            return self.withdraw(guard, kind).await;
+            return self.finish_withdrawn(guard, kind).await;
         }
-        self.note_added(began);
+        self.record_added_latency(started);
         let exchange = self.setup.target.exchange(connection, req);
-        let done = tokio::time::timeout_at(patience.into(), exchange).await;
-        match done.unwrap_or(Err(TargetError::Lost(ErrorKind::ExpiredInFlight))) {
-            Ok(answer) => self.answered(guard, answer).await,
-            // The dispatch stands recorded, so that this token can't be sent again; the caller hears "unknown", which is
-            // more careful than the truth.
-            Err(TargetError::NotSent) => self.lose(guard, ErrorKind::TargetFailed).await,
-            Err(TargetError::Lost(kind)) => self.lose(guard, kind).await,
+        let result = tokio::time::timeout_at(answer_deadline.into(), exchange).await;
+        match result.unwrap_or(Err(TargetError::Lost(ErrorKind::ExpiredInFlight))) {
+            Ok(answer) => self.finish_answered(guard, answer).await,
+            // The dispatch is already recorded and the token can't be dispatched again. The call is therefore reported as lost
+            // with an unknown outcome, although it is known not to have been sent.
+            Err(TargetError::NotSent) => self.finish_lost(guard, ErrorKind::TargetFailed).await,
+            Err(TargetError::Lost(kind)) => self.finish_lost(guard, kind).await,
         }
     }
 
-    fn note_added(&self, began: Instant) {
+    /// Records the time from admission to dispatch, which this host adds to the latency of the call.
+    fn record_added_latency(&self, started: Instant) {
         let now = self.setup.clock.now();
-        let added = now.saturating_duration_since(began);
+        let added = now.saturating_duration_since(started);
         self.setup.metrics.calls.added(added);
     }
 
-    async fn answered(&self, guard: FlightGuard, answer: Arc<Answer>) -> Option<Executed> {
+    /// Ends a flight whose target answered.
+    async fn finish_answered(
+        &self,
+        guard: FlightGuard,
+        answer: Arc<Answer>,
+    ) -> Option<FinishedCall> {
         let end = FlightEnd::Answered(Arc::clone(&answer));
         let departure = self.setup.gate.finish(guard.release(), end).await?;
-        Some(Executed {
+        Some(FinishedCall {
             verdict: Verdict::Answered((*answer).clone()),
             departure,
         })
     }
 
-    async fn lose(&self, guard: FlightGuard, kind: ErrorKind) -> Option<Executed> {
+    /// Ends a flight that was dispatched but got no complete answer.
+    async fn finish_lost(&self, guard: FlightGuard, kind: ErrorKind) -> Option<FinishedCall> {
         let departure = self
             .setup
             .gate
             .finish(guard.release(), FlightEnd::Lost(kind))
             .await?;
-        Some(Executed {
+        Some(FinishedCall {
             verdict: Verdict::Refused(Refused::from(kind)),
             departure,
         })
     }
 
-    async fn withdraw(&self, guard: FlightGuard, kind: ErrorKind) -> Option<Executed> {
+    /// Ends a flight that was not dispatched.
+    async fn finish_withdrawn(&self, guard: FlightGuard, kind: ErrorKind) -> Option<FinishedCall> {
         let end = FlightEnd::Withdrawn(kind);
         let departure = self.setup.gate.finish(guard.release(), end).await?;
         let refused = Refused::new(kind, WITHDRAWN_RETRY_AFTER);
-        Some(Executed {
+        Some(FinishedCall {
             verdict: Verdict::Refused(refused),
             departure,
         })
     }
 }
 
-/// How long past its deadline the answer of a call that runs at most once is still waited for, to be kept.
-const ONCE_GRACE: Duration = Duration::from_secs(10);
+/// Time after its deadline for which an at-most-once call still waits for its answer, so that the answer can be kept.
+const ONCE_ANSWER_GRACE: Duration = Duration::from_secs(10);
 
+/// Retry-after hint in the refusal of a withdrawn call.
 const WITHDRAWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A call that was in flight and has ended.
+/// Result of a call that was in flight.
 #[derive(Debug)]
-struct Executed {
+struct FinishedCall {
     verdict: Verdict,
     departure: Departure,
 }
 
-impl Executed {
+impl FinishedCall {
     fn into_reply(self, attempt: AttemptId) -> Reply {
         Reply {
             attempt,
