--- a/crates/node/src/host/target.rs
+++ b/crates/node/src/host/target.rs
@@ -1,4 +1,4 @@
-//! Sends an admitted call to the target and reads its whole answer.
+//! HTTP client of the node's own target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::gate::ContextHandle;
 use crate::http::{PoolHandle, PooledSender, end_to_end, names, read_whole};
 
-/// Speaks HTTP to the node's own target.
+/// Sends admitted calls to the node's own target over HTTP.
 #[derive(Clone, Debug)]
 pub struct TargetClient {
     pool: PoolHandle,
@@ -23,20 +23,20 @@
     body_limit: usize,
 }
 
-/// How an exchange with the target failed.
+/// Why an exchange with the target failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
-    /// Not a byte was written.
+    /// No byte of the request was written.
     NotSent,
-    /// Something was written and no whole answer came.
+    /// Part of the request may have been written, but no complete answer was received.
     Lost(ErrorKind),
 }
 
-/// A request for the target, ready to be written.
+/// A complete request for the target.
 pub type TargetRequest = Request<Full<Bytes>>;
 
 impl TargetClient {
-    /// A client of the target at `address`.
+    /// Creates a client of the target at `address` that rejects answers with a body above `body_limit` bytes.
     pub fn new(pool: PoolHandle, address: SocketAddr, body_limit: usize) -> Self {
         Self {
             pool,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// A connection for one call; `None` when the target can't be reached.
+    /// Returns a connection for one call, or `None` if the target is unreachable.
     pub async fn connection(&self) -> Option<PooledSender> {
         self.pool.take().await
     }
 
-    /// The request of a call as the target sees it.
+    /// Builds the HTTP request that the target receives for a call.
     pub fn request(
         &self,
         call: &Call,
@@ -61,34 +61,34 @@
         let mut req = Request::new(body);
         *req.method_mut() = call.method.clone();
         *req.uri_mut() = call.path.parse().map_err(|_| ErrorKind::BadRequest)?;
-        // The peer that sent the call may have put in anything: a length or an encoding of its own choice would let the target
-        // take the body for a further request, seen as answers that belong to other calls.
+        // Headers from a peer are untrusted. A content length or transfer encoding chosen by the peer could make the target
+        // parse the body as another request (request smuggling), so that calls would receive the answers of others.
         *req.headers_mut() = end_to_end(&call.headers);
-        let left = call
+        let time_left = call
             .deadline
             .saturating_duration_since(now)
             .as_millis()
             .to_string();
         let headers = req.headers_mut();
-        headers.insert(header::HOST, value(&self.address.to_string())?);
-        headers.insert(names::CONTEXT, value(&context.to_string())?);
-        headers.insert(names::DEADLINE, value(&left)?);
-        headers.insert(names::CLASS, value(&call.class_name)?);
-        headers.insert(names::REQUEST, value(&call.request.to_string())?);
+        headers.insert(header::HOST, header_value(&self.address.to_string())?);
+        headers.insert(names::CONTEXT, header_value(&context.to_string())?);
+        headers.insert(names::DEADLINE, header_value(&time_left)?);
+        headers.insert(names::CLASS, header_value(&call.class_name)?);
+        headers.insert(names::REQUEST, header_value(&call.request.to_string())?);
         Ok(req)
     }
 
-    /// Writes the request and reads the whole answer.
+    /// Sends the request and reads the complete answer.
     ///
-    /// A pooled connection which the target closed meanwhile is replaced once: hyper hands the request back only where not a
-    /// byte of it was written, so nothing can run twice.
+    /// If the target has closed the pooled connection, the request is retried once on a new one. hyper returns the request
+    /// only if no byte of it was written, so it can't run twice.
     pub async fn exchange(
         &self,
         connection: PooledSender,
         req: TargetRequest,
     ) -> Result<Arc<Answer>, TargetError> {
         let (connection, res) = match self.send(connection, req).await {
-            Ok(done) => done,
+            Ok(sent) => sent,
             Err(SendError::Unsent(req)) => {
                 let fresh = self.pool.connect().await.ok_or(TargetError::NotSent)?;
                 self.send(fresh, *req).await.map_err(TargetError::from)?
@@ -129,8 +129,11 @@
     }
 }
 
+/// Why a request got no response head.
 enum SendError {
+    /// No byte was written; holds the request for a retry.
     Unsent(Box<TargetRequest>),
+    /// The connection failed after part of the request may have been written.
     Broken,
 }
 
@@ -143,6 +146,6 @@
     }
 }
 
-fn value(text: &str) -> Result<HeaderValue, ErrorKind> {
+fn header_value(text: &str) -> Result<HeaderValue, ErrorKind> {
     HeaderValue::from_str(text).map_err(|_| ErrorKind::BadRequest)
 }
