--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -29,7 +29,7 @@
 use crate::recorder::Recorder;
 use crate::routes::{Routes, RoutesHandle, RoutesSetup};
 use crate::spread::{
-    PlatformClient, Published, Spread, SpreadHandle, SpreadMessage, SpreadSetup, Word,
+    PlatformClient, Published, SpreadHandle, SpreadMessage, SpreadSetup, SpreadTask, StateReport,
 };
 
 /// What all parts of a node are built with; each method starts the tasks of one part.
@@ -61,7 +61,7 @@
 /// The channels of the spread task, which others send to before it is started.
 pub(super) struct SpreadChannels {
     pub(super) published: watch::Sender<Arc<Published>>,
-    pub(super) words: mpsc::UnboundedReceiver<Word>,
+    pub(super) words: mpsc::UnboundedReceiver<StateReport>,
     pub(super) tx: mpsc::UnboundedSender<SpreadMessage>,
     pub(super) rx: mpsc::UnboundedReceiver<SpreadMessage>,
 }
@@ -116,7 +116,7 @@
         RunningGate { handle, task, life }
     }
 
-    pub(super) fn routes(&self, words: mpsc::UnboundedSender<Word>) -> RoutesHandle {
+    pub(super) fn routes(&self, words: mpsc::UnboundedSender<StateReport>) -> RoutesHandle {
         let admission = &self.settings.admission;
         let (task, routes) = Routes::new(RoutesSetup {
             routing: RoutingConfig::from(&self.settings),
@@ -177,7 +177,7 @@
                 head: HEAD_ALLOWANCE + limits.header_bytes as usize,
                 body: limits.body_bytes as usize,
             },
-            frame_time: limits.header_timeout,
+            frame_timeout: limits.header_timeout,
         };
         let (hub_task, hub) = Hub::new(endpoint.clone(), services.clone(), limits.idle_timeout);
         tokio::spawn(hub_task.run());
@@ -191,7 +191,7 @@
 
     pub(super) fn spread(&self, channels: SpreadChannels, hub: &HubHandle) {
         let platform = &self.settings.platform;
-        let task = Spread::new(SpreadSetup {
+        let task = SpreadTask::new(SpreadSetup {
             node: self.settings.node.name.clone(),
             incarnation: self.incarnation,
             started: self.started,
@@ -205,7 +205,7 @@
             metrics: self.metrics.clone(),
             log: self.log.clone(),
             published: channels.published,
-            words: channels.words,
+            state_reports: channels.words,
             tx: channels.tx,
             rx: channels.rx,
         });
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and replies between nodes about what is published.
+//! Requests and replies by which nodes reconcile their published entries and instance lists.
 
 use std::time::{Duration, Instant};
 
@@ -8,26 +8,26 @@
 use coltsfootport_core::once::Tick;
 use smol_str::SmolStr;
 
-use super::{Spread, Word};
+use super::{SpreadTask, StateReport};
 use crate::wire::{
     ControlReply, ControlRequest, DigestFrame, EntryFrame, NewsFrame, VersionFrame, WordFrame,
 };
 
-impl Spread {
-    /// Answers a peer's request.
-    pub(super) fn answer(&mut self, request: ControlRequest) -> ControlReply {
+impl SpreadTask {
+    /// Handles a request from a peer and returns the reply.
+    pub(super) fn handle_request(&mut self, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Digest(theirs) => {
                 let own = self.digest_frame();
-                self.take_digest(&theirs);
+                self.reconcile_digest(&theirs);
                 ControlReply::Digest(own)
             }
             ControlRequest::PullSince(after) => ControlReply::Entries {
-                entries: frames(&self.replica.since(Revision(after))),
+                entries: entry_frames(&self.replica.since(Revision(after))),
                 complete: Some(self.replica.complete().0),
             },
             ControlRequest::PullKeys(keys) => ControlReply::Entries {
-                entries: frames(&self.replica.pick(&keys_of(keys))),
+                entries: entry_frames(&self.replica.pick(&into_keys(keys))),
                 complete: None,
             },
             ControlRequest::Versions(theirs) => {
@@ -45,18 +45,18 @@
                 ControlReply::List(self.view.delta_since(Revision(after)))
             }
             ControlRequest::News(news) => {
-                self.take_news(news);
+                self.handle_news(news);
                 ControlReply::Done
             }
             ControlRequest::Entries(entries) => {
                 self.apply_from_peer(entries, None);
                 ControlReply::Done
             }
-            ControlRequest::Words(words) => {
-                words
+            ControlRequest::Words(reports) => {
+                reports
                     .into_iter()
-                    .map(Word::from)
-                    .for_each(|word| self.hear(word));
+                    .map(StateReport::from)
+                    .for_each(|report| self.record_state_report(report));
                 ControlReply::Done
             }
             ControlRequest::Greet(_)
@@ -66,15 +66,16 @@
         }
     }
 
-    /// Takes in a peer's reply.
-    pub(super) fn replied(&mut self, node: &NodeName, reply: ControlReply) {
+    /// Applies a peer's reply to an earlier request.
+    pub(super) fn handle_reply(&mut self, node: &NodeName, reply: ControlReply) {
         match reply {
             ControlReply::Digest(theirs) => {
-                if theirs.word.state == NodeState::Serving && self.start_peers.insert(node.clone())
+                if theirs.word.state == NodeState::Serving
+                    && self.startup_responders.insert(node.clone())
                 {
                     self.start_up.heard_peer(&theirs.digest);
                 }
-                self.take_digest(&theirs);
+                self.reconcile_digest(&theirs);
             }
             ControlReply::Entries { entries, complete } => {
                 self.apply_from_peer(entries, complete.map(Revision));
@@ -83,47 +84,48 @@
                 let theirs: Vec<_> = theirs.into_iter().map(KeyVersion::from).collect();
                 self.apply_difference(Some(node), &theirs);
             }
-            ControlReply::List(delta) => self.take_list(delta),
+            ControlReply::List(delta) => self.apply_list_delta(delta),
             ControlReply::Hello(_) | ControlReply::Refuse(_) | ControlReply::Done => {}
         }
     }
 
-    /// What this node tells of its copies.
+    /// Summarizes this node's replica, instance list and read ages for comparison by a peer.
     pub(super) fn digest_frame(&self) -> DigestFrame {
         let now = self.now();
         DigestFrame {
-            word: WordFrame::from(&self.own_word()),
+            word: WordFrame::from(&self.own_state_report()),
             digest: self.replica.digest(),
             list: self.view.revision().0,
-            config_age_ms: self.config_reads.read_age(now).map(millis),
-            list_age_ms: self.list_reads.read_age(now).map(millis),
+            config_age_ms: self.config_reads.read_age(now).map(whole_millis),
+            list_age_ms: self.list_reads.read_age(now).map(whole_millis),
         }
     }
 
-    /// Compares a peer's copies with the own ones and fetches what is missing here.
-    fn take_digest(&mut self, theirs: &DigestFrame) {
+    /// Compares a peer's digest with the local replica and list, and requests what is newer or different at the peer.
+    fn reconcile_digest(&mut self, theirs: &DigestFrame) {
         let now = self.now();
         let node = NodeName(theirs.word.node.clone());
-        self.hear(Word::from(theirs.word.clone()));
-        self.take_ages(theirs, now);
+        self.record_state_report(StateReport::from(theirs.word.clone()));
+        self.record_peer_read_ages(theirs, now);
         if theirs.list > self.view.revision().0 {
-            self.ask(&node, ControlRequest::PullList(self.view.revision().0));
+            self.send_request(&node, ControlRequest::PullList(self.view.revision().0));
         }
         match self.replica.compare(&theirs.digest) {
             Comparison::TheyAreNewer => {
-                self.ask(&node, ControlRequest::PullSince(self.replica.complete().0));
+                self.send_request(&node, ControlRequest::PullSince(self.replica.complete().0));
             }
-            Comparison::Differ => self.ask_versions(&node, &theirs.digest),
-            // The peer sees the same in this node's digest and pulls.
+            Comparison::Differ => self.request_versions(&node, &theirs.digest),
+            // A peer that is behind finds this out from this node's digest and pulls.
             Comparison::Same | Comparison::WeAreNewer => {}
         }
     }
 
-    /// Lets a peer's recent reads stand for own ones.
+    /// Counts a peer's recent platform reads as reads of this node, so that it need not read by itself.
     ///
-    /// Not before this node has read for itself: without the list it knows nobody to ask, and peers that found it first would keep
-    /// it from reading; one would see a node that stays in its start while all others serve.
-    fn take_ages(&mut self, theirs: &DigestFrame, now: Instant) {
+    /// Configuration reads count only once the node is ready, list reads only once it has an instance list. Without the list
+    /// it has no peers to pull from; if peers that contact it first postponed its own reads, it would stay in startup while
+    /// all other nodes serve.
+    fn record_peer_read_ages(&mut self, theirs: &DigestFrame, now: Instant) {
         if let Some(age) = theirs.config_age_ms.filter(|_| self.is_ready()) {
             self.config_reads
                 .heard_fresh(Duration::from_millis(age), now);
@@ -133,36 +135,37 @@
         }
     }
 
-    fn ask_versions(&mut self, node: &NodeName, digest: &Digest) {
-        self.compared = Some(*digest);
+    fn request_versions(&mut self, node: &NodeName, digest: &Digest) {
+        self.version_exchange = Some(*digest);
         let versions = self
             .replica
             .versions()
             .iter()
             .map(VersionFrame::from)
             .collect();
-        self.ask(node, ControlRequest::Versions(versions));
+        self.send_request(node, ControlRequest::Versions(versions));
     }
 
-    /// Acts on the versions of a peer whose digest differed at the same highest revision.
+    /// Reconciles with a peer whose digest differs although its highest revision is the same.
     ///
-    /// The asked side learns nothing here that it may pull, since the asking one pushes what it lacks.
-    fn apply_difference(&mut self, asker: Option<&NodeName>, theirs: &[KeyVersion]) {
-        let (Some(node), Some(digest)) = (asker, self.compared.take()) else {
+    /// Only the side that requested the versions acts: it pulls the keys it wants and pushes the entries that the peer
+    /// lacks. `peer` is `None` on the side that received the request.
+    fn apply_difference(&mut self, peer: Option<&NodeName>, theirs: &[KeyVersion]) {
+        let (Some(node), Some(digest)) = (peer, self.version_exchange.take()) else {
             return;
         };
         let difference = self.replica.difference(&digest, theirs);
         if !difference.wanted.is_empty() {
             let keys = difference.wanted.into_iter().map(|key| key.0).collect();
-            self.ask(node, ControlRequest::PullKeys(keys));
+            self.send_request(node, ControlRequest::PullKeys(keys));
         }
         if !difference.lacking.is_empty() {
-            let entries = frames(&self.replica.pick(&difference.lacking));
-            self.ask(node, ControlRequest::Entries(entries));
+            let entries = entry_frames(&self.replica.pick(&difference.lacking));
+            self.send_request(node, ControlRequest::Entries(entries));
         }
     }
 
-    fn take_news(&mut self, news: NewsFrame) {
+    fn handle_news(&mut self, news: NewsFrame) {
         let now = self.now();
         let from = NodeName(news.node);
         if !news.entries.is_empty() {
@@ -180,63 +183,63 @@
             .map(|key| key.0)
             .collect();
         if !wanted.is_empty() {
-            self.ask(&from, ControlRequest::PullKeys(wanted));
+            self.send_request(&from, ControlRequest::PullKeys(wanted));
         }
     }
 
-    /// Takes in entries of a peer as far as there is room.
+    /// Applies entries received from a peer, up to `MAX_REPLICA_BYTES`.
     ///
-    /// Nothing proves that the platform ever held them, so that a peer could fill every node's memory. Own reads are not
-    /// bounded: they bring what was left out here.
+    /// Entries from peers carry no proof that the platform published them, so without this limit one peer could exhaust the
+    /// memory of every node. Reads from the platform are not limited and deliver the entries that are dropped here.
     fn apply_from_peer(&mut self, entries: Vec<EntryFrame>, complete: Option<Revision>) {
         if entries.is_empty() {
             self.apply(Vec::new(), complete);
             return;
         }
         let sent = entries.len();
-        let mut room = MOST_BYTES.saturating_sub(self.replica.bytes());
+        let mut remaining = MAX_REPLICA_BYTES.saturating_sub(self.replica.bytes());
         let mut taken = Vec::new();
         for entry in entries {
             let bytes = entry.key.len() + entry.value.len();
-            if bytes <= room {
-                room -= bytes;
+            if bytes <= remaining {
+                remaining -= bytes;
                 taken.push(Entry::from(entry));
             }
         }
-        let whole = taken.len() == sent;
-        self.apply(taken, complete.filter(|_| whole));
+        let all_taken = taken.len() == sent;
+        self.apply(taken, complete.filter(|_| all_taken));
     }
 
-    fn take_list(&mut self, delta: ListDelta) {
+    fn apply_list_delta(&mut self, delta: ListDelta) {
         let now = self.now();
         self.view.apply_delta(delta, now);
         self.view_changed();
     }
 
-    /// Fetches from other nodes what the first one did not send in time.
+    /// Retries overdue pulls at another node that announced the entry.
     pub(super) fn retry_pulls(&mut self, now: Instant) {
         for retry in self.pulls.overdue(now) {
-            self.ask(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
+            self.send_request(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
         }
     }
 }
 
-/// Bytes of published entries above which none are taken from peers.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+/// Size of the replica in bytes above which entries from peers are dropped.
+const MAX_REPLICA_BYTES: usize = 16 * 1024 * 1024;
 
-fn frames(entries: &[Entry]) -> Vec<EntryFrame> {
+fn entry_frames(entries: &[Entry]) -> Vec<EntryFrame> {
     entries.iter().map(EntryFrame::from).collect()
 }
 
-fn keys_of(keys: Vec<SmolStr>) -> Vec<Key> {
+fn into_keys(keys: Vec<SmolStr>) -> Vec<Key> {
     keys.into_iter().map(Key).collect()
 }
 
-fn millis(age: Duration) -> u64 {
+fn whole_millis(age: Duration) -> u64 {
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl From<WordFrame> for Word {
+impl From<WordFrame> for StateReport {
     fn from(frame: WordFrame) -> Self {
         Self {
             node: NodeName(frame.node),
@@ -248,13 +251,13 @@
     }
 }
 
-impl From<&Word> for WordFrame {
-    fn from(word: &Word) -> Self {
+impl From<&StateReport> for WordFrame {
+    fn from(report: &StateReport) -> Self {
         Self {
-            node: word.node.0.clone(),
-            incarnation: word.incarnation.0,
-            state: word.state,
-            tick: word.tick.0,
+            node: report.node.0.clone(),
+            incarnation: report.incarnation.0,
+            state: report.state,
+            tick: report.tick.0,
         }
     }
 }
--- a/crates/node/src/spread/handle.rs
+++ b/crates/node/src/spread/handle.rs
@@ -1,4 +1,4 @@
-//! Sends messages to the spread task.
+//! Handle to the spread task.
 
 use coltsfootport_core::membership::NodeState;
 use tokio::sync::{mpsc, oneshot};
@@ -7,46 +7,50 @@
 use crate::operators::{DocumentStatus, PlatformStatus};
 use crate::wire::{ControlReply, ControlRequest};
 
-/// Handle to the spread task.
+/// Sends messages to the spread task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct SpreadHandle {
     tx: mpsc::UnboundedSender<SpreadMessage>,
 }
 
 impl SpreadHandle {
-    /// A handle that sends into `tx`.
+    /// Creates a handle that sends to `tx`.
     pub fn new(tx: mpsc::UnboundedSender<SpreadMessage>) -> Self {
         Self { tx }
     }
 
-    /// Answers a peer's request about what is published.
-    pub async fn answer(&self, request: ControlRequest) -> ControlReply {
-        self.ask(|reply| SpreadMessage::Asked(request, reply))
+    /// Passes a peer's request to the task and returns the reply.
+    pub async fn handle_request(&self, request: ControlRequest) -> ControlReply {
+        self.request(|reply| SpreadMessage::Request(request, reply))
             .await
             .unwrap_or(ControlReply::Done)
     }
 
-    /// Tells that this node has begun to serve or to leave, for its own view and its peers.
-    pub fn state(&self, state: NodeState) {
-        let _ = self.tx.send(SpreadMessage::State(state));
+    /// Sets this node's own state in its view and reports it to peers.
+    pub fn set_state(&self, state: NodeState) {
+        let _ = self.tx.send(SpreadMessage::StateChanged(state));
     }
 
-    /// State of every document.
-    pub async fn documents(&self) -> Vec<DocumentStatus> {
-        self.ask(SpreadMessage::Documents).await.unwrap_or_default()
+    /// Returns the state of every document.
+    pub async fn document_status(&self) -> Vec<DocumentStatus> {
+        self.request(SpreadMessage::DocumentStatus)
+            .await
+            .unwrap_or_default()
     }
 
-    /// State of the platform as seen from here.
-    pub async fn platform(&self) -> PlatformStatus {
-        self.ask(SpreadMessage::Platform).await.unwrap_or_default()
+    /// Returns the state of platform reads as seen by this node.
+    pub async fn platform_status(&self) -> PlatformStatus {
+        self.request(SpreadMessage::PlatformStatus)
+            .await
+            .unwrap_or_default()
     }
 
-    async fn ask<T, M>(&self, message: M) -> Option<T>
+    async fn request<T, M>(&self, message: M) -> Option<T>
     where
         M: FnOnce(oneshot::Sender<T>) -> SpreadMessage,
     {
-        let (reply, answer) = oneshot::channel();
-        self.tx.send(message(reply)).ok()?;
-        answer.await.ok()
+        let (tx, rx) = oneshot::channel();
+        self.tx.send(message(tx)).ok()?;
+        rx.await.ok()
     }
 }
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -1,24 +1,24 @@
-//! Reads of the platform.
+//! Reads of the configuration service and the instance list from the platform.
 
 use std::time::Duration;
 
 use coltsfootport_core::dissemination::{Entry, Key, NextRead, Revision};
 
 use super::platform_client::{ConfigEntry, ConfigPage, InstancePage};
-use super::{Spread, SpreadMessage};
+use super::{SpreadMessage, SpreadTask};
 use crate::metrics::PlatformRead;
 
-impl Spread {
-    /// Starts the reads whose time has come.
+impl SpreadTask {
+    /// Starts the platform reads that are due.
     pub(super) fn read_if_due(&mut self) {
         let now = self.now();
         let watch = self.setup.reader.watch_wait;
-        if let Some(wait) = due(self.config_reads.next_read(now, &mut self.rng), now, watch)
+        if let Some(wait) = due_wait(self.config_reads.next_read(now, &mut self.rng), now, watch)
             && self.config_reads.begin_read()
         {
             self.read_config(wait);
         }
-        if let Some(wait) = due(self.list_reads.next_read(now, &mut self.rng), now, watch)
+        if let Some(wait) = due_wait(self.list_reads.next_read(now, &mut self.rng), now, watch)
             && self.list_reads.begin_read()
         {
             self.read_list(wait);
@@ -43,9 +43,9 @@
         });
     }
 
-    pub(super) fn config_read(&mut self, page: Option<ConfigPage>) {
+    pub(super) fn handle_config_read(&mut self, page: Option<ConfigPage>) {
         let now = self.now();
-        self.note_read(page.as_ref().map(|page| !page.entries.is_empty()));
+        self.record_read(page.as_ref().map(|page| !page.entries.is_empty()));
         let Some(page) = page else {
             self.config_reads.read_failed(now);
             return;
@@ -57,9 +57,9 @@
         self.apply(entries, Some(revision));
     }
 
-    pub(super) fn list_read(&mut self, page: Option<InstancePage>) {
+    pub(super) fn handle_list_read(&mut self, page: Option<InstancePage>) {
         let now = self.now();
-        self.note_read(page.as_ref().map(|page| !page.instances.is_empty()));
+        self.record_read(page.as_ref().map(|page| !page.instances.is_empty()));
         let Some(page) = page else {
             self.list_reads.read_failed(now);
             return;
@@ -72,22 +72,23 @@
         }
     }
 
-    fn note_read(&mut self, news: Option<bool>) {
-        let end = match news {
+    /// Records the result of a read: whether it returned changes, or `None` if it failed.
+    fn record_read(&mut self, has_changes: Option<bool>) {
+        let result = match has_changes {
             Some(true) => PlatformRead::News,
             Some(false) => PlatformRead::Nothing,
             None => PlatformRead::Failed,
         };
-        self.setup.metrics.documents.read(end);
-        self.reachable = news.is_some();
+        self.setup.metrics.documents.read(result);
+        self.reachable = has_changes.is_some();
         if self.reachable {
             self.last_read = Some(self.now());
         }
     }
 }
 
-/// How long the read that is due now may wait at the platform; `None` where none is due.
-fn due(next: NextRead, now: std::time::Instant, watch: Duration) -> Option<Duration> {
+/// Returns how long the platform may hold a read that is due now, or `None` if no read is due.
+fn due_wait(next: NextRead, now: std::time::Instant, watch: Duration) -> Option<Duration> {
     match next {
         NextRead::Watch => Some(watch),
         NextRead::At(at) if at <= now => Some(Duration::ZERO),
--- a/crates/node/src/spread/status.rs
+++ b/crates/node/src/spread/status.rs
@@ -1,25 +1,25 @@
-//! What operators see of documents and platform.
+//! Status of documents and platform reads for the operators' listener.
 
 use coltsfootport_core::dissemination::Key;
 use smol_str::SmolStr;
 
-use super::Spread;
+use super::SpreadTask;
 use super::task::service_of;
 use crate::operators::{DocumentStatus, PlatformStatus};
 
-impl Spread {
-    /// State of every document.
+impl SpreadTask {
+    /// Returns the state of every document, sorted by service.
     pub(super) fn document_status(&self) -> Vec<DocumentStatus> {
         let mut documents: Vec<_> = self
             .documents
             .keys()
-            .filter_map(|key| self.status_of(key))
+            .filter_map(|key| self.status_for_key(key))
             .collect();
         documents.sort_unstable_by(|a, b| a.service.cmp(&b.service));
         documents
     }
 
-    /// State of the platform.
+    /// Returns the state of platform reads as seen by this node.
     pub(super) fn platform_status(&self) -> PlatformStatus {
         let now = self.now();
         let age = self
@@ -33,7 +33,7 @@
         }
     }
 
-    fn status_of(&self, key: &Key) -> Option<DocumentStatus> {
+    fn status_for_key(&self, key: &Key) -> Option<DocumentStatus> {
         let rejected = self.documents.rejected(key);
         let faults = rejected
             .map(|rejected| rejected.faults.as_slice())
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the node's copy of what is published.
+//! The task that owns the local replica of published entries and the view of the fleet.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,10 +24,10 @@
 
 use crate::wire::ControlRequest;
 
-use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, Word};
+use super::{DocumentInForce, NodeEntry, Published, SpreadMessage, SpreadSetup, StateReport};
 
-/// The task that owns the replica of published entries and the view of the fleet.
-pub struct Spread {
+/// Actor that owns the replica and the view of the fleet, reads the platform and gossips with peers.
+pub struct SpreadTask {
     pub(super) setup: SpreadSetup,
     pub(super) replica: Replica,
     pub(super) documents: InForce<Arc<Document>, Vec<Fault>>,
@@ -37,26 +37,26 @@
     pub(super) gossip: GossipPlan,
     pub(super) pulls: Pulls,
     pub(super) start_up: StartUp,
-    /// Peers whose copies were heard of at the start.
-    pub(super) start_peers: Set<NodeName>,
-    /// Digest of the peer with which versions are being compared.
-    pub(super) compared: Option<Digest>,
+    /// Serving peers whose digest has been received in a reply. Readiness takes their revisions into account.
+    pub(super) startup_responders: Set<NodeName>,
+    /// Digest of the peer to which the last version request was sent.
+    pub(super) version_exchange: Option<Digest>,
     pub(super) last_read: Option<Instant>,
     pub(super) reachable: bool,
-    /// State of this node.
+    /// Lifecycle state of this node.
     pub(super) state: NodeState,
-    /// Requests to peers that are not answered yet.
-    pub(super) unanswered: usize,
-    /// When each node that the list still shows as live was heard to leave.
-    pub(super) left: Map<NodeName, Instant>,
+    /// Number of requests to peers without a reply or error yet.
+    pub(super) pending_requests: usize,
+    /// Nodes that reported leaving, with the time of that report or of the last probe.
+    pub(super) departed: Map<NodeName, Instant>,
     pub(super) rng: SmallRng,
     epoch: u64,
     reader: bool,
     ready: bool,
 }
 
-impl Spread {
-    /// The task.
+impl SpreadTask {
+    /// Creates the task; `run` starts it.
     pub fn new(setup: SpreadSetup) -> Self {
         let view = View::new(MembershipConfig::default());
         Self {
@@ -67,13 +67,13 @@
             gossip: GossipPlan::new(setup.gossip, &setup.node, &view),
             pulls: Pulls::new(PullConfig::default()),
             start_up: StartUp::new(setup.start_up, setup.started),
-            start_peers: Set::default(),
-            compared: None,
+            startup_responders: Set::default(),
+            version_exchange: None,
             last_read: None,
             reachable: false,
             state: NodeState::Starting,
-            unanswered: 0,
-            left: Map::default(),
+            pending_requests: 0,
+            departed: Map::default(),
             rng: SmallRng::from_os_rng(),
             epoch: view.epoch(),
             reader: false,
@@ -92,69 +92,69 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                Some(word) = self.setup.words.recv() => self.hear(word),
-                _ = tick.tick() => self.advance(),
+                Some(report) = self.setup.state_reports.recv() => self.record_state_report(report),
+                _ = tick.tick() => self.run_periodic(),
             }
             self.read_if_due();
-            self.serve_if_ready();
+            self.update_readiness();
         }
     }
 
     fn handle(&mut self, message: SpreadMessage) {
         match message {
-            SpreadMessage::ConfigRead(page) => self.config_read(page),
-            SpreadMessage::ListRead(page) => self.list_read(page),
-            SpreadMessage::Asked(request, reply) => {
-                let _ = reply.send(self.answer(request));
+            SpreadMessage::ConfigRead(page) => self.handle_config_read(page),
+            SpreadMessage::ListRead(page) => self.handle_list_read(page),
+            SpreadMessage::Request(request, reply) => {
+                let _ = reply.send(self.handle_request(request));
             }
-            SpreadMessage::Replied(node, reply) => {
-                self.unanswered -= 1;
-                self.replied(&node, reply);
+            SpreadMessage::Reply(node, reply) => {
+                self.pending_requests -= 1;
+                self.handle_reply(&node, reply);
             }
-            SpreadMessage::NoReply => self.unanswered -= 1,
+            SpreadMessage::NoReply => self.pending_requests -= 1,
             SpreadMessage::Unreachable(node) => {
-                self.unanswered -= 1;
+                self.pending_requests -= 1;
                 self.view.unreachable(&node, self.now());
                 let event = Event::PeerDown { peer: node };
                 self.setup.recorder.record(None, event);
                 self.view_changed();
             }
-            SpreadMessage::State(state) => {
+            SpreadMessage::StateChanged(state) => {
                 self.state = state;
-                self.hear(self.own_word());
+                self.record_state_report(self.own_state_report());
             }
-            SpreadMessage::Documents(reply) => {
+            SpreadMessage::DocumentStatus(reply) => {
                 let _ = reply.send(self.document_status());
             }
-            SpreadMessage::Platform(reply) => {
+            SpreadMessage::PlatformStatus(reply) => {
                 let _ = reply.send(self.platform_status());
             }
         }
     }
 
-    /// Takes in entries from the platform or a peer and tells peers what is new.
+    /// Applies entries from the platform or a peer to the replica and pushes the new ones to peers.
     pub(super) fn apply(&mut self, entries: Vec<Entry>, complete: Option<Revision>) {
         let before = self.replica.digest();
-        let mut news = Vec::new();
+        let mut new_entries = Vec::new();
         for applied in self.replica.apply(entries, complete) {
-            self.offer(&applied.entry);
+            self.offer_document(&applied.entry);
             self.pulls
                 .arrived(&applied.entry.key, applied.entry.revision);
             if applied.newest {
-                news.push(applied.entry);
+                new_entries.push(applied.entry);
             }
         }
         self.start_up.have(&self.replica);
-        if !news.is_empty() {
-            self.tell_news(&news);
+        if !new_entries.is_empty() {
+            self.push_entries(&new_entries);
         }
         if self.replica.digest() != before {
             self.publish();
         }
     }
 
-    /// Puts a version in force, or shows why it can't be.
-    fn offer(&mut self, entry: &Entry) {
+    /// Parses a document version and puts it in force, or records why it was rejected.
+    fn offer_document(&mut self, entry: &Entry) {
         let Some(service) = service_of(&entry.key) else {
             return;
         };
@@ -184,37 +184,41 @@
         self.setup.recorder.record(None, event);
     }
 
-    /// Takes in what a node told about itself, and passes on what changed.
-    pub(super) fn hear(&mut self, word: Word) {
+    /// Applies a state report to the view, and forwards it to peers if it changed the view.
+    pub(super) fn record_state_report(&mut self, report: StateReport) {
         let now = self.now();
-        let (node, state) = (word.node.clone(), word.state);
-        if word.revision > self.replica.revision().0 {
+        let (node, state) = (report.node.clone(), report.state);
+        if report.revision > self.replica.revision().0 {
             let after = self.replica.complete().0;
-            self.ask(&node, ControlRequest::PullSince(after));
+            self.send_request(&node, ControlRequest::PullSince(after));
         }
-        let outcome =
-            self.view
-                .record_report(&word.node, word.incarnation, word.state, word.tick, now);
+        let outcome = self.view.record_report(
+            &report.node,
+            report.incarnation,
+            report.state,
+            report.tick,
+            now,
+        );
         if outcome != StateReportOutcome::Changed {
             return;
         }
         match state {
-            NodeState::Leaving => self.left.insert(node.clone(), now),
-            NodeState::Starting | NodeState::Serving => self.left.remove(&node),
+            NodeState::Leaving => self.departed.insert(node.clone(), now),
+            NodeState::Starting | NodeState::Serving => self.departed.remove(&node),
         };
         let event = match state {
             NodeState::Leaving => Event::PeerLeaving { peer: node },
             NodeState::Starting | NodeState::Serving => Event::PeerUp { peer: node },
         };
         self.setup.recorder.record(None, event);
-        self.pass_on(&word);
+        self.forward_state_report(&report);
         self.view_changed();
     }
 
-    /// What this node tells about itself.
-    pub(super) fn own_word(&self) -> Word {
+    /// Returns this node's report about itself.
+    pub(super) fn own_state_report(&self) -> StateReport {
         let age = self.now().saturating_duration_since(self.setup.started);
-        Word {
+        StateReport {
             node: self.setup.node.clone(),
             incarnation: self.setup.incarnation,
             state: self.state,
@@ -223,29 +227,30 @@
         }
     }
 
-    fn advance(&mut self) {
+    /// Expires reports in the view and starts the digest exchanges, retries and probes that are due.
+    fn run_periodic(&mut self) {
         let now = self.now();
         if self.view.advance(now) {
             self.view_changed();
         }
         self.exchange_digests(now);
         self.retry_pulls(now);
-        self.probe_left(now);
+        self.probe_departed(now);
     }
 
-    /// Lets the node serve once it has the newest of what the platform and its peers hold.
+    /// Marks the node as ready once its replica is as new as the platform and its peers, within the limits of `StartUp`.
     ///
-    /// While a peer is still asked, something newer, or the last good version behind an invalid one, may be on its way; a node
-    /// that served before it came would act on an older document than all others.
-    fn serve_if_ready(&mut self) {
-        if self.ready || self.unanswered > 0 || !self.start_up.ready(self.now()) {
+    /// While a request to a peer is pending, its reply may bring a newer entry, or the last valid version behind an invalid
+    /// one. A node that served before it arrived would act on an older document than all other nodes.
+    fn update_readiness(&mut self) {
+        if self.ready || self.pending_requests > 0 || !self.start_up.ready(self.now()) {
             return;
         }
         self.ready = true;
         self.publish();
     }
 
-    /// Follows a changed view: other peers, perhaps another reader, and another snapshot.
+    /// Updates push targets, the reader role and the published snapshot if the view has changed.
     pub(super) fn view_changed(&mut self) {
         if self.view.epoch() == self.epoch {
             return;
@@ -256,16 +261,17 @@
         self.list_reads.observe(&self.setup.node, &self.view, now);
         self.gossip.update(&self.setup.node, &self.view);
         if !self.ready {
-            self.ask_at_start();
+            self.request_startup_digests();
         }
-        self.note_reader(
+        self.set_reader(
             self.config_reads
                 .is_reader(&self.setup.node, &self.view, now),
         );
         self.publish();
     }
 
-    fn note_reader(&mut self, reader: bool) {
+    /// Records a timeline event when this node becomes a reader or ceases to be one.
+    fn set_reader(&mut self, reader: bool) {
         if reader == self.reader {
             return;
         }
@@ -334,14 +340,16 @@
     }
 }
 
-/// Time between two looks at what is due.
+/// Interval of the periodic work.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Prefix of the keys under which documents are published.
-const DOCUMENTS: &str = "documents/";
+/// Prefix of document keys in the configuration service.
+const DOCUMENT_KEY_PREFIX: &str = "documents/";
 
 pub(super) fn service_of(key: &Key) -> Option<ServiceName> {
-    key.0.strip_prefix(DOCUMENTS).map(ServiceName::from)
+    key.0
+        .strip_prefix(DOCUMENT_KEY_PREFIX)
+        .map(ServiceName::from)
 }
 
 fn first_fault(parsed: &Result<Arc<Document>, Vec<Fault>>) -> SmolStr {
