--- a/crates/node/src/data/call.rs
+++ b/crates/node/src/data/call.rs
@@ -21,7 +21,7 @@
     /// This sending of it.
     pub attempt: AttemptId,
     /// Number of this sending by its entry, from 1.
-    pub sending: u16,
+    pub attempt_number: u16,
     /// Service to run it.
     pub service: ServiceName,
     /// HTTP method.
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -142,12 +142,12 @@
     ) -> Attempt {
         let setup = &self.setup;
         call.attempt = AttemptId(self.attempts.fetch_add(1, Ordering::Relaxed));
-        call.sending += 1;
+        call.attempt_number += 1;
         let granted = budget.grant().await;
         call.allowance = granted;
         let event = Event::Sent {
             peer: route.node.clone(),
-            attempt: call.sending,
+            attempt: call.attempt_number,
         };
         setup.recorder.record(Some(call.request), event);
         let sent = setup.clock.now();
@@ -178,7 +178,7 @@
             ended @ (Attempt::Lost | Attempt::Expired) => {
                 let event = Event::Lost {
                     peer: route.node.clone(),
-                    attempt: call.sending,
+                    attempt: call.attempt_number,
                     elapsed_us: micros(setup.clock.now(), sent),
                 };
                 setup.recorder.record(Some(call.request), event);
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -39,7 +39,7 @@
         let call = Call {
             request,
             attempt: AttemptId(0),
-            sending: 0,
+            attempt_number: 0,
             service: inbound.service.clone(),
             method: inbound.method.clone(),
             path: inbound.path.clone(),
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -175,7 +175,7 @@
             bucket: call.bucket(),
             deadline: call.deadline,
             depth: call.depth,
-            sending: call.sending,
+            sending: call.attempt_number,
             allowance: call.allowance,
             once: call.once.clone(),
         }
--- a/crates/node/src/wire/call_frame.rs
+++ b/crates/node/src/wire/call_frame.rs
@@ -73,7 +73,7 @@
             stamp,
             request: call.request.0,
             attempt: call.attempt.0,
-            sending: call.sending,
+            sending: call.attempt_number,
             service: call.service.0.clone(),
             method: SmolStr::new(call.method.as_str()),
             path: call.path.to_string(),
@@ -103,7 +103,7 @@
         Ok(Call {
             request: RequestId(self.request),
             attempt: AttemptId(self.attempt),
-            sending: self.sending,
+            attempt_number: self.sending,
             service: ServiceName(self.service),
             method: Method::try_from(self.method.as_str()).map_err(|_| FrameError::Malformed)?,
             path: self.path,
