--- a/crates/node/src/data/answer.rs
+++ b/crates/node/src/data/answer.rs
@@ -67,24 +67,24 @@
     pub fn unsent(kind: ErrorKind, identity: Identity) -> Self {
         Self {
             outcome: identity.outcome_unsent(kind),
-            ..Self::new(kind, jittered(DEFAULT_RETRY_AFTER))
+            ..Self::new(kind, jitter(DEFAULT_RETRY_AFTER))
         }
     }
 
     /// The same with a time to come back, where no host named one.
-    pub fn with_time(self) -> Self {
+    pub fn with_default_retry_after(self) -> Self {
         if !self.retry_after.is_zero() {
             return self;
         }
         Self {
-            retry_after: jittered(DEFAULT_RETRY_AFTER),
+            retry_after: jitter(DEFAULT_RETRY_AFTER),
             ..self
         }
     }
 }
 
 /// Callers that are refused together must not come back together.
-fn jittered(time: Duration) -> Duration {
+fn jitter(time: Duration) -> Duration {
     time.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
--- a/crates/node/src/entry/course.rs
+++ b/crates/node/src/entry/course.rs
@@ -66,7 +66,7 @@
         if self.in_doubt && refused.outcome == Outcome::NotRun {
             return Verdict::from(ErrorKind::AnswerLost);
         }
-        Verdict::Refused(refused.with_time())
+        Verdict::Refused(refused.with_default_retry_after())
     }
 }
 
--- a/crates/node/src/entry/outcome.rs
+++ b/crates/node/src/entry/outcome.rs
@@ -27,7 +27,7 @@
     /// An answer without a token.
     pub fn new(request: RequestId, verdict: Verdict) -> Self {
         let verdict = match verdict {
-            Verdict::Refused(refused) => Verdict::Refused(refused.with_time()),
+            Verdict::Refused(refused) => Verdict::Refused(refused.with_default_retry_after()),
             answered => answered,
         };
         Self {
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -76,7 +76,7 @@
                 ..(*answer).clone()
             }),
             Refusal::RefusedForGood => {
-                Verdict::Refused(Refused::from(ErrorKind::TokenRefused).with_time())
+                Verdict::Refused(Refused::from(ErrorKind::TokenRefused).with_default_retry_after())
             }
             Refusal::AnswerGone => Verdict::from(ErrorKind::AnswerGone),
             Refusal::Running => Verdict::from(ErrorKind::ExpiredInFlight),
--- a/crates/node/src/entry/token_endpoint.rs
+++ b/crates/node/src/entry/token_endpoint.rs
@@ -21,7 +21,7 @@
             return refuse(Refused::from(ErrorKind::BadRequest));
         };
         if let Err(kind) = self.document(&query.service) {
-            return refuse(Refused::from(kind).with_time());
+            return refuse(Refused::from(kind).with_default_retry_after());
         }
         match self.tokens.issue(&query.service, query.count).await {
             Ok(page) => {
@@ -33,7 +33,7 @@
                 self.recorder.record(None, event);
                 json(serde_json::to_string(&page).unwrap_or_default())
             }
-            Err(kind) => refuse(Refused::from(kind).with_time()),
+            Err(kind) => refuse(Refused::from(kind).with_default_retry_after()),
         }
     }
 }
