--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -109,11 +109,11 @@
             .pick(pick_of(call, &course.excluded))
             .await
         {
-            Choice::Go(route) => *route,
+            Choice::Send(route) => *route,
             Choice::Shed(retry_after) => {
                 return Step::GiveUp(Refused::new(ErrorKind::Shed, retry_after));
             }
-            Choice::Nobody => return Step::GiveUp(course.last),
+            Choice::NoHost => return Step::GiveUp(course.last),
         };
         course.excluded.extend(route.guard.peer());
         if !call.idempotent && !self.bind(call, &route).await {
--- a/crates/node/src/entry/tokens.rs
+++ b/crates/node/src/entry/tokens.rs
@@ -63,7 +63,7 @@
     /// One sealed token of a service.
     pub async fn issue_one(&self, service: &ServiceName) -> Option<SmolStr> {
         for _ in 0..HOMES_TRIED {
-            let Choice::Go(route) = self.routes.pick(pick_for(service)).await else {
+            let Choice::Send(route) = self.routes.pick(pick_for(service)).await else {
                 return None;
             };
             if let Some(token) = self.mint(*route, service).await {
--- a/crates/node/src/routes/handle.rs
+++ b/crates/node/src/routes/handle.rs
@@ -23,7 +23,7 @@
     pub async fn pick(&self, request: PickRequest) -> Choice {
         self.ask(|reply| RoutesMessage::Pick(request, reply))
             .await
-            .unwrap_or(Choice::Nobody)
+            .unwrap_or(Choice::NoHost)
     }
 
     /// The host that a token names, where it is listed.
--- a/crates/node/src/routes/message.rs
+++ b/crates/node/src/routes/message.rs
@@ -43,11 +43,11 @@
 #[derive(Debug)]
 pub enum Choice {
     /// Send it there.
-    Go(Box<Route>),
+    Send(Box<Route>),
     /// It would be shed further down; come back after this time.
     Shed(Duration),
     /// No host is left to try.
-    Nobody,
+    NoHost,
 }
 
 /// How an attempt ended.
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -161,11 +161,11 @@
             .router
             .pick(&request.service, &request.excluded, now, &mut self.rng);
         let Some(key) = picked else {
-            return Choice::Nobody;
+            return Choice::NoHost;
         };
         match self.route(key, request.service, request.operation, now) {
-            Some(route) => Choice::Go(Box::new(route)),
-            None => Choice::Nobody,
+            Some(route) => Choice::Send(Box::new(route)),
+            None => Choice::NoHost,
         }
     }
 
