--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -117,7 +117,7 @@
         };
         course.excluded.extend(route.guard.peer());
         if !call.idempotent && !self.bind(call, &route).await {
-            route.guard.done(RouteResult::Lost, None);
+            route.guard.finish(RouteResult::Lost, None);
             return course.pass_over();
         }
         match self.attempt(call, route, budget).await {
@@ -157,7 +157,7 @@
         match done.unwrap_or(Attempt::Expired) {
             Attempt::Replied(reply) if reply.attempt != call.attempt => {
                 setup.recorder.breach(Invariant::AnswerToWrongCall);
-                route.guard.done(RouteResult::Lost, None);
+                route.guard.finish(RouteResult::Lost, None);
                 Attempt::Lost
             }
             Attempt::Replied(reply) => {
@@ -167,12 +167,12 @@
                 budget.level_below(reply.report.level);
                 route
                     .guard
-                    .done(route_result(&reply.verdict), Some(reply.report.clone()));
+                    .finish(route_result(&reply.verdict), Some(reply.report.clone()));
                 Attempt::Replied(reply)
             }
             Attempt::NotSent => {
                 let _ = budget.give_back(granted, granted);
-                route.guard.done(RouteResult::Lost, None);
+                route.guard.finish(RouteResult::Lost, None);
                 Attempt::NotSent
             }
             ended @ (Attempt::Lost | Attempt::Expired) => {
@@ -182,7 +182,7 @@
                     elapsed_us: micros(setup.clock.now(), sent),
                 };
                 setup.recorder.record(Some(call.request), event);
-                route.guard.done(RouteResult::Lost, None);
+                route.guard.finish(RouteResult::Lost, None);
                 ended
             }
         }
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -92,7 +92,7 @@
             .refuse_at(&route, once)
             .await
             .unwrap_or(Refusal::Unknown);
-        route.guard.done(RouteResult::Cancelled, None);
+        route.guard.finish(RouteResult::Cancelled, None);
         refusal
     }
 
--- a/crates/node/src/entry/tokens.rs
+++ b/crates/node/src/entry/tokens.rs
@@ -89,7 +89,7 @@
         } else {
             RouteResult::Lost
         };
-        route.guard.done(result, None);
+        route.guard.finish(result, None);
         token
     }
 }
--- a/crates/node/src/routes/attempt_guard.rs
+++ b/crates/node/src/routes/attempt_guard.rs
@@ -45,7 +45,7 @@
     }
 
     /// Tells how the attempt ended.
-    pub fn done(mut self, result: RouteResult, report: Option<HostReport>) {
+    pub fn finish(mut self, result: RouteResult, report: Option<HostReport>) {
         if let Some(end) = &mut self.end {
             end.result = result;
             end.report = report;
@@ -56,7 +56,7 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if let Some(end) = self.end.take() {
-            let _ = self.tx.send(RoutesMessage::Done(end));
+            let _ = self.tx.send(RoutesMessage::AttemptEnded(end));
         }
     }
 }
--- a/crates/node/src/routes/message.rs
+++ b/crates/node/src/routes/message.rs
@@ -88,7 +88,7 @@
     /// The host that a token names.
     Home(Token, oneshot::Sender<Option<Route>>),
     /// The end of an attempt.
-    Done(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// A host told its state outside of an attempt.
     Heard(HostReport),
     /// A token of a home that was heard before.
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -140,7 +140,7 @@
             RoutesMessage::Home(token, reply) => {
                 let _ = reply.send(self.home(&token));
             }
-            RoutesMessage::Done(end) => self.done(end),
+            RoutesMessage::AttemptEnded(end) => self.end_attempt(end),
             RoutesMessage::Heard(report) => self.heard(&report),
             RoutesMessage::Mint(home, service, reply) => {
                 let _ = reply.send(self.minter.mint(&home, &service, self.clock.now()));
@@ -220,7 +220,7 @@
         })
     }
 
-    fn done(&mut self, end: AttemptEnd) {
+    fn end_attempt(&mut self, end: AttemptEnd) {
         let now = self.clock.now();
         let load = end
             .report
