--- a/crates/node/src/peers/hub.rs
+++ b/crates/node/src/peers/hub.rs
@@ -380,7 +380,7 @@
         services.metrics.faults.rejected(Rejected::Name);
         return None;
     }
-    services.routes.heard(HostReport::from(report));
+    services.routes.record_report(HostReport::from(report));
     tokio::spawn(serve_connection(connection, services));
     Some(link)
 }
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -66,7 +66,7 @@
 
     fn hear(&self, hello: HelloFrame) {
         self.recorder.observe(hello.stamp);
-        self.routes.heard(HostReport::from(hello.report));
+        self.routes.record_report(HostReport::from(hello.report));
     }
 }
 
--- a/crates/node/src/routes/handle.rs
+++ b/crates/node/src/routes/handle.rs
@@ -34,8 +34,8 @@
     }
 
     /// Takes note of what a host told about itself.
-    pub fn heard(&self, report: HostReport) {
-        let _ = self.tx.send(RoutesMessage::Heard(report));
+    pub fn record_report(&self, report: HostReport) {
+        let _ = self.tx.send(RoutesMessage::HostReport(report));
     }
 
     /// A fresh token of a home that was heard before.
--- a/crates/node/src/routes/message.rs
+++ b/crates/node/src/routes/message.rs
@@ -90,7 +90,7 @@
     /// The end of an attempt.
     AttemptEnded(AttemptEnd),
     /// A host told its state outside of an attempt.
-    Heard(HostReport),
+    HostReport(HostReport),
     /// A token of a home that was heard before.
     Mint(NodeName, ServiceName, oneshot::Sender<Option<Token>>),
     /// One retry out of the budget of a service.
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -141,7 +141,7 @@
                 let _ = reply.send(self.home(&token));
             }
             RoutesMessage::AttemptEnded(end) => self.end_attempt(end),
-            RoutesMessage::Heard(report) => self.heard(&report),
+            RoutesMessage::HostReport(report) => self.record_report(&report),
             RoutesMessage::Mint(home, service, reply) => {
                 let _ = reply.send(self.minter.mint(&home, &service, self.clock.now()));
             }
@@ -234,10 +234,10 @@
         let Some(report) = end.report else { return };
         self.levels
             .record(&edge(&end.service, &end.operation), report.level, now);
-        self.heard(&report);
+        self.record_report(&report);
     }
 
-    fn heard(&mut self, report: &HostReport) {
+    fn record_report(&mut self, report: &HostReport) {
         let now = self.clock.now();
         self.minter
             .update_home(report.node.clone(), report.incarnation, report.tick, now);
