--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -124,7 +124,7 @@
             level_shedding: admission.level_shedding && admission.mode == AdmissionMode::Adaptive,
             clock: Arc::clone(&self.clock),
             published: self.published.clone(),
-            words,
+            state_reports: words,
         });
         tokio::spawn(task.run());
         routes
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -38,7 +38,7 @@
     /// What is published, with the list of instances.
     pub published: watch::Receiver<Arc<Published>>,
     /// Where words of nodes about themselves go.
-    pub words: mpsc::UnboundedSender<Word>,
+    pub state_reports: mpsc::UnboundedSender<Word>,
 }
 
 /// The task that owns routing, levels, budgets and minting.
@@ -56,7 +56,7 @@
     rng: SmallRng,
     clock: SharedClock,
     published: watch::Receiver<Arc<Published>>,
-    words: mpsc::UnboundedSender<Word>,
+    state_reports: mpsc::UnboundedSender<Word>,
     tx: mpsc::UnboundedSender<RoutesMessage>,
     rx: mpsc::UnboundedReceiver<RoutesMessage>,
 }
@@ -85,7 +85,7 @@
             rng: SmallRng::from_os_rng(),
             clock: setup.clock,
             published: setup.published,
-            words: setup.words,
+            state_reports: setup.state_reports,
             tx: tx.clone(),
             rx,
         };
@@ -254,7 +254,7 @@
             self.router.record_leaving(&report.node, report.incarnation);
         }
         self.known = self.known.max(report.revision);
-        let _ = self.words.send(Word::from(report));
+        let _ = self.state_reports.send(Word::from(report));
     }
 
     fn spend_retry(&mut self, service: ServiceName, reply: oneshot::Sender<bool>) {
