--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -50,9 +50,9 @@
     budgets: Map<ServiceName, EdgeBudget>,
     minter: Minter,
     addresses: Map<NodeName, SocketAddr>,
-    told: Map<NodeName, Told>,
+    reported: Map<NodeName, ReportedState>,
     /// Highest revision of published entries held here.
-    known: u64,
+    known_revision: u64,
     rng: SmallRng,
     clock: SharedClock,
     published: watch::Receiver<Arc<Published>>,
@@ -63,7 +63,7 @@
 
 /// What a node last told about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct ReportedState {
     incarnation: Incarnation,
     state: NodeState,
 }
@@ -80,8 +80,8 @@
             budgets: Map::default(),
             minter: Minter::new(),
             addresses: Map::default(),
-            told: Map::default(),
-            known: 0,
+            reported: Map::default(),
+            known_revision: 0,
             rng: SmallRng::from_os_rng(),
             clock: setup.clock,
             published: setup.published,
@@ -94,12 +94,12 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        self.take_published();
+        self.apply_published();
         loop {
             tokio::select! {
                 biased;
                 changed = self.published.changed() => match changed {
-                    Ok(()) => self.take_published(),
+                    Ok(()) => self.apply_published(),
                     Err(_) => return,
                 },
                 message = self.rx.recv() => match message {
@@ -110,10 +110,10 @@
         }
     }
 
-    fn take_published(&mut self) {
+    fn apply_published(&mut self) {
         let published = Arc::clone(&self.published.borrow_and_update());
         let now = self.clock.now();
-        self.known = published.revision;
+        self.known_revision = published.revision;
         self.levels.expire(now);
         self.addresses = published
             .nodes
@@ -121,7 +121,7 @@
             .map(|node| (node.view.node.clone(), node.peer))
             .collect();
         let addresses = &self.addresses;
-        self.told.retain(|node, _| addresses.contains_key(node));
+        self.reported.retain(|node, _| addresses.contains_key(node));
         self.router.update(
             published
                 .nodes
@@ -171,16 +171,12 @@
 
     /// Refuses here what would die further down, before any work is spent on it.
     fn shed_early(&mut self, request: &PickRequest, now: Instant) -> Option<Choice> {
-        let edge = edge(&request.service, &request.operation);
-        if !self.level_shedding
-            || self
-                .levels
-                .admits(&edge, request.class, request.bucket, now)
-        {
+        let key = edge_key(&request.service, &request.operation);
+        if !self.level_shedding || self.levels.admits(&key, request.class, request.bucket, now) {
             return None;
         }
         let target = TargetState {
-            level: self.levels.level(&edge, now),
+            level: self.levels.level(&key, now),
             ..IDLE_TARGET
         };
         let cfg = RetryAfterConfig::default();
@@ -229,11 +225,11 @@
             .unwrap_or_default();
         self.router.done(end.peer, end.result, load, now);
         if end.result == RouteResult::Served {
-            self.budget_of(end.service.clone(), now).success();
+            self.service_budget(end.service.clone(), now).success();
         }
         let Some(report) = end.report else { return };
         self.levels
-            .record(&edge(&end.service, &end.operation), report.level, now);
+            .record(&edge_key(&end.service, &end.operation), report.level, now);
         self.record_report(&report);
     }
 
@@ -241,29 +237,29 @@
         let now = self.clock.now();
         self.minter
             .update_home(report.node.clone(), report.incarnation, report.tick, now);
-        let told = Told {
+        let reported = ReportedState {
             incarnation: report.incarnation,
             state: report.state,
         };
-        let newer = report.revision > self.known;
-        if self.told.get(&report.node) == Some(&told) && !newer {
+        let newer = report.revision > self.known_revision;
+        if self.reported.get(&report.node) == Some(&reported) && !newer {
             return;
         }
-        self.told.insert(report.node.clone(), told);
+        self.reported.insert(report.node.clone(), reported);
         if report.state == NodeState::Leaving {
             self.router.record_leaving(&report.node, report.incarnation);
         }
-        self.known = self.known.max(report.revision);
+        self.known_revision = self.known_revision.max(report.revision);
         let _ = self.state_reports.send(Word::from(report));
     }
 
     fn spend_retry(&mut self, service: ServiceName, reply: oneshot::Sender<bool>) {
         let now = self.clock.now();
-        let spent = self.budget_of(service, now).try_spend(now);
+        let spent = self.service_budget(service, now).try_spend(now);
         let _ = reply.send(spent);
     }
 
-    fn budget_of(&mut self, service: ServiceName, now: Instant) -> &mut EdgeBudget {
+    fn service_budget(&mut self, service: ServiceName, now: Instant) -> &mut EdgeBudget {
         let cfg = &self.budget;
         self.budgets
             .entry(service)
@@ -286,9 +282,9 @@
             service: view.service.clone(),
             leaving: view.leaving
                 || self
-                    .told
+                    .reported
                     .get(node)
-                    .is_some_and(|told| told.state == NodeState::Leaving),
+                    .is_some_and(|reported| reported.state == NodeState::Leaving),
             in_flight: self.router.in_flight(key),
             ejected: self.router.is_ejected(key, now),
         })
@@ -304,7 +300,7 @@
 };
 
 /// Levels are kept by operation, so that an overload below one operation does not shed others of the same service.
-fn edge(service: &ServiceName, operation: &SmolStr) -> ServiceName {
+fn edge_key(service: &ServiceName, operation: &SmolStr) -> ServiceName {
     let mut name = String::with_capacity(service.as_str().len() + operation.len() + 1);
     name.push_str(service.as_str());
     name.push(' ');
