--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,6 +1,5 @@
 //! The entry's side of a call: what it is, where it goes, and what its caller is told.
 
-mod budget;
 mod course;
 mod dispatcher;
 mod inbound;
@@ -8,14 +7,15 @@
 mod outcome;
 mod pinned;
 mod prepare;
+mod retry_budget;
 mod service;
 mod token_endpoint;
 mod tokens;
 
-pub use budget::Budget;
 pub use dispatcher::{Dispatcher, DispatcherSetup};
 pub use inbound::Inbound;
 pub use origin::Origin;
 pub use outcome::Outgoing;
+pub use retry_budget::RetryBudget;
 pub use service::{EntryLimits, EntryService};
 pub use tokens::TokenIssuer;
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::Budget;
+use super::RetryBudget;
 use super::course::{Course, Step};
 use super::tokens::TokenIssuer;
 use crate::clock::{SharedClock, micros};
@@ -79,7 +79,7 @@
     }
 
     /// Sends a call that has no identity outside the system, which may move from host to host.
-    pub async fn send(&self, mut call: Call, budget: &mut Budget) -> Verdict {
+    pub async fn send(&self, mut call: Call, budget: &mut RetryBudget) -> Verdict {
         let mut course = Course::default();
         loop {
             let failure = match self.step(&mut call, &mut course, budget).await {
@@ -99,7 +99,7 @@
     }
 
     /// Chooses a host and makes one attempt there.
-    async fn step(&self, call: &mut Call, course: &mut Course, budget: &mut Budget) -> Step {
+    async fn step(&self, call: &mut Call, course: &mut Course, budget: &mut RetryBudget) -> Step {
         if self.setup.clock.now() >= call.deadline {
             return Step::GiveUp(Refused::from(ErrorKind::ExpiredBeforeDispatch));
         }
@@ -138,7 +138,7 @@
         &self,
         call: &mut Call,
         route: Route,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Attempt {
         let setup = &self.setup;
         call.attempt = AttemptId(self.attempts.fetch_add(1, Ordering::Relaxed));
@@ -161,17 +161,17 @@
                 Attempt::Lost
             }
             Attempt::Replied(reply) => {
-                if let Err(breach) = budget.give_back(granted, reply.allowance_left) {
+                if let Err(breach) = budget.reclaim(granted, reply.allowance_left) {
                     setup.recorder.breach(breach);
                 }
-                budget.level_below(reply.report.level);
+                budget.record_downstream_level(reply.report.level);
                 route
                     .guard
                     .finish(route_result(&reply.verdict), Some(reply.report.clone()));
                 Attempt::Replied(reply)
             }
             Attempt::NotSent => {
-                let _ = budget.give_back(granted, granted);
+                let _ = budget.reclaim(granted, granted);
                 route.guard.finish(RouteResult::Lost, None);
                 Attempt::NotSent
             }
@@ -222,7 +222,7 @@
         true
     }
 
-    async fn may_retry(&self, call: &Call, kind: ErrorKind, budget: &mut Budget) -> bool {
+    async fn may_retry(&self, call: &Call, kind: ErrorKind, budget: &mut RetryBudget) -> bool {
         if !self.setup.policy.may_retry(kind, call.idempotent, false) {
             return false;
         }
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::routing::RouteResult;
 use http::StatusCode;
 
-use super::Budget;
+use super::RetryBudget;
 use super::dispatcher::{Attempt, Dispatcher};
 use crate::data::{Answer, Call, OnceCall, Refused, Verdict};
 use crate::routes::Route;
@@ -24,7 +24,7 @@
         mut call: Call,
         once: OnceCall,
         identity: Identity,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Verdict {
         call.once = Some(once.clone());
         match self.attempt_at_home(&mut call, &once, budget).await {
@@ -38,7 +38,7 @@
     /// Learns what became of a call with a token after contact to its home was lost.
     ///
     /// The home knows the token and its try, so that sending it again joins the first sending or hears its answer.
-    pub(super) async fn pursue(&self, call: &mut Call, budget: &mut Budget) -> Verdict {
+    pub(super) async fn pursue(&self, call: &mut Call, budget: &mut RetryBudget) -> Verdict {
         let Some(once) = call.once.clone() else {
             return Verdict::from(ErrorKind::AnswerLost);
         };
@@ -56,7 +56,7 @@
         &self,
         call: &mut Call,
         once: &OnceCall,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Attempt {
         match self.setup.routes.home(&once.token).await {
             Some(route) => self.attempt(call, route, budget).await,
@@ -126,7 +126,7 @@
             .flatten()
     }
 
-    async fn may_repeat(&self, call: &Call, budget: &mut Budget) -> bool {
+    async fn may_repeat(&self, call: &Call, budget: &mut RetryBudget) -> bool {
         self.setup.clock.now() < call.deadline && budget.spend().await
     }
 }
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::once::Try;
 use smol_str::SmolStr;
 
-use super::{Budget, EntryService, Inbound, Origin};
+use super::{EntryService, Inbound, Origin, RetryBudget};
 use crate::data::{AttemptId, Call, OnceCall};
 use crate::http::{end_to_end, names};
 use crate::spread::DocumentInForce;
@@ -16,7 +16,7 @@
 /// A call with everything that decides how it is sent.
 pub(super) struct Prepared {
     pub(super) call: Call,
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
     pub(super) once: Option<OnceCall>,
 }
 
@@ -57,9 +57,9 @@
         };
         let budget = match origin {
             Origin::Flight(parent) if self.limits.allowance_enabled => {
-                Budget::Flight(self.gate.clone(), parent.flight)
+                RetryBudget::InFlight(self.gate.clone(), parent.flight)
             }
-            _ => Budget::Own(Allowance::new(document.retry_allowance)),
+            _ => RetryBudget::Own(Allowance::new(document.retry_allowance)),
         };
         Ok(Prepared { call, budget, once })
     }
--- a/crates/node/src/entry/budget.rs
+++ b/crates/node/src/entry/retry_budget.rs
@@ -11,27 +11,27 @@
 /// A request from outside brings its own. A call of this node's target draws on the call in flight that it serves, whose
 /// allowance stays at the gate, so that many calls of one target share it.
 #[derive(Debug)]
-pub enum Budget {
+pub enum RetryBudget {
     /// The allowance of a new request.
     Own(Allowance),
     /// The allowance of a call in flight at this node.
-    Flight(GateHandle, FlightKey),
+    InFlight(GateHandle, FlightKey),
 }
 
-impl Budget {
+impl RetryBudget {
     /// Takes out the part for one attempt.
     pub async fn grant(&mut self) -> u16 {
         match self {
             Self::Own(allowance) => allowance.grant(),
-            Self::Flight(gate, flight) => gate.grant(*flight).await,
+            Self::InFlight(gate, flight) => gate.grant(*flight).await,
         }
     }
 
     /// Takes back what an attempt left of its part.
-    pub fn give_back(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
+    pub fn reclaim(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
         match self {
             Self::Own(allowance) => allowance.reclaim(granted, left),
-            Self::Flight(gate, flight) => {
+            Self::InFlight(gate, flight) => {
                 gate.give_back(*flight, granted, left);
                 Ok(())
             }
@@ -39,8 +39,8 @@
     }
 
     /// Notes the admission level below the call, for callers of the operation that it serves.
-    pub fn level_below(&self, level: Level) {
-        if let Self::Flight(gate, flight) = self {
+    pub fn record_downstream_level(&self, level: Level) {
+        if let Self::InFlight(gate, flight) = self {
             gate.level_below(*flight, level);
         }
     }
@@ -49,7 +49,7 @@
     pub async fn spend(&mut self) -> bool {
         match self {
             Self::Own(allowance) => allowance.spend(),
-            Self::Flight(gate, flight) => gate.spend(*flight).await,
+            Self::InFlight(gate, flight) => gate.spend(*flight).await,
         }
     }
 }
