--- a/crates/node/src/entry/origin.rs
+++ b/crates/node/src/entry/origin.rs
@@ -14,28 +14,28 @@
     /// A caller outside the graph: a new request.
     Caller,
     /// This node's target without a context: a new request, counted.
-    Uncontexted,
+    WithoutContext,
     /// This node's target on behalf of a call in flight.
-    Flight(Parent),
+    InFlight(Parent),
 }
 
 impl Origin {
     /// The request that the call belongs to.
     pub fn request(&self) -> RequestId {
         match self {
-            Self::Caller | Self::Uncontexted => RequestId::random(),
-            Self::Flight(parent) => parent.request,
+            Self::Caller | Self::WithoutContext => RequestId::random(),
+            Self::InFlight(parent) => parent.request,
         }
     }
 
     /// The class: that of the request at its entry, whatever the service below says of the operation.
-    pub fn class(&self, own: Class, own_name: SmolStr) -> ClassOf {
+    pub fn class(&self, own: Class, own_name: SmolStr) -> NamedClass {
         match self {
-            Self::Caller | Self::Uncontexted => ClassOf {
+            Self::Caller | Self::WithoutContext => NamedClass {
                 class: own,
                 name: own_name,
             },
-            Self::Flight(parent) => ClassOf {
+            Self::InFlight(parent) => NamedClass {
                 class: parent.class,
                 name: parent.class_name.clone(),
             },
@@ -45,23 +45,23 @@
     /// The earlier of the call's own deadline and that of the call which it serves.
     pub fn deadline(&self, own: Instant) -> Instant {
         match self {
-            Self::Caller | Self::Uncontexted => own,
-            Self::Flight(parent) => own.min(parent.deadline),
+            Self::Caller | Self::WithoutContext => own,
+            Self::InFlight(parent) => own.min(parent.deadline),
         }
     }
 
     /// Hops above the call.
     pub fn depth(&self) -> u8 {
         match self {
-            Self::Caller | Self::Uncontexted => 0,
-            Self::Flight(parent) => parent.depth,
+            Self::Caller | Self::WithoutContext => 0,
+            Self::InFlight(parent) => parent.depth,
         }
     }
 }
 
 /// A class and its name.
 #[derive(Clone, Debug)]
-pub struct ClassOf {
+pub struct NamedClass {
     /// The class.
     pub class: Class,
     /// Its name in the document that gave it.
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -56,7 +56,7 @@
             body: inbound.body.clone(),
         };
         let budget = match origin {
-            Origin::Flight(parent) if self.limits.allowance_enabled => {
+            Origin::InFlight(parent) if self.limits.allowance_enabled => {
                 RetryBudget::InFlight(self.gate.clone(), parent.flight)
             }
             _ => RetryBudget::Own(Allowance::new(document.retry_allowance)),
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -201,7 +201,7 @@
         };
         self.recorder.record(Some(request), event);
         let below = match &origin {
-            Origin::Flight(parent) => Some(self.gate.below(parent.flight)),
+            Origin::InFlight(parent) => Some(self.gate.below(parent.flight)),
             _ => None,
         };
         let outgoing = match self.own_call(&origin, &inbound, &mut prepared).await {
@@ -254,7 +254,7 @@
         inbound: &Inbound,
         prepared: &mut Prepared,
     ) -> Result<Option<OwnCall>, ErrorKind> {
-        let Origin::Flight(parent) = origin else {
+        let Origin::InFlight(parent) = origin else {
             return Ok(None);
         };
         if !self.limits.allowance_enabled {
@@ -295,7 +295,7 @@
         }
         let Some(text) = inbound.text(&names::CONTEXT)? else {
             self.metrics.calls.without_context();
-            return Ok(Origin::Uncontexted);
+            return Ok(Origin::WithoutContext);
         };
         let handle: ContextHandle = text.parse().map_err(|_| ErrorKind::UnknownContext)?;
         let parent = self
@@ -303,7 +303,7 @@
             .parent(handle)
             .await
             .ok_or(ErrorKind::UnknownContext)?;
-        Ok(Origin::Flight(parent))
+        Ok(Origin::InFlight(parent))
     }
 }
 
