--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,10 +1,10 @@
 //! The entry's side of a call: what it is, where it goes, and what its caller is told.
 
+mod caller_response;
 mod course;
 mod dispatcher;
-mod inbound;
+mod inbound_call;
 mod origin;
-mod outcome;
 mod pinned;
 mod prepare;
 mod retry_budget;
@@ -12,10 +12,10 @@
 mod token_endpoint;
 mod tokens;
 
+pub use caller_response::CallerResponse;
 pub use dispatcher::{Dispatcher, DispatcherSetup};
-pub use inbound::Inbound;
+pub use inbound_call::InboundCall;
 pub use origin::Origin;
-pub use outcome::Outgoing;
 pub use retry_budget::RetryBudget;
 pub use service::{EntryLimits, EntryService};
 pub use tokens::TokenIssuer;
--- a/crates/node/src/entry/outcome.rs
+++ b/crates/node/src/entry/caller_response.rs
@@ -11,7 +11,7 @@
 
 /// The final answer to a caller.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct CallerResponse {
     /// The request, for the time line.
     pub request: RequestId,
     /// What came of it.
@@ -21,9 +21,9 @@
 }
 
 /// HTTP statuses from here on are errors.
-const LEAST_ERROR_STATUS: u16 = 400;
+const MIN_ERROR_STATUS: u16 = 400;
 
-impl Outgoing {
+impl CallerResponse {
     /// An answer without a token.
     pub fn new(request: RequestId, verdict: Verdict) -> Self {
         let verdict = match verdict {
@@ -48,7 +48,7 @@
     /// Whether the target answered without an error of its own.
     pub fn is_success(&self) -> bool {
         match &self.verdict {
-            Verdict::Answered(answer) => answer.status.as_u16() < LEAST_ERROR_STATUS,
+            Verdict::Answered(answer) => answer.status.as_u16() < MIN_ERROR_STATUS,
             Verdict::Refused(_) => false,
         }
     }
--- a/crates/node/src/entry/inbound.rs
+++ b/crates/node/src/entry/inbound_call.rs
@@ -14,7 +14,7 @@
 
 /// A call as read from a caller, before it is classified.
 #[derive(Clone, Debug)]
-pub struct Inbound {
+pub struct InboundCall {
     /// Service to run it.
     pub service: ServiceName,
     /// HTTP method.
@@ -27,9 +27,9 @@
     pub body: Bytes,
 }
 
-impl Inbound {
+impl InboundCall {
     /// Splits `/{service}/{path}` into the service and the target's path.
-    pub fn split(uri: &Uri) -> Result<(ServiceName, String), ErrorKind> {
+    pub fn split_uri(uri: &Uri) -> Result<(ServiceName, String), ErrorKind> {
         let whole = uri
             .path_and_query()
             .map(|path| path.as_str())
@@ -50,7 +50,7 @@
 
     /// The caller's time limit, where it names one.
     pub fn time_limit(&self) -> Result<Option<Duration>, ErrorKind> {
-        let Some(text) = self.text(&names::DEADLINE)? else {
+        let Some(text) = self.single_header(&names::DEADLINE)? else {
             return Ok(None);
         };
         let millis: u64 = text.parse().map_err(|_| ErrorKind::BadRequest)?;
@@ -58,8 +58,8 @@
     }
 
     /// The number of the sending, where the caller gives one.
-    pub fn number(&self) -> Result<Option<Try>, ErrorKind> {
-        let Some(text) = self.text(&names::TRY)? else {
+    pub fn try_number(&self) -> Result<Option<Try>, ErrorKind> {
+        let Some(text) = self.single_header(&names::TRY)? else {
             return Ok(None);
         };
         match text.parse() {
@@ -69,7 +69,7 @@
     }
 
     /// The text of a header that may be given once.
-    pub fn text(&self, name: &HeaderName) -> Result<Option<&str>, ErrorKind> {
+    pub fn single_header(&self, name: &HeaderName) -> Result<Option<&str>, ErrorKind> {
         let mut values = self.headers.get_all(name).iter();
         let Some(value) = values.next() else {
             return Ok(None);
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::once::Try;
 use smol_str::SmolStr;
 
-use super::{EntryService, Inbound, Origin, RetryBudget};
+use super::{EntryService, InboundCall, Origin, RetryBudget};
 use crate::data::{AttemptId, Call, OnceCall};
 use crate::http::{end_to_end, names};
 use crate::spread::DocumentInForce;
@@ -23,7 +23,7 @@
 impl EntryService {
     pub(super) fn prepare(
         &self,
-        inbound: &Inbound,
+        inbound: &InboundCall,
         origin: &Origin,
         request: RequestId,
         started: Instant,
@@ -76,9 +76,9 @@
             .ok_or(ErrorKind::UnknownService)
     }
 
-    fn once(&self, inbound: &Inbound, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
-        let number = inbound.number()?;
-        if let Some(text) = inbound.text(&names::TOKEN)? {
+    fn once(&self, inbound: &InboundCall, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
+        let number = inbound.try_number()?;
+        if let Some(text) = inbound.single_header(&names::TOKEN)? {
             let token = self.tokens.open(text, &inbound.service)?;
             let number = number.unwrap_or(Try::FIRST);
             return Ok(Some(OnceCall { token, number }));
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -16,7 +16,7 @@
 
 use super::prepare::Prepared;
 use super::tokens::TokenIssuer;
-use super::{Dispatcher, Inbound, Origin, Outgoing};
+use super::{CallerResponse, Dispatcher, InboundCall, Origin};
 use crate::clock::{SharedClock, micros};
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, GateHandle, OwnCall};
@@ -100,17 +100,17 @@
     ) -> Response<HttpAnswer> {
         let started = self.clock.now();
         let identity = identity_of(req.headers());
-        let Answered { class, outgoing } = match self.places.try_acquire() {
+        let Answered { class, response } = match self.places.try_acquire() {
             Ok(_place) => {
                 self.take(req, identity, connection, listener, started)
                     .await
             }
             Err(_) => Answered::aside(RequestId::random(), ErrorKind::Shed, identity),
         };
-        let (outcome, error) = (outgoing.outcome(), outgoing.error());
+        let (outcome, error) = (response.outcome(), response.error());
         self.metrics.calls.answered(listener, class, outcome, error);
         let elapsed_us = micros(self.clock.now(), started);
-        let event = match &outgoing.verdict {
+        let event = match &response.verdict {
             Verdict::Answered(answer) => Event::Answered {
                 status: answer.status.as_u16(),
                 elapsed_us,
@@ -121,13 +121,13 @@
                 elapsed_us,
             },
         };
-        self.recorder.record(Some(outgoing.request), event);
+        self.recorder.record(Some(response.request), event);
         debug!(self.log, "request ended";
-            "request" => %outgoing.request,
+            "request" => %response.request,
             "outcome" => outcome.as_str(),
             "error" => error.map(ErrorKind::as_str),
             "elapsed_us" => elapsed_us);
-        outgoing.into_response()
+        response.into_response()
     }
 
     async fn take(
@@ -149,16 +149,16 @@
         }
     }
 
-    async fn read(&self, req: Request<Incoming>) -> Result<Inbound, ErrorKind> {
+    async fn read(&self, req: Request<Incoming>) -> Result<InboundCall, ErrorKind> {
         let (parts, body) = req.into_parts();
-        let (service, path) = Inbound::split(&parts.uri)?;
+        let (service, path) = InboundCall::split_uri(&parts.uri)?;
         let body = read_whole(body, self.limits.body_bytes)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge => ErrorKind::TooLarge,
                 BodyError::Cut => ErrorKind::BadRequest,
             })?;
-        Ok(Inbound {
+        Ok(InboundCall {
             service,
             method: parts.method,
             path,
@@ -169,7 +169,7 @@
 
     async fn answer(
         &self,
-        inbound: Inbound,
+        inbound: InboundCall,
         identity: Identity,
         connection: CallerConnection,
         listener: Listener,
@@ -204,25 +204,27 @@
             Origin::InFlight(parent) => Some(self.gate.below(parent.flight)),
             _ => None,
         };
-        let outgoing = match self.own_call(&origin, &inbound, &mut prepared).await {
+        let response = match self.own_call(&origin, &inbound, &mut prepared).await {
             Ok(own) => {
-                let outgoing = self.dispatch(prepared, identity).await;
+                let response = self.dispatch(prepared, identity).await;
                 // A target that left while its answer was made will ask again.
-                if let Some(own) = own.filter(|_| outgoing.is_success() && !connection.is_closed())
+                if let Some(own) = own.filter(|_| response.is_success() && !connection.is_closed())
                 {
                     own.succeeded();
                 }
-                outgoing
+                response
+            }
+            Err(kind) => {
+                CallerResponse::new(request, Verdict::Refused(Refused::unsent(kind, identity)))
             }
-            Err(kind) => Outgoing::new(request, Verdict::Refused(Refused::unsent(kind, identity))),
         };
-        if let Some(below) = below.filter(|_| outgoing.is_success()) {
+        if let Some(below) = below.filter(|_| response.is_success()) {
             below.succeeded();
         }
-        Answered { class, outgoing }
+        Answered { class, response }
     }
 
-    async fn dispatch(&self, prepared: Prepared, identity: Identity) -> Outgoing {
+    async fn dispatch(&self, prepared: Prepared, identity: Identity) -> CallerResponse {
         let Prepared {
             call,
             mut budget,
@@ -238,11 +240,11 @@
             }
             None => self.dispatcher.send(call, &mut budget).await,
         };
-        let mut outgoing = Outgoing::new(request, verdict);
-        if identity != Identity::None && needs_fresh_token(&outgoing) {
-            outgoing.token = self.tokens.issue_one(&service).await;
+        let mut response = CallerResponse::new(request, verdict);
+        if identity != Identity::None && needs_fresh_token(&response) {
+            response.token = self.tokens.issue_one(&service).await;
         }
-        outgoing
+        response
     }
 
     /// Lets a target's own call begin, which is new or pays for its repetition.
@@ -251,7 +253,7 @@
     async fn own_call(
         &self,
         origin: &Origin,
-        inbound: &Inbound,
+        inbound: &InboundCall,
         prepared: &mut Prepared,
     ) -> Result<Option<OwnCall>, ErrorKind> {
         let Origin::InFlight(parent) = origin else {
@@ -282,18 +284,18 @@
             self.metrics.faults.rejected(Rejected::Token);
         }
         let mut answered = Answered::aside(request, kind, identity);
-        let refused_token = identity != Identity::None && needs_fresh_token(&answered.outgoing);
+        let refused_token = identity != Identity::None && needs_fresh_token(&answered.response);
         if kind == ErrorKind::TokenRequired || refused_token {
-            answered.outgoing.token = self.tokens.issue_one(service).await;
+            answered.response.token = self.tokens.issue_one(service).await;
         }
         answered
     }
 
-    async fn origin(&self, inbound: &Inbound, listener: Listener) -> Result<Origin, ErrorKind> {
+    async fn origin(&self, inbound: &InboundCall, listener: Listener) -> Result<Origin, ErrorKind> {
         if listener != Listener::Egress {
             return Ok(Origin::Caller);
         }
-        let Some(text) = inbound.text(&names::CONTEXT)? else {
+        let Some(text) = inbound.single_header(&names::CONTEXT)? else {
             self.metrics.calls.without_context();
             return Ok(Origin::WithoutContext);
         };
@@ -313,7 +315,7 @@
 /// An answer with the class that it is counted under.
 struct Answered {
     class: Class,
-    outgoing: Outgoing,
+    response: CallerResponse,
 }
 
 impl Answered {
@@ -322,7 +324,7 @@
         let refused = Refused::unsent(kind, identity);
         Self {
             class: Class::LOWEST,
-            outgoing: Outgoing::new(request, Verdict::Refused(refused)),
+            response: CallerResponse::new(request, Verdict::Refused(refused)),
         }
     }
 }
@@ -337,10 +339,10 @@
 /// Whether the caller's token is of no more use, and the call is known not to have run.
 ///
 /// After any other outcome a fresh token would invite a second run.
-fn needs_fresh_token(outgoing: &Outgoing) -> bool {
-    outgoing.outcome() == Outcome::NotRun
+fn needs_fresh_token(response: &CallerResponse) -> bool {
+    response.outcome() == Outcome::NotRun
         && matches!(
-            outgoing.error(),
+            response.error(),
             Some(
                 ErrorKind::NoTarget
                     | ErrorKind::Leaving
