--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -31,7 +31,7 @@
     /// Largest body in bytes.
     pub body_bytes: usize,
     /// Time in which a body must arrive.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Whether requests bring one allowance for their whole chain; off only for comparison, when each hop has its own.
     pub allowance_enabled: bool,
 }
@@ -50,7 +50,7 @@
     /// Limits.
     pub limits: EntryLimits,
     /// Places for calls at a time, which bound the memory that callers can take.
-    pub places: Arc<Semaphore>,
+    pub call_slots: Arc<Semaphore>,
     /// The process's clock.
     pub clock: SharedClock,
     /// Where events are recorded.
@@ -100,8 +100,8 @@
     ) -> Response<HttpAnswer> {
         let started = self.clock.now();
         let identity = identity_of(req.headers());
-        let Answered { class, response } = match self.places.try_acquire() {
-            Ok(_place) => {
+        let Answered { class, response } = match self.call_slots.try_acquire() {
+            Ok(_slot) => {
                 self.take(req, identity, connection, listener, started)
                     .await
             }
@@ -139,7 +139,7 @@
         started: Instant,
     ) -> Answered {
         // A sender that stops halfway would keep its place and its buffer for ever.
-        let reading = tokio::time::timeout(self.limits.body_time, self.read(req));
+        let reading = tokio::time::timeout(self.limits.body_timeout, self.read(req));
         match reading.await.unwrap_or(Err(ErrorKind::BadRequest)) {
             // Boxed, so that a caller that has not sent its whole body takes little memory.
             Ok(inbound) => {
--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -240,10 +240,10 @@
             tokens,
             gate: gate.clone(),
             published: self.published.clone(),
-            places: self.places(),
+            call_slots: self.places(),
             limits: EntryLimits {
                 body_bytes: limits.body_bytes as usize,
-                body_time: limits.header_timeout,
+                body_timeout: limits.header_timeout,
                 allowance_enabled: self.settings.retries.allowance_enabled,
             },
             clock: Arc::clone(&self.clock),
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -112,7 +112,7 @@
     let egress = Listener::new(bind("egress", listen.egress).await?, limits, stage);
     // Calls of the target have places of their own: were all taken by callers, none of these could ever end.
     let for_target = EntryService {
-        places: base.places(),
+        call_slots: base.places(),
         ..entry.clone()
     };
     tokio::spawn(
