--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,7 +1,7 @@
 //! The entry's side of a call: what it is, where it goes, and what its caller is told.
 
+mod call_progress;
 mod caller_response;
-mod course;
 mod dispatcher;
 mod inbound_call;
 mod origin;
--- a/crates/node/src/entry/course.rs
+++ b/crates/node/src/entry/call_progress.rs
@@ -11,7 +11,7 @@
     /// The target answered.
     Answered(Answer),
     /// Nothing was sent to this host; another may do.
-    PassOver,
+    SkipHost,
     /// The attempt failed.
     Failed(Refused),
     /// No attempt is left to make.
@@ -19,42 +19,42 @@
 }
 
 /// What a call has been through.
-pub(super) struct Course {
+pub(super) struct CallProgress {
     /// Hosts that were tried.
     pub(super) excluded: Vec<PeerKey>,
     /// Hosts to which nothing could be sent.
-    unsent: u32,
+    unsent_hosts: u32,
     /// Retries made.
     pub(super) retries: u16,
     /// Whether an attempt may have run without its answer being known.
     in_doubt: bool,
     /// The last failure.
-    pub(super) last: Refused,
+    pub(super) last_failure: Refused,
 }
 
-impl Default for Course {
+impl Default for CallProgress {
     fn default() -> Self {
         Self {
             excluded: Vec::new(),
-            unsent: 0,
+            unsent_hosts: 0,
             retries: 0,
             in_doubt: false,
-            last: Refused::from(ErrorKind::NoTarget),
+            last_failure: Refused::from(ErrorKind::NoTarget),
         }
     }
 }
 
-impl Course {
-    pub(super) fn note(&mut self, failure: Refused) {
+impl CallProgress {
+    pub(super) fn record_failure(&mut self, failure: Refused) {
         self.in_doubt |= failure.outcome == Outcome::Unknown;
-        self.last = failure;
+        self.last_failure = failure;
     }
 
-    pub(super) fn pass_over(&mut self) -> Step {
-        self.unsent += 1;
-        match self.unsent < MOST_UNSENT {
-            true => Step::PassOver,
-            false => Step::GiveUp(self.last),
+    pub(super) fn skip_host(&mut self) -> Step {
+        self.unsent_hosts += 1;
+        match self.unsent_hosts < MAX_UNSENT_HOSTS {
+            true => Step::SkipHost,
+            false => Step::GiveUp(self.last_failure),
         }
     }
 
@@ -62,7 +62,7 @@
     ///
     /// A retry that was refused says nothing about the attempt before it: after an attempt whose answer was lost, "not run"
     /// would be untrue, seen as a call that the target counts and its caller was told did not run.
-    pub(super) fn conclude(&self, refused: Refused) -> Verdict {
+    pub(super) fn final_verdict(&self, refused: Refused) -> Verdict {
         if self.in_doubt && refused.outcome == Outcome::NotRun {
             return Verdict::from(ErrorKind::AnswerLost);
         }
@@ -80,4 +80,4 @@
 }
 
 /// Hosts that are passed over because nothing could be sent to them, before the call is given up.
-const MOST_UNSENT: u32 = 4;
+const MAX_UNSENT_HOSTS: u32 = 4;
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 
 use super::RetryBudget;
-use super::course::{Course, Step};
+use super::call_progress::{CallProgress, Step};
 use super::tokens::TokenIssuer;
 use crate::clock::{SharedClock, micros};
 use crate::data::{AttemptId, Call, OnceCall, Refused, Reply, Verdict};
@@ -80,54 +80,63 @@
 
     /// Sends a call that has no identity outside the system, which may move from host to host.
     pub async fn send(&self, mut call: Call, budget: &mut RetryBudget) -> Verdict {
-        let mut course = Course::default();
+        let mut progress = CallProgress::default();
         loop {
-            let failure = match self.step(&mut call, &mut course, budget).await {
+            let failure = match self.step(&mut call, &mut progress, budget).await {
                 Step::Answered(answer) => return Verdict::Answered(answer),
-                Step::GiveUp(refused) => return course.conclude(refused),
-                Step::PassOver => continue,
+                Step::GiveUp(refused) => return progress.final_verdict(refused),
+                Step::SkipHost => continue,
                 Step::Failed(refused) => refused,
             };
-            course.note(failure);
+            progress.record_failure(failure);
             if !self.may_retry(&call, failure.kind, budget).await {
-                return course.conclude(failure);
+                return progress.final_verdict(failure);
             }
-            self.note_retry(&call, failure.kind, course.retries);
-            self.pause(course.retries).await;
-            course.retries += 1;
+            self.record_retry(&call, failure.kind, progress.retries);
+            self.sleep_backoff(progress.retries).await;
+            progress.retries += 1;
         }
     }
 
     /// Chooses a host and makes one attempt there.
-    async fn step(&self, call: &mut Call, course: &mut Course, budget: &mut RetryBudget) -> Step {
+    async fn step(
+        &self,
+        call: &mut Call,
+        progress: &mut CallProgress,
+        budget: &mut RetryBudget,
+    ) -> Step {
         if self.setup.clock.now() >= call.deadline {
             return Step::GiveUp(Refused::from(ErrorKind::ExpiredBeforeDispatch));
         }
         let route = match self
             .setup
             .routes
-            .pick(pick_of(call, &course.excluded))
+            .pick(pick_request(call, &progress.excluded))
             .await
         {
             Choice::Send(route) => *route,
             Choice::Shed(retry_after) => {
                 return Step::GiveUp(Refused::new(ErrorKind::Shed, retry_after));
             }
-            Choice::NoHost => return Step::GiveUp(course.last),
+            Choice::NoHost => return Step::GiveUp(progress.last_failure),
         };
-        course.excluded.extend(route.guard.peer());
-        if !call.idempotent && !self.bind(call, &route).await {
+        progress.excluded.extend(route.guard.peer());
+        if !call.idempotent && !self.bind_to_home(call, &route).await {
             route.guard.finish(RouteResult::Lost, None);
-            return course.pass_over();
+            return progress.skip_host();
         }
         match self.attempt(call, route, budget).await {
             Attempt::Replied(reply) if call.idempotent => Step::from(reply.verdict),
-            Attempt::Replied(reply) => Step::from(movable(sent_once(reply.verdict))),
-            Attempt::NotSent => course.pass_over(),
-            Attempt::Lost if !call.idempotent => {
-                Step::from(movable(self.pursue(call, budget).await))
+            Attempt::Replied(reply) => Step::from(refused_token_as_no_target(
+                lost_home_as_no_target(reply.verdict),
+            )),
+            Attempt::NotSent => progress.skip_host(),
+            Attempt::Lost if !call.idempotent => Step::from(refused_token_as_no_target(
+                self.retry_at_home(call, budget).await,
+            )),
+            Attempt::Expired if !call.idempotent => {
+                Step::from(refused_token_as_no_target(self.resolve_outcome(call).await))
             }
-            Attempt::Expired if !call.idempotent => Step::from(movable(self.settle(call).await)),
             Attempt::Lost => Step::Failed(Refused::from(ErrorKind::AnswerLost)),
             Attempt::Expired => Step::Failed(Refused::from(ErrorKind::ExpiredInFlight)),
         }
@@ -152,8 +161,8 @@
         setup.recorder.record(Some(call.request), event);
         let sent = setup.clock.now();
         let exchange = self.exchange(call, &route);
-        let patience = call.deadline + ANSWER_GRACE;
-        let done = tokio::time::timeout_at(patience.into(), exchange).await;
+        let give_up_at = call.deadline + ANSWER_GRACE;
+        let done = tokio::time::timeout_at(give_up_at.into(), exchange).await;
         match done.unwrap_or(Attempt::Expired) {
             Attempt::Replied(reply) if reply.attempt != call.attempt => {
                 setup.recorder.breach(Invariant::AnswerToWrongCall);
@@ -211,7 +220,7 @@
     }
 
     /// Binds a call that must run at most once to the run of one host.
-    async fn bind(&self, call: &mut Call, route: &Route) -> bool {
+    async fn bind_to_home(&self, call: &mut Call, route: &Route) -> bool {
         let Some(token) = self.setup.tokens.mint_at(route, &call.service).await else {
             return false;
         };
@@ -226,14 +235,14 @@
         if !self.setup.policy.may_retry(kind, call.idempotent, false) {
             return false;
         }
-        if self.setup.clock.now() + LEAST_TIME_FOR_RETRY >= call.deadline {
+        if self.setup.clock.now() + MIN_TIME_FOR_RETRY >= call.deadline {
             return false;
         }
         // The request's own allowance first: a request that has none must not use up the budget of the others.
         budget.spend().await && self.setup.routes.spend_retry(&call.service).await
     }
 
-    fn note_retry(&self, call: &Call, error: ErrorKind, retries: u16) {
+    fn record_retry(&self, call: &Call, error: ErrorKind, retries: u16) {
         let event = Event::Retried {
             error,
             attempt: retries + 1,
@@ -242,7 +251,7 @@
         self.setup.recorder.record(Some(call.request), event);
     }
 
-    async fn pause(&self, retries: u16) {
+    async fn sleep_backoff(&self, retries: u16) {
         let mut rng = SmallRng::from_os_rng();
         let delay = self.setup.backoff.delay(retries, &mut rng);
         if !delay.is_zero() {
@@ -252,12 +261,12 @@
 }
 
 /// Time that must be left for a retry to make sense.
-const LEAST_TIME_FOR_RETRY: Duration = Duration::from_millis(2);
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(2);
 
 /// How long past the deadline the host's own refusal is waited for; it is more exact than the entry's.
 const ANSWER_GRACE: Duration = Duration::from_millis(20);
 
-fn pick_of(call: &Call, excluded: &[PeerKey]) -> PickRequest {
+fn pick_request(call: &Call, excluded: &[PeerKey]) -> PickRequest {
     PickRequest {
         service: call.service.clone(),
         operation: call.operation.clone(),
@@ -271,7 +280,7 @@
 ///
 /// Nobody else can have sent it, so that a home which refused it, or is another run than the token names, has not run the
 /// call; another host may.
-fn movable(verdict: Verdict) -> Verdict {
+fn refused_token_as_no_target(verdict: Verdict) -> Verdict {
     let Verdict::Refused(refused) = verdict else {
         return verdict;
     };
@@ -284,7 +293,7 @@
 }
 
 /// A home that answers that it is another run than the token names can't have run a call that was sent to it alone.
-fn sent_once(verdict: Verdict) -> Verdict {
+fn lost_home_as_no_target(verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::Refused(refused) if refused.kind == ErrorKind::HomeLost => {
             Verdict::Refused(Refused::new(ErrorKind::NoTarget, refused.retry_after))
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -30,15 +30,15 @@
         match self.attempt_at_home(&mut call, &once, budget).await {
             Attempt::Replied(reply) => reply.verdict,
             Attempt::NotSent => Verdict::Refused(Refused::unsent(ErrorKind::NoTarget, identity)),
-            Attempt::Lost => self.pursue(&mut call, budget).await,
-            Attempt::Expired => self.settle(&call).await,
+            Attempt::Lost => self.retry_at_home(&mut call, budget).await,
+            Attempt::Expired => self.resolve_outcome(&call).await,
         }
     }
 
     /// Learns what became of a call with a token after contact to its home was lost.
     ///
     /// The home knows the token and its try, so that sending it again joins the first sending or hears its answer.
-    pub(super) async fn pursue(&self, call: &mut Call, budget: &mut RetryBudget) -> Verdict {
+    pub(super) async fn retry_at_home(&self, call: &mut Call, budget: &mut RetryBudget) -> Verdict {
         let Some(once) = call.once.clone() else {
             return Verdict::from(ErrorKind::AnswerLost);
         };
@@ -49,7 +49,7 @@
                 Attempt::NotSent | Attempt::Expired => break,
             }
         }
-        self.settle(call).await
+        self.resolve_outcome(call).await
     }
 
     async fn attempt_at_home(
@@ -65,11 +65,11 @@
     }
 
     /// Asks the home what became of a call after contact was lost, and has it refuse the call if it did not run.
-    pub(super) async fn settle(&self, call: &Call) -> Verdict {
+    pub(super) async fn resolve_outcome(&self, call: &Call) -> Verdict {
         let Some(once) = &call.once else {
             return Verdict::from(ErrorKind::AnswerLost);
         };
-        let refusal = self.ask_home(once).await;
+        let refusal = self.refuse_at_home(once).await;
         match refusal {
             Refusal::Ran(answer) => Verdict::Answered(Answer {
                 replayed: true,
@@ -84,19 +84,23 @@
         }
     }
 
-    async fn ask_home(&self, once: &OnceCall) -> Refusal<Arc<Answer>> {
+    async fn refuse_at_home(&self, once: &OnceCall) -> Refusal<Arc<Answer>> {
         let Some(route) = self.setup.routes.home(&once.token).await else {
             return Refusal::Unknown;
         };
         let refusal = self
-            .refuse_at(&route, once)
+            .request_refusal(&route, once)
             .await
             .unwrap_or(Refusal::Unknown);
         route.guard.finish(RouteResult::Cancelled, None);
         refusal
     }
 
-    async fn refuse_at(&self, route: &Route, once: &OnceCall) -> Option<Refusal<Arc<Answer>>> {
+    async fn request_refusal(
+        &self,
+        route: &Route,
+        once: &OnceCall,
+    ) -> Option<Refusal<Arc<Answer>>> {
         if route.node == self.setup.node {
             return Some(
                 self.setup
@@ -105,7 +109,7 @@
                     .await,
             );
         }
-        let asking = async {
+        let exchange = async {
             let link = self
                 .setup
                 .hub
@@ -115,12 +119,12 @@
                 token: once.token.clone(),
                 up_to: once.number.0,
             };
-            match link.control(request, REFUSE_PATIENCE).await.ok()? {
-                ControlReply::Refuse(frame) => refusal(frame),
+            match link.control(request, REFUSE_TIMEOUT).await.ok()? {
+                ControlReply::Refuse(frame) => refusal_from_frame(frame),
                 _ => None,
             }
         };
-        tokio::time::timeout(REFUSE_PATIENCE, asking)
+        tokio::time::timeout(REFUSE_TIMEOUT, exchange)
             .await
             .ok()
             .flatten()
@@ -132,9 +136,9 @@
 }
 
 /// How long a home is asked; a caller that was given up hears so at once.
-const REFUSE_PATIENCE: Duration = Duration::from_millis(250);
+const REFUSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-fn refusal(frame: RefusalFrame) -> Option<Refusal<Arc<Answer>>> {
+fn refusal_from_frame(frame: RefusalFrame) -> Option<Refusal<Arc<Answer>>> {
     Some(match frame {
         RefusalFrame::Running => Refusal::Running,
         RefusalFrame::Ran {
