--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -14,7 +14,7 @@
 use crate::spread::DocumentInForce;
 
 /// A call with everything that decides how it is sent.
-pub(super) struct Prepared {
+pub(super) struct PreparedCall {
     pub(super) call: Call,
     pub(super) budget: RetryBudget,
     pub(super) once: Option<OnceCall>,
@@ -27,7 +27,7 @@
         origin: &Origin,
         request: RequestId,
         started: Instant,
-    ) -> Result<Prepared, ErrorKind> {
+    ) -> Result<PreparedCall, ErrorKind> {
         let DocumentInForce { revision, document } = self.document(&inbound.service)?;
         let profile = document.profile(inbound.method.as_str(), &inbound.path);
         let limit = inbound
@@ -35,7 +35,7 @@
             .unwrap_or(profile.deadline)
             .min(profile.deadline);
         let class = origin.class(profile.class, profile.class_name);
-        let once = self.once(inbound, profile.idempotent)?;
+        let once = self.once_call(inbound, profile.idempotent)?;
         let call = Call {
             request,
             attempt: AttemptId(0),
@@ -46,7 +46,7 @@
             headers: end_to_end(&inbound.headers),
             class: class.class,
             class_name: class.name,
-            operation: operation_name(profile.operation),
+            operation: operation_key(profile.operation),
             deadline: origin.deadline(started + limit),
             allowance: 0,
             depth: origin.depth(),
@@ -61,7 +61,7 @@
             }
             _ => RetryBudget::Own(Allowance::new(document.retry_allowance)),
         };
-        Ok(Prepared { call, budget, once })
+        Ok(PreparedCall { call, budget, once })
     }
 
     pub(super) fn document(&self, service: &ServiceName) -> Result<DocumentInForce, ErrorKind> {
@@ -76,7 +76,7 @@
             .ok_or(ErrorKind::UnknownService)
     }
 
-    fn once(&self, inbound: &InboundCall, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
+    fn once_call(&self, inbound: &InboundCall, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
         let number = inbound.try_number()?;
         if let Some(text) = inbound.single_header(&names::TOKEN)? {
             let token = self.tokens.open(text, &inbound.service)?;
@@ -92,7 +92,7 @@
 }
 
 /// The name by which levels of an operation's subtree are kept; bounded by the document, since callers choose paths freely.
-fn operation_name(operation: Option<u16>) -> SmolStr {
+fn operation_key(operation: Option<u16>) -> SmolStr {
     match operation {
         Some(position) => SmolStr::from(position.to_string()),
         None => SmolStr::new_static("other"),
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -14,7 +14,7 @@
 use slog::{Logger, debug};
 use tokio::sync::{Semaphore, watch};
 
-use super::prepare::Prepared;
+use super::prepare::PreparedCall;
 use super::tokens::TokenIssuer;
 use super::{CallerResponse, Dispatcher, InboundCall, Origin};
 use crate::clock::{SharedClock, micros};
@@ -68,7 +68,7 @@
         req: Request<Incoming>,
         connection: CallerConnection,
     ) -> Response<HttpAnswer> {
-        self.serve_any(req, connection, Listener::Callers).await
+        self.serve(req, connection, Listener::Callers).await
     }
 
     /// Answers a call of the node's own target.
@@ -77,10 +77,10 @@
         req: Request<Incoming>,
         connection: CallerConnection,
     ) -> Response<HttpAnswer> {
-        self.serve_any(req, connection, Listener::Egress).await
+        self.serve(req, connection, Listener::Egress).await
     }
 
-    async fn serve_any(
+    async fn serve(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
@@ -89,10 +89,10 @@
         if req.uri().path() == TOKENS_PATH {
             return Box::pin(self.serve_tokens(&req)).await;
         }
-        self.serve(req, connection, listener).await
+        self.serve_call(req, connection, listener).await
     }
 
-    async fn serve(
+    async fn serve_call(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
@@ -100,12 +100,12 @@
     ) -> Response<HttpAnswer> {
         let started = self.clock.now();
         let identity = identity_of(req.headers());
-        let Answered { class, response } = match self.call_slots.try_acquire() {
+        let ClassifiedResponse { class, response } = match self.call_slots.try_acquire() {
             Ok(_slot) => {
-                self.take(req, identity, connection, listener, started)
+                self.read_and_answer(req, identity, connection, listener, started)
                     .await
             }
-            Err(_) => Answered::aside(RequestId::random(), ErrorKind::Shed, identity),
+            Err(_) => ClassifiedResponse::unsent(RequestId::random(), ErrorKind::Shed, identity),
         };
         let (outcome, error) = (response.outcome(), response.error());
         self.metrics.calls.answered(listener, class, outcome, error);
@@ -130,14 +130,14 @@
         response.into_response()
     }
 
-    async fn take(
+    async fn read_and_answer(
         &self,
         req: Request<Incoming>,
         identity: Identity,
         connection: CallerConnection,
         listener: Listener,
         started: Instant,
-    ) -> Answered {
+    ) -> ClassifiedResponse {
         // A sender that stops halfway would keep its place and its buffer for ever.
         let reading = tokio::time::timeout(self.limits.body_timeout, self.read(req));
         match reading.await.unwrap_or(Err(ErrorKind::BadRequest)) {
@@ -145,7 +145,7 @@
             Ok(inbound) => {
                 Box::pin(self.answer(inbound, identity, connection, listener, started)).await
             }
-            Err(kind) => Answered::aside(RequestId::random(), kind, identity),
+            Err(kind) => ClassifiedResponse::unsent(RequestId::random(), kind, identity),
         }
     }
 
@@ -174,24 +174,24 @@
         connection: CallerConnection,
         listener: Listener,
         started: Instant,
-    ) -> Answered {
+    ) -> ClassifiedResponse {
         let origin = match self.origin(&inbound, listener).await {
             Ok(origin) => origin,
-            Err(kind) => return Answered::aside(RequestId::random(), kind, identity),
+            Err(kind) => return ClassifiedResponse::unsent(RequestId::random(), kind, identity),
         };
         let request = origin.request();
         let mut prepared = match self.prepare(&inbound, &origin, request, started) {
             Ok(prepared) => prepared,
             Err(kind) => {
                 return self
-                    .refuse_early(request, &inbound.service, kind, identity)
+                    .refuse_unprepared(request, &inbound.service, kind, identity)
                     .await;
             }
         };
         let class = prepared.call.class;
         // A paused process finds a request together with its caller's close; running it would serve nobody.
         if !prepared.call.idempotent && connection.is_closed() {
-            return Answered::aside(request, ErrorKind::Cancelled, identity);
+            return ClassifiedResponse::unsent(request, ErrorKind::Cancelled, identity);
         }
         let event = Event::Received {
             service: inbound.service.clone(),
@@ -200,7 +200,7 @@
             allowance: 0,
         };
         self.recorder.record(Some(request), event);
-        let below = match &origin {
+        let downstream = match &origin {
             Origin::InFlight(parent) => Some(self.gate.below(parent.flight)),
             _ => None,
         };
@@ -218,14 +218,14 @@
                 CallerResponse::new(request, Verdict::Refused(Refused::unsent(kind, identity)))
             }
         };
-        if let Some(below) = below.filter(|_| response.is_success()) {
-            below.succeeded();
+        if let Some(downstream) = downstream.filter(|_| response.is_success()) {
+            downstream.succeeded();
         }
-        Answered { class, response }
+        ClassifiedResponse { class, response }
     }
 
-    async fn dispatch(&self, prepared: Prepared, identity: Identity) -> CallerResponse {
-        let Prepared {
+    async fn dispatch(&self, prepared: PreparedCall, identity: Identity) -> CallerResponse {
+        let PreparedCall {
             call,
             mut budget,
             once,
@@ -254,7 +254,7 @@
         &self,
         origin: &Origin,
         inbound: &InboundCall,
-        prepared: &mut Prepared,
+        prepared: &mut PreparedCall,
     ) -> Result<Option<OwnCall>, ErrorKind> {
         let Origin::InFlight(parent) = origin else {
             return Ok(None);
@@ -273,17 +273,17 @@
         Ok(Some(own))
     }
 
-    async fn refuse_early(
+    async fn refuse_unprepared(
         &self,
         request: RequestId,
         service: &ServiceName,
         kind: ErrorKind,
         identity: Identity,
-    ) -> Answered {
+    ) -> ClassifiedResponse {
         if kind == ErrorKind::BadToken {
             self.metrics.faults.rejected(Rejected::Token);
         }
-        let mut answered = Answered::aside(request, kind, identity);
+        let mut answered = ClassifiedResponse::unsent(request, kind, identity);
         let refused_token = identity != Identity::None && needs_fresh_token(&answered.response);
         if kind == ErrorKind::TokenRequired || refused_token {
             answered.response.token = self.tokens.issue_one(service).await;
@@ -313,14 +313,14 @@
 const TOKENS_PATH: &str = "/coltsfootport/tokens";
 
 /// An answer with the class that it is counted under.
-struct Answered {
+struct ClassifiedResponse {
     class: Class,
     response: CallerResponse,
 }
 
-impl Answered {
+impl ClassifiedResponse {
     /// The end of a call of which nothing was sent.
-    fn aside(request: RequestId, kind: ErrorKind, identity: Identity) -> Self {
+    fn unsent(request: RequestId, kind: ErrorKind, identity: Identity) -> Self {
         let refused = Refused::unsent(kind, identity);
         Self {
             class: Class::LOWEST,
--- a/crates/node/src/entry/tokens.rs
+++ b/crates/node/src/entry/tokens.rs
@@ -29,7 +29,7 @@
 }
 
 /// Most tokens handed out at once.
-pub const MOST_TOKENS: usize = 256;
+pub const MAX_TOKENS: usize = 256;
 
 impl TokenIssuer {
     /// An issuer that seals with the fleet's keys.
@@ -50,7 +50,7 @@
     /// Up to `count` tokens of a service, spread over its homes.
     pub async fn issue(&self, service: &ServiceName, count: usize) -> Result<TokenPage, ErrorKind> {
         let mut tokens = Vec::new();
-        for _ in 0..count.min(MOST_TOKENS) {
+        for _ in 0..count.min(MAX_TOKENS) {
             match self.issue_one(service).await {
                 Some(token) => tokens.push(token),
                 None if tokens.is_empty() => return Err(ErrorKind::NoTarget),
@@ -62,8 +62,8 @@
 
     /// One sealed token of a service.
     pub async fn issue_one(&self, service: &ServiceName) -> Option<SmolStr> {
-        for _ in 0..HOMES_TRIED {
-            let Choice::Send(route) = self.routes.pick(pick_for(service)).await else {
+        for _ in 0..MAX_HOMES_TRIED {
+            let Choice::Send(route) = self.routes.pick(pick_request(service)).await else {
                 return None;
             };
             if let Some(token) = self.mint(*route, service).await {
@@ -94,9 +94,9 @@
     }
 }
 
-const HOMES_TRIED: usize = 3;
+const MAX_HOMES_TRIED: usize = 3;
 
-fn pick_for(service: &ServiceName) -> PickRequest {
+fn pick_request(service: &ServiceName) -> PickRequest {
     PickRequest {
         service: service.clone(),
         operation: SmolStr::default(),
