--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -76,7 +76,11 @@
             .ok_or(ErrorKind::UnknownService)
     }
 
-    fn once_call(&self, inbound: &InboundCall, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
+    fn once_call(
+        &self,
+        inbound: &InboundCall,
+        idempotent: bool,
+    ) -> Result<Option<OnceCall>, ErrorKind> {
         let number = inbound.try_number()?;
         if let Some(text) = inbound.single_header(&names::TOKEN)? {
             let token = self.tokens.open(text, &inbound.service)?;
