--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a call: what it is, where it goes, and what its caller is told.
+//! Entry of calls: reads and classifies them, sends them to hosts and responds to their callers.
 
 mod call_progress;
 mod caller_response;
