--- a/crates/node/src/entry/retry_budget.rs
+++ b/crates/node/src/entry/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Where an entry takes retries from.
+//! Retry allowance that an entry spends for a call.
 
 use coltsfootport_core::admission::Level;
 use coltsfootport_core::allowance::Allowance;
@@ -6,20 +6,20 @@
 
 use crate::gate::{FlightKey, GateHandle};
 
-/// The retry allowance that pays for a call.
+/// Retry allowance from which the retries of a call are taken.
 ///
-/// A request from outside brings its own. A call of this node's target draws on the call in flight that it serves, whose
-/// allowance stays at the gate, so that many calls of one target share it.
+/// A new request has an allowance of its own. A call of this node's target uses that of the call in flight on whose
+/// behalf it is made. The gate holds that allowance, so that all calls made on behalf of one call share it.
 #[derive(Debug)]
 pub enum RetryBudget {
-    /// The allowance of a new request.
+    /// Allowance of a new request.
     Own(Allowance),
-    /// The allowance of a call in flight at this node.
+    /// Allowance of a call in flight at this node, held by the gate.
     InFlight(GateHandle, FlightKey),
 }
 
 impl RetryBudget {
-    /// Takes out the part for one attempt.
+    /// Withdraws the share granted to one attempt and returns it.
     pub async fn grant(&mut self) -> u16 {
         match self {
             Self::Own(allowance) => allowance.grant(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes back what an attempt left of its part.
+    /// Returns the unused rest of an attempt's share to the allowance.
     pub fn reclaim(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
         match self {
             Self::Own(allowance) => allowance.reclaim(granted, left),
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Notes the admission level below the call, for callers of the operation that it serves.
+    /// Records the admission level reported from downstream, to be reported to callers of the operation being served.
     pub fn record_downstream_level(&self, level: Level) {
         if let Self::InFlight(gate, flight) = self {
             gate.level_below(*flight, level);
         }
     }
 
-    /// Takes out one retry; false where none is left.
+    /// Takes one retry from the allowance; returns false if none is left.
     pub async fn spend(&mut self) -> bool {
         match self {
             Self::Own(allowance) => allowance.spend(),
