--- a/crates/node/src/entry/call_progress.rs
+++ b/crates/node/src/entry/call_progress.rs
@@ -1,4 +1,4 @@
-//! What a call goes through until it has an answer or is given up.
+//! State of a call between its first attempt and its verdict.
 
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::outcome::Outcome;
@@ -6,29 +6,29 @@
 
 use crate::data::{Answer, Refused, Verdict};
 
-/// What came of choosing a host and trying it.
+/// Result of choosing a host and making an attempt there.
 pub(super) enum Step {
     /// The target answered.
     Answered(Answer),
-    /// Nothing was sent to this host; another may do.
+    /// Nothing was sent to this host; the call may be sent to another one.
     SkipHost,
     /// The attempt failed.
     Failed(Refused),
-    /// No attempt is left to make.
+    /// No further attempt is possible.
     GiveUp(Refused),
 }
 
-/// What a call has been through.
+/// Attempts and failures of a call so far.
 pub(super) struct CallProgress {
-    /// Hosts that were tried.
+    /// Hosts already chosen, which are not chosen again.
     pub(super) excluded: Vec<PeerKey>,
-    /// Hosts to which nothing could be sent.
+    /// Number of hosts to which nothing could be sent.
     unsent_hosts: u32,
-    /// Retries made.
+    /// Number of retries made.
     pub(super) retries: u16,
-    /// Whether an attempt may have run without its answer being known.
+    /// Whether an attempt may have run although its answer is unknown.
     in_doubt: bool,
-    /// The last failure.
+    /// The most recent failure.
     pub(super) last_failure: Refused,
 }
 
@@ -58,10 +58,10 @@
         }
     }
 
-    /// The final failure as it may be told.
+    /// Returns the verdict for a call that ends with this refusal.
     ///
-    /// A retry that was refused says nothing about the attempt before it: after an attempt whose answer was lost, "not run"
-    /// would be untrue, seen as a call that the target counts and its caller was told did not run.
+    /// The refusal of a retry gives no information about earlier attempts. If the answer of one of them was lost, "not run"
+    /// would be wrong: calls counted by the target have been reported to their callers as not run.
     pub(super) fn final_verdict(&self, refused: Refused) -> Verdict {
         if self.in_doubt && refused.outcome == Outcome::NotRun {
             return Verdict::from(ErrorKind::AnswerLost);
@@ -79,5 +79,5 @@
     }
 }
 
-/// Hosts that are passed over because nothing could be sent to them, before the call is given up.
+/// Number of hosts to which nothing could be sent after which the call is given up.
 const MAX_UNSENT_HOSTS: u32 = 4;
