--- a/crates/node/src/entry/origin.rs
+++ b/crates/node/src/entry/origin.rs
@@ -1,4 +1,4 @@
-//! Whom a call comes from.
+//! Origin of a call.
 
 use std::time::Instant;
 
@@ -8,19 +8,19 @@
 
 use crate::gate::Parent;
 
-/// Whom a call comes from, which decides its request, class and time.
+/// Origin of a call, which determines its request id, class and deadline.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    /// A caller outside the graph: a new request.
+    /// A caller outside the call graph; the call starts a new request.
     Caller,
-    /// This node's target without a context: a new request, counted.
+    /// This node's target, without a context; the call starts a new request and is counted in the metrics.
     WithoutContext,
     /// This node's target on behalf of a call in flight.
     InFlight(Parent),
 }
 
 impl Origin {
-    /// The request that the call belongs to.
+    /// Returns the id of the request to which the call belongs.
     pub fn request(&self) -> RequestId {
         match self {
             Self::Caller | Self::WithoutContext => RequestId::random(),
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The class: that of the request at its entry, whatever the service below says of the operation.
+    /// Returns the class of the call. A call on behalf of another one keeps the class that the request received at its
+    /// entry, whatever class the document of the called service assigns to the operation.
     pub fn class(&self, own: Class, own_name: SmolStr) -> NamedClass {
         match self {
             Self::Caller | Self::WithoutContext => NamedClass {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The earlier of the call's own deadline and that of the call which it serves.
+    /// Returns the earlier of the call's own deadline and that of the call on whose behalf it is made.
     pub fn deadline(&self, own: Instant) -> Instant {
         match self {
             Self::Caller | Self::WithoutContext => own,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Hops above the call.
+    /// Returns the number of hops upstream of the call.
     pub fn depth(&self) -> u8 {
         match self {
             Self::Caller | Self::WithoutContext => 0,
@@ -59,11 +60,11 @@
     }
 }
 
-/// A class and its name.
+/// Class of a call and its configured name.
 #[derive(Clone, Debug)]
 pub struct NamedClass {
-    /// The class.
+    /// Rank used for shedding.
     pub class: Class,
-    /// Its name in the document that gave it.
+    /// Name of the class in the document that defines it.
     pub name: SmolStr,
 }
