--- a/crates/node/src/entry/caller_response.rs
+++ b/crates/node/src/entry/caller_response.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Final response to a caller.
 
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::id::RequestId;
@@ -9,22 +9,22 @@
 use crate::data::Verdict;
 use crate::http::{HttpAnswer, answer_target, names, refuse};
 
-/// The final answer to a caller.
+/// Final response to a caller.
 #[derive(Clone, Debug)]
 pub struct CallerResponse {
-    /// The request, for the time line.
+    /// Id of the request, by which its timeline is found.
     pub request: RequestId,
-    /// What came of it.
+    /// Verdict on the call.
     pub verdict: Verdict,
-    /// A fresh token, where the caller's can no longer run.
+    /// New token, if the caller's one can no longer be used to run the call.
     pub token: Option<SmolStr>,
 }
 
-/// HTTP statuses from here on are errors.
+/// Lowest HTTP status that is an error.
 const MIN_ERROR_STATUS: u16 = 400;
 
 impl CallerResponse {
-    /// An answer without a token.
+    /// Creates a response without a token. A refusal without a retry delay gets the default one.
     pub fn new(request: RequestId, verdict: Verdict) -> Self {
         let verdict = match verdict {
             Verdict::Refused(refused) => Verdict::Refused(refused.with_default_retry_after()),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The error kind, where a node made the answer.
+    /// Returns the error kind, if the response was made by a node and not by the target.
     pub fn error(&self) -> Option<ErrorKind> {
         match &self.verdict {
             Verdict::Answered(_) => None,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether the target answered without an error of its own.
+    /// Returns whether the target answered with a status that is no error.
     pub fn is_success(&self) -> bool {
         match &self.verdict {
             Verdict::Answered(answer) => answer.status.as_u16() < MIN_ERROR_STATUS,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What is known about whether the request ran.
+    /// Returns what is known about whether the call ran.
     pub fn outcome(&self) -> Outcome {
         match &self.verdict {
             Verdict::Answered(_) => Outcome::Ran,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The HTTP answer.
+    /// Converts the response to HTTP.
     pub fn into_response(self) -> Response<HttpAnswer> {
         let mut res = match self.verdict {
             Verdict::Answered(answer) => answer_target(answer),
