--- a/crates/node/src/entry/inbound_call.rs
+++ b/crates/node/src/entry/inbound_call.rs
@@ -1,4 +1,4 @@
-//! A call as read from a caller.
+//! Call as read from its caller.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::http::names;
 
-/// A call as read from a caller, before it is classified.
+/// Call as read from its caller, before classification.
 #[derive(Clone, Debug)]
 pub struct InboundCall {
-    /// Service to run it.
+    /// Service that is called.
     pub service: ServiceName,
-    /// HTTP method.
+    /// Method of the HTTP request.
     pub method: Method,
-    /// Path and query for the target.
+    /// Path and query to send to the target.
     pub path: String,
-    /// All headers, internal ones included.
+    /// All headers, including those of coltsfootport itself.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl InboundCall {
-    /// Splits `/{service}/{path}` into the service and the target's path.
+    /// Splits `/{service}/{path}` into the service and the path and query to send to the target.
     pub fn split_uri(uri: &Uri) -> Result<(ServiceName, String), ErrorKind> {
         let whole = uri
             .path_and_query()
@@ -48,7 +48,7 @@
         Ok((ServiceName::from(service), path))
     }
 
-    /// The caller's time limit, where it names one.
+    /// Returns the time limit set by the caller, if any.
     pub fn time_limit(&self) -> Result<Option<Duration>, ErrorKind> {
         let Some(text) = self.single_header(&names::DEADLINE)? else {
             return Ok(None);
@@ -57,7 +57,7 @@
         Ok(Some(Duration::from_millis(millis)))
     }
 
-    /// The number of the sending, where the caller gives one.
+    /// Returns the number of the try, if the caller gives one.
     pub fn try_number(&self) -> Result<Option<Try>, ErrorKind> {
         let Some(text) = self.single_header(&names::TRY)? else {
             return Ok(None);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The text of a header that may be given once.
+    /// Returns the text of a header that may occur only once.
     pub fn single_header(&self, name: &HeaderName) -> Result<Option<&str>, ErrorKind> {
         let mut values = self.headers.get_all(name).iter();
         let Some(value) = values.next() else {
@@ -80,7 +80,7 @@
         value.to_str().map(Some).map_err(|_| ErrorKind::BadRequest)
     }
 
-    /// Equal for calls that ask for the same thing, so that a target's own retry is known as one.
+    /// Returns a hash of service, method, path and body, by which a target's own retry of a call is recognized.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = FxHasher::default();
         self.service.hash(&mut hasher);
