--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -1,4 +1,4 @@
-//! Calls that run at one home or nowhere.
+//! Calls with a token, which run at the home of the token or not at all.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::wire::{ControlReply, ControlRequest, HeaderFrame, RefusalFrame};
 
 impl Dispatcher {
-    /// Sends a call whose token its caller holds; it never moves to another home.
+    /// Sends a call with a token supplied by its caller. The call is never rerouted to another home.
     ///
-    /// Were it moved, the caller's next try with the same token would reach the first home, hear "not run", and the request
-    /// would have run at the second.
+    /// If it were, the caller's next try with the same token would reach the first home, which would report "not run" for a
+    /// call that ran at the second.
     pub async fn send_pinned(
         &self,
         mut call: Call,
@@ -35,9 +35,10 @@
         }
     }
 
-    /// Learns what became of a call with a token after contact to its home was lost.
+    /// Repeats a call with a token after its reply was lost, and returns the verdict on it.
     ///
-    /// The home knows the token and its try, so that sending it again joins the first sending or hears its answer.
+    /// The home recognizes the token and the try number, so that the repetition joins the running call or receives the
+    /// stored answer.
     pub(super) async fn retry_at_home(&self, call: &mut Call, budget: &mut RetryBudget) -> Verdict {
         let Some(once) = call.once.clone() else {
             return Verdict::from(ErrorKind::AnswerLost);
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Asks the home what became of a call after contact was lost, and has it refuse the call if it did not run.
+    /// Asks the home for the outcome of a call whose reply was lost or late, and makes it refuse the call if that did not
+    /// run.
     pub(super) async fn resolve_outcome(&self, call: &Call) -> Verdict {
         let Some(once) = &call.once else {
             return Verdict::from(ErrorKind::AnswerLost);
@@ -135,7 +137,8 @@
     }
 }
 
-/// How long a home is asked; a caller that was given up hears so at once.
+/// Time to wait for the home's response to a refusal request; short, so that a caller whose call was given up gets its
+/// response without further delay.
 const REFUSE_TIMEOUT: Duration = Duration::from_millis(250);
 
 fn refusal_from_frame(frame: RefusalFrame) -> Option<Refusal<Arc<Answer>>> {
