--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -1,4 +1,4 @@
-//! Classifies a call by the document of its service.
+//! Classification of calls by the document of their service.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
 use crate::http::{end_to_end, names};
 use crate::spread::DocumentInForce;
 
-/// A call with everything that decides how it is sent.
+/// Classified call with its retry budget and, if given, its token.
 pub(super) struct PreparedCall {
     pub(super) call: Call,
     pub(super) budget: RetryBudget,
@@ -95,7 +95,10 @@
     }
 }
 
-/// The name by which levels of an operation's subtree are kept; bounded by the document, since callers choose paths freely.
+/// Returns the key under which the admission level of an operation's subtree is kept.
+///
+/// The key is the position of the operation in the document rather than the path, since callers could otherwise create
+/// any number of keys.
 fn operation_key(operation: Option<u16>) -> SmolStr {
     match operation {
         Some(position) => SmolStr::from(position.to_string()),
