--- a/crates/node/src/entry/token_endpoint.rs
+++ b/crates/node/src/entry/token_endpoint.rs
@@ -1,4 +1,4 @@
-//! Answers callers who ask for tokens.
+//! HTTP endpoint that issues tokens to callers.
 
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::id::ServiceName;
@@ -11,7 +11,7 @@
 use crate::http::{HttpAnswer, json, refuse};
 
 impl EntryService {
-    /// `POST /coltsfootport/tokens?service=S&count=N`.
+    /// Handles `POST /coltsfootport/tokens?service=S&count=N`.
     pub(super) async fn serve_tokens(&self, req: &Request<Incoming>) -> Response<HttpAnswer> {
         if req.method() != Method::POST {
             return refuse(Refused::from(ErrorKind::BadRequest));
