--- a/crates/node/src/entry/tokens.rs
+++ b/crates/node/src/entry/tokens.rs
@@ -1,4 +1,4 @@
-//! Handing out idempotency tokens.
+//! Issuing of idempotency tokens.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::peers::HubHandle;
 use crate::routes::{Choice, PickRequest, Route, RoutesHandle};
 
-/// Hands out tokens whose homes this node has heard from.
+/// Issues tokens for homes from which this node has received a report.
 #[derive(Clone, Debug)]
 pub struct TokenIssuer {
     routes: RoutesHandle,
@@ -21,23 +21,23 @@
     keys: Arc<KeyRing>,
 }
 
-/// The answer to a request for tokens.
+/// Response to a request for tokens.
 #[derive(Clone, Debug, Serialize)]
 pub struct TokenPage {
-    /// Sealed tokens.
+    /// Sealed tokens, possibly fewer than requested.
     pub tokens: Vec<SmolStr>,
 }
 
-/// Most tokens handed out at once.
+/// Maximum number of tokens per request.
 pub const MAX_TOKENS: usize = 256;
 
 impl TokenIssuer {
-    /// An issuer that seals with the fleet's keys.
+    /// Creates an issuer that seals tokens with the keys of the fleet.
     pub fn new(routes: RoutesHandle, hub: HubHandle, keys: Arc<KeyRing>) -> Self {
         Self { routes, hub, keys }
     }
 
-    /// Opens a sealed token of a service.
+    /// Opens a sealed token; fails if it was issued for another service.
     pub fn open(&self, text: &str, service: &ServiceName) -> Result<Token, ErrorKind> {
         let token = self.keys.open(text)?;
         if token.service == *service {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Up to `count` tokens of a service, spread over its homes.
+    /// Issues up to `count` tokens of a service, distributed over its hosts.
     pub async fn issue(&self, service: &ServiceName, count: usize) -> Result<TokenPage, ErrorKind> {
         let mut tokens = Vec::new();
         for _ in 0..count.min(MAX_TOKENS) {
@@ -60,7 +60,7 @@
         Ok(TokenPage { tokens })
     }
 
-    /// One sealed token of a service.
+    /// Issues one sealed token of a service.
     pub async fn issue_one(&self, service: &ServiceName) -> Option<SmolStr> {
         for _ in 0..MAX_HOMES_TRIED {
             let Choice::Send(route) = self.routes.pick(pick_request(service)).await else {
@@ -73,7 +73,7 @@
         None
     }
 
-    /// A token of the host that a route leads to, which is contacted if it was not heard yet.
+    /// Mints a token whose home is the host of a route. Connects to the host first if it has not sent a report yet.
     pub async fn mint_at(&self, route: &Route, service: &ServiceName) -> Option<Token> {
         if let Some(token) = self.routes.mint(&route.node, service).await {
             return Some(token);
@@ -94,6 +94,7 @@
     }
 }
 
+/// Number of hosts that are tried for one token.
 const MAX_HOMES_TRIED: usize = 3;
 
 fn pick_request(service: &ServiceName) -> PickRequest {
