--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Sends a call to hosts until it has an answer or must be given up.
+//! Sends a call to hosts until one answers or no further attempt is possible.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,25 +25,25 @@
 use crate::recorder::Recorder;
 use crate::routes::{Choice, PickRequest, Route, RoutesHandle};
 
-/// What a dispatcher is made of.
+/// Dependencies and settings of a [`Dispatcher`].
 pub struct DispatcherSetup {
-    /// Name of this node, whose own target is reached without the network.
+    /// Name of this node; calls to its own target bypass the network.
     pub node: NodeName,
-    /// Runs calls at the own target.
+    /// Runs calls at this node's target.
     pub host: Host,
-    /// Chooses hosts.
+    /// Handle to the task that chooses hosts.
     pub routes: RoutesHandle,
-    /// Connections to hosts.
+    /// Connections to peers.
     pub hub: HubHandle,
-    /// Tokens for calls that run at most once.
+    /// Mints the tokens of non-idempotent calls.
     pub tokens: TokenIssuer,
-    /// Rules of retrying.
+    /// Rules by which failed calls are retried.
     pub policy: RetryPolicy,
-    /// Delays between attempts.
+    /// Delays before retries.
     pub backoff: Backoff,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records the events of the timeline.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
@@ -56,21 +56,21 @@
     attempts: Arc<AtomicU64>,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Debug)]
 pub(super) enum Attempt {
     /// The host replied.
     Replied(Box<Reply>),
-    /// Nothing left this node.
+    /// Nothing was sent.
     NotSent,
-    /// Something was sent and no whole reply came.
+    /// The call was sent at least in part, and no complete reply arrived.
     Lost,
-    /// The deadline passed with the attempt under way.
+    /// The deadline passed during the attempt.
     Expired,
 }
 
 impl Dispatcher {
-    /// A dispatcher.
+    /// Creates a dispatcher.
     pub fn new(setup: DispatcherSetup) -> Self {
         Self {
             setup: Arc::new(setup),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sends a call that has no identity outside the system, which may move from host to host.
+    /// Sends a call without a token from its caller, which may be tried at several hosts.
     pub async fn send(&self, mut call: Call, budget: &mut RetryBudget) -> Verdict {
         let mut progress = CallProgress::default();
         loop {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Chooses a host and makes one attempt there.
+    /// Chooses a host and makes an attempt there.
     async fn step(
         &self,
         call: &mut Call,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// One attempt at a host, with its part of the allowance.
+    /// Makes one attempt at a host and grants it a share of the retry allowance.
     pub(super) async fn attempt(
         &self,
         call: &mut Call,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Binds a call that must run at most once to the run of one host.
+    /// Binds a non-idempotent call to the current incarnation of one host by a new token.
     async fn bind_to_home(&self, call: &mut Call, route: &Route) -> bool {
         let Some(token) = self.setup.tokens.mint_at(route, &call.service).await else {
             return false;
@@ -238,7 +238,8 @@
         if self.setup.clock.now() + MIN_TIME_FOR_RETRY >= call.deadline {
             return false;
         }
-        // The request's own allowance first: a request that has none must not use up the budget of the others.
+        // The allowance of the request is checked first, so that a request without one doesn't consume the budget of the
+        // service, which other requests share.
         budget.spend().await && self.setup.routes.spend_retry(&call.service).await
     }
 
@@ -260,10 +261,10 @@
     }
 }
 
-/// Time that must be left for a retry to make sense.
+/// Minimum time left before the deadline for a retry.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(2);
 
-/// How long past the deadline the host's own refusal is waited for; it is more exact than the entry's.
+/// Time after the deadline in which the host's refusal is still accepted, as it is more precise than the entry's own.
 const ANSWER_GRACE: Duration = Duration::from_millis(20);
 
 fn pick_request(call: &Call, excluded: &[PeerKey]) -> PickRequest {
@@ -276,10 +277,10 @@
     }
 }
 
-/// What a home's refusal of a token means where the token was made for this call alone.
+/// Turns a home's refusal of a token that was minted for this call into "no target", so that another host is tried.
 ///
-/// Nobody else can have sent it, so that a home which refused it, or is another run than the token names, has not run the
-/// call; another host may.
+/// The token was never given to anyone else. A home that refuses it, or that has another incarnation than the token names,
+/// has therefore not run the call.
 fn refused_token_as_no_target(verdict: Verdict) -> Verdict {
     let Verdict::Refused(refused) = verdict else {
         return verdict;
@@ -292,7 +293,8 @@
     }
 }
 
-/// A home that answers that it is another run than the token names can't have run a call that was sent to it alone.
+/// Turns "home lost" into "no target" for a call that was sent only to the answering host: as that has another incarnation
+/// than the token names, it can't have run the call.
 fn lost_home_as_no_target(verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::Refused(refused) if refused.kind == ErrorKind::HomeLost => {
