--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Answers the HTTP requests of callers and of the node's own target.
+//! Serves HTTP requests of callers and of the node's own target.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,44 +25,45 @@
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
-/// Limits of what an entry takes in.
+/// Limits on the requests that an entry accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryLimits {
-    /// Largest body in bytes.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Time in which a body must arrive.
+    /// Time within which the complete body must arrive.
     pub body_timeout: Duration,
-    /// Whether requests bring one allowance for their whole chain; off only for comparison, when each hop has its own.
+    /// Whether a request has one retry allowance for its whole call chain. If disabled, each hop has its own; this serves
+    /// only for comparison.
     pub allowance_enabled: bool,
 }
 
-/// Answers HTTP requests; cheap to clone.
+/// Serves HTTP requests; cheap to clone.
 #[derive(Clone)]
 pub struct EntryService {
     /// Sends calls to hosts.
     pub dispatcher: Dispatcher,
-    /// Hands out tokens.
+    /// Issues tokens.
     pub tokens: TokenIssuer,
-    /// Knows the calls in flight that the target's own calls serve.
+    /// Holds the calls in flight on whose behalf the target makes calls.
     pub gate: GateHandle,
-    /// What is published.
+    /// Published documents and instances.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Limits.
+    /// Limits on accepted requests.
     pub limits: EntryLimits,
-    /// Places for calls at a time, which bound the memory that callers can take.
+    /// Limits the number of concurrent calls and so the memory that callers can occupy.
     pub call_slots: Arc<Semaphore>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records the events of the timeline.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// The node's log.
+    /// Log of the node.
     pub log: Logger,
 }
 
 impl EntryService {
-    /// Answers a request of a caller outside the graph.
+    /// Serves a request of a caller outside the call graph.
     pub async fn serve_caller(
         self,
         req: Request<Incoming>,
@@ -71,7 +72,7 @@
         self.serve(req, connection, Listener::Callers).await
     }
 
-    /// Answers a call of the node's own target.
+    /// Serves a call of the node's own target.
     pub async fn serve_target(
         self,
         req: Request<Incoming>,
@@ -138,10 +139,10 @@
         listener: Listener,
         started: Instant,
     ) -> ClassifiedResponse {
-        // A sender that stops halfway would keep its place and its buffer for ever.
+        // Without the timeout, a caller that stops halfway through its body would hold its slot and buffer forever.
         let reading = tokio::time::timeout(self.limits.body_timeout, self.read(req));
         match reading.await.unwrap_or(Err(ErrorKind::BadRequest)) {
-            // Boxed, so that a caller that has not sent its whole body takes little memory.
+            // Boxed, so that the future takes little memory until the whole body has arrived.
             Ok(inbound) => {
                 Box::pin(self.answer(inbound, identity, connection, listener, started)).await
             }
@@ -189,7 +190,8 @@
             }
         };
         let class = prepared.call.class;
-        // A paused process finds a request together with its caller's close; running it would serve nobody.
+        // A process that was paused may read a request whose caller has closed the connection in the meantime. Nobody
+        // would receive the answer.
         if !prepared.call.idempotent && connection.is_closed() {
             return ClassifiedResponse::unsent(request, ErrorKind::Cancelled, identity);
         }
@@ -207,7 +209,7 @@
         let response = match self.own_call(&origin, &inbound, &mut prepared).await {
             Ok(own) => {
                 let response = self.dispatch(prepared, identity).await;
-                // A target that left while its answer was made will ask again.
+                // A target that closed the connection in the meantime did not receive the answer and will repeat the call.
                 if let Some(own) = own.filter(|_| response.is_success() && !connection.is_closed())
                 {
                     own.succeeded();
@@ -247,9 +249,9 @@
         response
     }
 
-    /// Lets a target's own call begin, which is new or pays for its repetition.
+    /// Registers a call that the target makes on behalf of a call in flight, and charges a repetition to the retry budget.
     ///
-    /// A target that retries by itself would multiply the attempts beyond the allowance of its request.
+    /// Otherwise a target that retries by itself would multiply the attempts beyond the retry allowance of its request.
     async fn own_call(
         &self,
         origin: &Origin,
@@ -309,17 +311,17 @@
     }
 }
 
-/// Path under which callers ask for tokens.
+/// Path of the token endpoint.
 const TOKENS_PATH: &str = "/coltsfootport/tokens";
 
-/// An answer with the class that it is counted under.
+/// Response with the class under which it is counted in the metrics.
 struct ClassifiedResponse {
     class: Class,
     response: CallerResponse,
 }
 
 impl ClassifiedResponse {
-    /// The end of a call of which nothing was sent.
+    /// Creates the response to a call of which nothing was sent, counted under the lowest class.
     fn unsent(request: RequestId, kind: ErrorKind, identity: Identity) -> Self {
         let refused = Refused::unsent(kind, identity);
         Self {
@@ -329,16 +331,16 @@
     }
 }
 
-/// What the headers say of whether the caller holds a token and has sent it before.
+/// Determines from the headers whether the call carries a token and whether that may have been sent before.
 fn identity_of(headers: &HeaderMap) -> Identity {
     let number = headers.get(names::TRY);
     let number = number.and_then(|value| value.to_str().ok()?.parse().ok());
     Identity::of(headers.contains_key(names::TOKEN), number.map(Try))
 }
 
-/// Whether the caller's token is of no more use, and the call is known not to have run.
+/// Returns whether the caller's token can no longer be used and the call is known not to have run.
 ///
-/// After any other outcome a fresh token would invite a second run.
+/// After any other outcome, a new token could make the call run a second time.
 fn needs_fresh_token(response: &CallerResponse) -> bool {
     response.outcome() == Outcome::NotRun
         && matches!(
