--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -1,4 +1,4 @@
-//! Where calls go: one task that owns routing, levels heard from hosts, retry budgets and token minting.
+//! Choice of hosts: a task that owns routing, the admission levels reported by hosts, retry budgets and token minting.
 
 mod attempt_guard;
 mod handle;
