--- a/crates/node/src/routes/attempt_guard.rs
+++ b/crates/node/src/routes/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! Accounting of one attempt.
+//! Accounting of an attempt in flight.
 
 use coltsfootport_core::id::ServiceName;
 use coltsfootport_core::routing::{PeerKey, RouteResult};
@@ -8,10 +8,10 @@
 use super::{AttemptEnd, RoutesMessage};
 use crate::data::HostReport;
 
-/// Accounts for one attempt; dropped without an end it counts as cancelled.
+/// Reports the end of an attempt to the routes task; if dropped without [`AttemptGuard::finish`], as cancelled.
 ///
-/// Without it a caller that leaves would leave its attempt counted as in flight for ever, and the host would look busier with
-/// each one until no call is sent there.
+/// Without it, the attempt of a caller that disconnects would be counted as in flight forever. The host would appear busier
+/// with each such attempt until no call was sent to it.
 #[derive(Debug)]
 pub struct AttemptGuard {
     end: Option<AttemptEnd>,
@@ -19,7 +19,7 @@
 }
 
 impl AttemptGuard {
-    /// A guard for an attempt that was just counted.
+    /// Creates the guard of an attempt that the router has just counted.
     pub fn new(
         peer: PeerKey,
         service: ServiceName,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// The host.
+    /// Returns the key of the host.
     pub fn peer(&self) -> Option<PeerKey> {
         self.end.as_ref().map(|end| end.peer)
     }
 
-    /// Tells how the attempt ended.
+    /// Reports the result of the attempt, with the host's report if it replied.
     pub fn finish(mut self, result: RouteResult, report: Option<HostReport>) {
         if let Some(end) = &mut self.end {
             end.result = result;
