--- a/crates/node/src/routes/handle.rs
+++ b/crates/node/src/routes/handle.rs
@@ -1,4 +1,4 @@
-//! Sends messages to the routes task.
+//! Handle to the routes task.
 
 use coltsfootport_core::id::{NodeName, ServiceName};
 use coltsfootport_core::once::Token;
@@ -7,14 +7,14 @@
 use super::{Choice, PeerLoad, PickRequest, Route, RoutesMessage};
 use crate::data::HostReport;
 
-/// Handle to the routes task.
+/// Sends messages to the routes task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct RoutesHandle {
     tx: mpsc::UnboundedSender<RoutesMessage>,
 }
 
 impl RoutesHandle {
-    /// A handle that sends into `tx`.
+    /// Creates a handle that sends to `tx`.
     pub fn new(tx: mpsc::UnboundedSender<RoutesMessage>) -> Self {
         Self { tx }
     }
@@ -26,33 +26,33 @@
             .unwrap_or(Choice::NoHost)
     }
 
-    /// The host that a token names, where it is listed.
+    /// Returns the home that a token names, if it is in the list of instances.
     pub async fn home(&self, token: &Token) -> Option<Route> {
         self.ask(|reply| RoutesMessage::Home(token.clone(), reply))
             .await
             .flatten()
     }
 
-    /// Takes note of what a host told about itself.
+    /// Records a host's report of its state.
     pub fn record_report(&self, report: HostReport) {
         let _ = self.tx.send(RoutesMessage::HostReport(report));
     }
 
-    /// A fresh token of a home that was heard before.
+    /// Mints a token for a home that has sent a report before.
     pub async fn mint(&self, home: &NodeName, service: &ServiceName) -> Option<Token> {
         self.ask(|reply| RoutesMessage::Mint(home.clone(), service.clone(), reply))
             .await
             .flatten()
     }
 
-    /// Takes one retry out of the budget of a service.
+    /// Takes one retry from the budget of a service; returns false if none is left.
     pub async fn spend_retry(&self, service: &ServiceName) -> bool {
         self.ask(|reply| RoutesMessage::SpendRetry(service.clone(), reply))
             .await
             .unwrap_or(false)
     }
 
-    /// State of all peers.
+    /// Returns the state of all peers.
     pub async fn peers(&self) -> Vec<PeerLoad> {
         self.ask(RoutesMessage::Peers).await.unwrap_or_default()
     }
