--- a/crates/node/src/routes/message.rs
+++ b/crates/node/src/routes/message.rs
@@ -1,4 +1,4 @@
-//! What is said to the routes task.
+//! Messages to the routes task.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,88 +13,88 @@
 use super::AttemptGuard;
 use crate::data::HostReport;
 
-/// What the choice of a host depends on.
+/// Properties of a call by which a host is chosen for it.
 #[derive(Clone, Debug)]
 pub struct PickRequest {
-    /// Service to run the call.
+    /// Service that is called.
     pub service: ServiceName,
     /// Operation of the service.
     pub operation: SmolStr,
     /// Class of the call.
     pub class: Class,
-    /// Position of the request among those of its class.
+    /// Bucket of the request within its class, by which load is shed within the class.
     pub bucket: u8,
-    /// Hosts that were tried already.
+    /// Hosts that are not chosen, since they were tried before.
     pub excluded: Vec<PeerKey>,
 }
 
-/// A host for one attempt.
+/// Host chosen for one attempt.
 #[derive(Debug)]
 pub struct Route {
-    /// Name of its node.
+    /// Name of the host's node.
     pub node: NodeName,
-    /// Its peers' address.
+    /// Address at which the node accepts connections of peers.
     pub address: SocketAddr,
-    /// Accounts for the attempt until its end is told.
+    /// Reports the end of the attempt to the routes task.
     pub guard: AttemptGuard,
 }
 
-/// The answer to a [`PickRequest`].
+/// Response to a [`PickRequest`].
 #[derive(Debug)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the call to this host.
     Send(Box<Route>),
-    /// It would be shed further down; come back after this time.
+    /// The call would be shed downstream; the caller may retry after this time.
     Shed(Duration),
-    /// No host is left to try.
+    /// No eligible host is left.
     NoHost,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The host.
+    /// Key of the host.
     pub peer: PeerKey,
     /// Service of the call.
     pub service: ServiceName,
     /// Operation of the call.
     pub operation: SmolStr,
-    /// What came of it.
+    /// Result as used for routing.
     pub result: RouteResult,
-    /// State of the host, where it answered.
+    /// Report of the host, if it replied.
     pub report: Option<HostReport>,
 }
 
-/// State of a peer for `status`.
+/// State of a peer, as shown by `status`.
 #[derive(Clone, Debug)]
 pub struct PeerLoad {
-    /// Name of its node.
+    /// Name of the peer.
     pub node: NodeName,
-    /// Service of its target.
+    /// Service of the peer's target.
     pub service: ServiceName,
-    /// Whether it is leaving.
+    /// Whether the peer is leaving the fleet.
     pub leaving: bool,
-    /// Attempts of this node there.
+    /// Number of attempts that this node has in flight there.
     pub in_flight: u32,
-    /// Whether it is left out for its failures.
+    /// Whether the peer is excluded from routing because of failures.
     pub ejected: bool,
 }
 
-/// Everything that is said to the routes task.
+/// Message to the routes task.
 #[derive(Debug)]
 pub enum RoutesMessage {
-    /// Chooses a host.
+    /// Choose a host for an attempt.
     Pick(PickRequest, oneshot::Sender<Choice>),
-    /// The host that a token names.
+    /// Return the home that a token names.
     Home(Token, oneshot::Sender<Option<Route>>),
-    /// The end of an attempt.
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A host told its state outside of an attempt.
+    /// A host reported its state outside of an attempt.
     HostReport(HostReport),
-    /// A token of a home that was heard before.
+    /// Mint a token for a home that has sent a report before.
     Mint(NodeName, ServiceName, oneshot::Sender<Option<Token>>),
-    /// One retry out of the budget of a service.
+    /// Take one retry from the budget of a service.
     SpendRetry(ServiceName, oneshot::Sender<bool>),
-    /// State of all peers for `status`.
+    /// Return the state of all peers, for `status`.
     Peers(oneshot::Sender<Vec<PeerLoad>>),
 }
