--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns routing.
+//! Task that owns the state of routing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,23 +25,23 @@
 use crate::data::HostReport;
 use crate::spread::{Published, Word};
 
-/// What the routes task is made of.
+/// Settings and channels of the routes task.
 pub struct RoutesSetup {
-    /// Settings of routing.
+    /// Settings of the router.
     pub routing: RoutingConfig,
-    /// Settings of the retry budgets.
+    /// Settings of the retry budgets, one for each service.
     pub budget: EdgeBudgetConfig,
-    /// Whether levels heard from hosts are acted on.
+    /// Whether calls are shed here by the admission levels that hosts report.
     pub level_shedding: bool,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// What is published, with the list of instances.
+    /// Published documents and instances.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Where words of nodes about themselves go.
+    /// Passes on the states that nodes report of themselves.
     pub state_reports: mpsc::UnboundedSender<Word>,
 }
 
-/// The task that owns routing, levels, budgets and minting.
+/// Task that owns the router, admission levels, retry budgets and the minting of tokens.
 pub struct Routes {
     router: Router,
     levels: DownstreamLevels,
@@ -51,7 +51,7 @@
     minter: Minter,
     addresses: Map<NodeName, SocketAddr>,
     reported: Map<NodeName, ReportedState>,
-    /// Highest revision of published entries held here.
+    /// Highest revision of published entries that this node holds or has passed on a report of.
     known_revision: u64,
     rng: SmallRng,
     clock: SharedClock,
@@ -61,7 +61,7 @@
     rx: mpsc::UnboundedReceiver<RoutesMessage>,
 }
 
-/// What a node last told about itself.
+/// State that a node last reported of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReportedState {
     incarnation: Incarnation,
@@ -69,7 +69,7 @@
 }
 
 impl Routes {
-    /// The task and its handle.
+    /// Creates the task and its handle.
     pub fn new(setup: RoutesSetup) -> (Self, RoutesHandle) {
         let (tx, rx) = mpsc::unbounded_channel();
         let routes = Self {
@@ -92,7 +92,7 @@
         (routes, RoutesHandle::new(tx))
     }
 
-    /// Runs until the process ends.
+    /// Runs until the publisher of the instance list or the message channel closes.
     pub async fn run(mut self) {
         self.apply_published();
         loop {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Refuses here what would die further down, before any work is spent on it.
+    /// Sheds a call that would be shed downstream, before any work is spent on it.
     fn shed_early(&mut self, request: &PickRequest, now: Instant) -> Option<Choice> {
         let key = edge_key(&request.service, &request.operation);
         if !self.level_shedding || self.levels.admits(&key, request.class, request.bucket, now) {
@@ -291,7 +291,7 @@
     }
 }
 
-/// A target of which nothing but its level is known.
+/// State assumed of a target of which only the admission level is known.
 const IDLE_TARGET: TargetState = TargetState {
     level: coltsfootport_core::admission::Level::OPEN,
     queued: 0,
@@ -299,7 +299,10 @@
     service_time: std::time::Duration::ZERO,
 };
 
-/// Levels are kept by operation, so that an overload below one operation does not shed others of the same service.
+/// Returns the key under which the admission level of an operation is kept.
+///
+/// Levels are kept by operation, so that an overload downstream of one operation doesn't shed calls to other operations of
+/// the same service.
 fn edge_key(service: &ServiceName, operation: &SmolStr) -> ServiceName {
     let mut name = String::with_capacity(service.as_str().len() + operation.len() + 1);
     name.push_str(service.as_str());
