--- a/crates/node/src/data.rs
+++ b/crates/node/src/data.rs
@@ -1,4 +1,4 @@
-//! Calls, answers and reports as they pass through a node.
+//! Calls, verdicts and host reports, as passed between the parts of a node.
 
 mod answer;
 mod call;
