--- a/crates/node/src/data/answer.rs
+++ b/crates/node/src/data/answer.rs
@@ -1,4 +1,4 @@
-//! What came of a call.
+//! Verdict on a call.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 use http::{HeaderMap, StatusCode};
 use rand::Rng;
 
-/// A target's whole answer.
+/// Complete answer of a target.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: StatusCode,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether it was kept from an earlier try of the same token.
+    /// Whether the answer was stored at an earlier try of the same token.
     pub replayed: bool,
 }
 
-/// An answer that coltsfootport makes itself.
+/// Refusal made by a node in place of an answer of the target.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
-    /// Why.
+    /// Reason of the refusal.
     pub kind: ErrorKind,
-    /// When a new try is welcome; zero where the kind names no time.
+    /// Delay after which the caller may retry; zero if none was set.
     pub retry_after: Duration,
-    /// What may be said of whether the call ran; the kind's own word unless an entry knows more or less.
+    /// What is known about whether the call ran. Defaults to the outcome that the kind stands for; an entry sets another
+    /// one if it knows more or less.
     pub outcome: Outcome,
 }
 
-/// What came of a call.
+/// Final result of a call or of one attempt at it.
 #[derive(Clone, Debug)]
 pub enum Verdict {
     /// The target answered.
     Answered(Answer),
-    /// A node answers in place of the target.
+    /// A node refused the call or gave it up.
     Refused(Refused),
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl Refused {
-    /// A refusal with the outcome that its kind stands for.
+    /// Creates a refusal with the outcome that its kind stands for.
     pub fn new(kind: ErrorKind, retry_after: Duration) -> Self {
         let outcome = kind.rule().outcome;
         Self {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The end of a call of which this entry has sent nothing.
+    /// Creates the refusal of a call of which this entry has sent nothing.
     pub fn unsent(kind: ErrorKind, identity: Identity) -> Self {
         Self {
             outcome: identity.outcome_unsent(kind),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The same with a time to come back, where no host named one.
+    /// Sets a default retry delay if none is set.
     pub fn with_default_retry_after(self) -> Self {
         if !self.retry_after.is_zero() {
             return self;
@@ -83,12 +84,12 @@
     }
 }
 
-/// Callers that are refused together must not come back together.
+/// Varies a delay by up to half, so that callers refused at the same time don't retry at the same time.
 fn jitter(time: Duration) -> Duration {
     time.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// When a caller may come back where no host said so.
+/// Mean retry delay for refusals that have none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl From<ErrorKind> for Refused {
