--- a/crates/node/src/data/call.rs
+++ b/crates/node/src/data/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way to a host.
+//! Call sent by an entry to a host.
 
 use std::time::Instant;
 
@@ -9,62 +9,63 @@
 use http::{HeaderMap, Method};
 use smol_str::SmolStr;
 
-/// Identity of one sending of a call, echoed by its reply.
+/// Id of one attempt at a call, repeated in the reply to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A call as its entry sends it and its host runs it.
+/// Call as sent by its entry and run by its host.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Request on whose behalf the call is made.
+    /// Id of the request to which the call belongs.
     pub request: RequestId,
-    /// This sending of it.
+    /// Id of this attempt.
     pub attempt: AttemptId,
-    /// Number of this sending by its entry, from 1.
+    /// Number of this attempt by the entry, starting at 1.
     pub attempt_number: u16,
-    /// Service to run it.
+    /// Service that is called.
     pub service: ServiceName,
-    /// HTTP method.
+    /// Method of the HTTP request.
     pub method: Method,
-    /// Path and query for the target.
+    /// Path and query to send to the target.
     pub path: String,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Rank for shedding, given at the request's entry and kept along its chain.
+    /// Rank for shedding, assigned at the entry of the request and kept along the call chain.
     pub class: Class,
     /// Name of the class.
     pub class_name: SmolStr,
-    /// Name of the operation in the service's document.
+    /// Key of the operation: its position in the service's document, or `other`.
     pub operation: SmolStr,
-    /// When the answer is of no more use.
+    /// Time after which the answer is of no use.
     pub deadline: Instant,
-    /// Retries that the host's subtree may make.
+    /// Number of retries that the host and its downstream calls may make.
     pub allowance: u16,
-    /// Hops above this one.
+    /// Number of hops upstream of this one.
     pub depth: u8,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Revision of the document that its entry acted on.
+    /// Revision of the document by which the entry classified the call.
     pub revision: u64,
-    /// Token that binds it to one run.
+    /// Token that limits the call to one run at its home; `None` for a call without a token.
     pub once: Option<OnceCall>,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Token and try of a call that runs at most once.
+/// Token and try number of a call that runs at most once.
 #[derive(Clone, Debug)]
 pub struct OnceCall {
-    /// The token.
+    /// Token, which names the home of the call.
     pub token: Token,
-    /// Number of the sending.
+    /// Number of the try.
     pub number: Try,
 }
 
 impl Call {
-    /// Position of the request among those of its class, the same at every hop.
+    /// Returns the bucket of the request within its class, which is the same at every hop.
     ///
-    /// A request that is kept at one hop is then kept at all of them, so that no work is spent on half a chain.
+    /// A request that is admitted at one hop is therefore also admitted at the others, so that no work is spent on chains
+    /// that are shed halfway.
     pub fn bucket(&self) -> u8 {
         let folded = self.request.0 ^ (self.request.0 >> 64);
         (folded as u64)
