--- a/crates/node/src/data/reply.rs
+++ b/crates/node/src/data/reply.rs
@@ -1,24 +1,24 @@
-//! A host's reply to a call.
+//! Reply of a host to a call.
 
 use bytes::Bytes;
 
 use super::{AttemptId, HostReport, Verdict};
 
-/// Verdict on a call with the host's state.
+/// Verdict on a call together with the host's state.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The attempt that this reply belongs to.
+    /// Id of the attempt to which this reply belongs.
     pub attempt: AttemptId,
-    /// Retry allowance that the subtree did not use.
+    /// Rest of the retry allowance that the host and its downstream calls did not use.
     pub allowance_left: u16,
-    /// What came of the call.
+    /// Verdict on the call.
     pub verdict: Verdict,
-    /// State of the host.
+    /// Report of the host's state.
     pub report: HostReport,
 }
 
 impl Reply {
-    /// The answer's body, empty for a refusal.
+    /// Returns the body of the answer, which is empty for a refusal.
     pub fn body(&self) -> Bytes {
         match &self.verdict {
             Verdict::Answered(answer) => answer.body.clone(),
