--- a/crates/node/src/data/report.rs
+++ b/crates/node/src/data/report.rs
@@ -1,4 +1,4 @@
-//! State of a host as others hear of it.
+//! State of a host as reported to its peers.
 
 use coltsfootport_core::admission::Level;
 use coltsfootport_core::class::Class;
@@ -8,26 +8,26 @@
 
 use crate::wire::ReportFrame;
 
-/// State of a host, sent with every reply and greeting.
+/// State of a host, sent with every reply and at the start of every connection.
 #[derive(Clone, Debug)]
 pub struct HostReport {
     /// Name of the node.
     pub node: NodeName,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its monotonic tick.
+    /// Monotonic tick of the node at the time of the report.
     pub tick: Tick,
-    /// Whether it takes work.
+    /// State of the node, which tells whether it accepts calls.
     pub state: NodeState,
-    /// Calls at its target.
+    /// Number of calls that its target is running.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Its concurrency limit.
+    /// Concurrency limit of the target.
     pub limit: u32,
     /// Admission level of the operation's subtree.
     pub level: Level,
-    /// Revision of the newest published entry that it holds.
+    /// Revision of the newest published entry that the node holds.
     pub revision: u64,
 }
 
