--- a/crates/node/src/data/answer.rs
+++ b/crates/node/src/data/answer.rs
@@ -29,8 +29,8 @@
     pub kind: ErrorKind,
     /// Delay after which the caller may retry; zero if none was set.
     pub retry_after: Duration,
-    /// What is known about whether the call ran. Defaults to the outcome that the kind stands for; an entry sets another
-    /// one if it knows more or less.
+    /// What is known about whether the call ran. Defaults to the outcome that the kind stands for; an entry sets
+    /// another one if it knows more or less.
     pub outcome: Outcome,
 }
 
--- a/crates/node/src/data/call.rs
+++ b/crates/node/src/data/call.rs
@@ -64,8 +64,8 @@
 impl Call {
     /// Returns the bucket of the request within its class, which is the same at every hop.
     ///
-    /// A request that is admitted at one hop is therefore also admitted at the others, so that no work is spent on chains
-    /// that are shed halfway.
+    /// A request that is admitted at one hop is therefore also admitted at the others, so that no work is spent on
+    /// chains that are shed halfway.
     pub fn bucket(&self) -> u8 {
         let folded = self.request.0 ^ (self.request.0 >> 64);
         (folded as u64)
--- a/crates/node/src/data/report.rs
+++ b/crates/node/src/data/report.rs
@@ -8,7 +8,7 @@
 
 use crate::wire::ReportFrame;
 
-/// State of a host, sent with every reply and at the start of every connection.
+/// State of a host, sent with every reply and hello message.
 #[derive(Clone, Debug)]
 pub struct HostReport {
     /// Name of the node.
--- a/crates/node/src/entry/call_progress.rs
+++ b/crates/node/src/entry/call_progress.rs
@@ -60,8 +60,8 @@
 
     /// Returns the verdict for a call that ends with this refusal.
     ///
-    /// The refusal of a retry gives no information about earlier attempts. If the answer of one of them was lost, "not run"
-    /// would be wrong: calls counted by the target have been reported to their callers as not run.
+    /// The refusal of a retry gives no information about earlier attempts. If the answer of one of them was lost, "not
+    /// run" would be wrong: calls counted by the target have been reported to their callers as not run.
     pub(super) fn final_verdict(&self, refused: Refused) -> Verdict {
         if self.in_doubt && refused.outcome == Outcome::NotRun {
             return Verdict::from(ErrorKind::AnswerLost);
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -238,8 +238,8 @@
         if self.setup.clock.now() + MIN_TIME_FOR_RETRY >= call.deadline {
             return false;
         }
-        // The allowance of the request is checked first, so that a request without one doesn't consume the budget of the
-        // service, which other requests share.
+        // The allowance of the request is checked first, so that a request without one doesn't consume the budget of
+        // the service, which other requests share.
         budget.spend().await && self.setup.routes.spend_retry(&call.service).await
     }
 
@@ -279,8 +279,8 @@
 
 /// Turns a home's refusal of a token that was minted for this call into "no target", so that another host is tried.
 ///
-/// The token was never given to anyone else. A home that refuses it, or that has another incarnation than the token names,
-/// has therefore not run the call.
+/// The token was never given to anyone else. A home that refuses it, or that has another incarnation than the token
+/// names, has therefore not run the call.
 fn refused_token_as_no_target(verdict: Verdict) -> Verdict {
     let Verdict::Refused(refused) = verdict else {
         return verdict;
@@ -293,8 +293,8 @@
     }
 }
 
-/// Turns "home lost" into "no target" for a call that was sent only to the answering host: as that has another incarnation
-/// than the token names, it can't have run the call.
+/// Turns "home lost" into "no target" for a call that was sent only to the answering host: as that has another
+/// incarnation than the token names, it can't have run the call.
 fn lost_home_as_no_target(verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::Refused(refused) if refused.kind == ErrorKind::HomeLost => {
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -17,8 +17,8 @@
 impl Dispatcher {
     /// Sends a call with a token supplied by its caller. The call is never rerouted to another home.
     ///
-    /// If it were, the caller's next try with the same token would reach the first home, which would report "not run" for a
-    /// call that ran at the second.
+    /// If it were, the caller's next try with the same token would reach the first home, which would report "not run"
+    /// for a call that ran at the second.
     pub async fn send_pinned(
         &self,
         mut call: Call,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Asks the home for the outcome of a call whose reply was lost or late, and makes it refuse the call if that did not
-    /// run.
+    /// Asks the home for the outcome of a call whose reply was lost or late, and makes it refuse the call if that did
+    /// not run.
     pub(super) async fn resolve_outcome(&self, call: &Call) -> Verdict {
         let Some(once) = &call.once else {
             return Verdict::from(ErrorKind::AnswerLost);
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -32,8 +32,8 @@
     pub body_bytes: usize,
     /// Time within which the complete body must arrive.
     pub body_timeout: Duration,
-    /// Whether a request has one retry allowance for its whole call chain. If disabled, each hop has its own; this serves
-    /// only for comparison.
+    /// Whether a request has one retry allowance for its whole call chain. If disabled, each hop has its own; this
+    /// serves only for comparison.
     pub allowance_enabled: bool,
 }
 
@@ -209,7 +209,8 @@
         let response = match self.own_call(&origin, &inbound, &mut prepared).await {
             Ok(own) => {
                 let response = self.dispatch(prepared, identity).await;
-                // A target that closed the connection in the meantime did not receive the answer and will repeat the call.
+                // A target that closed the connection in the meantime did not receive the answer and will repeat the
+                // call.
                 if let Some(own) = own.filter(|_| response.is_success() && !connection.is_closed())
                 {
                     own.succeeded();
@@ -249,7 +250,8 @@
         response
     }
 
-    /// Registers a call that the target makes on behalf of a call in flight, and charges a repetition to the retry budget.
+    /// Registers a call that the target makes on behalf of a call in flight, and charges a repetition to the retry
+    /// budget.
     ///
     /// Otherwise a target that retries by itself would multiply the attempts beyond the retry allowance of its request.
     async fn own_call(
@@ -285,12 +287,12 @@
         if kind == ErrorKind::BadToken {
             self.metrics.faults.rejected(Rejected::Token);
         }
-        let mut answered = ClassifiedResponse::unsent(request, kind, identity);
-        let refused_token = identity != Identity::None && needs_fresh_token(&answered.response);
+        let mut refusal = ClassifiedResponse::unsent(request, kind, identity);
+        let refused_token = identity != Identity::None && needs_fresh_token(&refusal.response);
         if kind == ErrorKind::TokenRequired || refused_token {
-            answered.response.token = self.tokens.issue_one(service).await;
+            refusal.response.token = self.tokens.issue_one(service).await;
         }
-        answered
+        refusal
     }
 
     async fn origin(&self, inbound: &InboundCall, listener: Listener) -> Result<Origin, ErrorKind> {
--- a/crates/node/src/routes/attempt_guard.rs
+++ b/crates/node/src/routes/attempt_guard.rs
@@ -10,8 +10,8 @@
 
 /// Reports the end of an attempt to the routes task; if dropped without [`AttemptGuard::finish`], as cancelled.
 ///
-/// Without it, the attempt of a caller that disconnects would be counted as in flight forever. The host would appear busier
-/// with each such attempt until no call was sent to it.
+/// Without it, the attempt of a caller that disconnects would be counted as in flight forever. The host would appear
+/// busier with each such attempt until no call was sent to it.
 #[derive(Debug)]
 pub struct AttemptGuard {
     end: Option<AttemptEnd>,
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -51,7 +51,7 @@
     minter: Minter,
     addresses: Map<NodeName, SocketAddr>,
     reported: Map<NodeName, ReportedState>,
-    /// Highest revision of published entries that this node holds or has passed on a report of.
+    /// Highest revision of published entries that this node holds or that a peer has reported.
     known_revision: u64,
     rng: SmallRng,
     clock: SharedClock,
@@ -301,8 +301,8 @@
 
 /// Returns the key under which the admission level of an operation is kept.
 ///
-/// Levels are kept by operation, so that an overload downstream of one operation doesn't shed calls to other operations of
-/// the same service.
+/// Levels are kept by operation, so that an overload downstream of one operation doesn't shed calls to other operations
+/// of the same service.
 fn edge_key(service: &ServiceName, operation: &SmolStr) -> ServiceName {
     let mut name = String::with_capacity(service.as_str().len() + operation.len() + 1);
     name.push_str(service.as_str());
