--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,21 +1,21 @@
-//! The entry's side of a call: what it is, where it goes, and what its caller is told.
+//! Entry of calls: reads and classifies them, sends them to hosts and responds to their callers.
 
-mod budget;
-mod course;
+mod call_progress;
+mod caller_response;
 mod dispatcher;
-mod inbound;
+mod inbound_call;
 mod origin;
-mod outcome;
 mod pinned;
 mod prepare;
+mod retry_budget;
 mod service;
 mod token_endpoint;
 mod tokens;
 
-pub use budget::Budget;
+pub use caller_response::CallerResponse;
 pub use dispatcher::{Dispatcher, DispatcherSetup};
-pub use inbound::Inbound;
+pub use inbound_call::InboundCall;
 pub use origin::Origin;
-pub use outcome::Outgoing;
+pub use retry_budget::RetryBudget;
 pub use service::{EntryLimits, EntryService};
 pub use tokens::TokenIssuer;
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Sends a call to hosts until it has an answer or must be given up.
+//! Sends a call to hosts until one answers or no further attempt is possible.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,8 +14,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::Budget;
-use super::course::{Course, Step};
+use super::RetryBudget;
+use super::call_progress::{CallProgress, Step};
 use super::tokens::TokenIssuer;
 use crate::clock::{SharedClock, micros};
 use crate::data::{AttemptId, Call, OnceCall, Refused, Reply, Verdict};
@@ -25,25 +25,25 @@
 use crate::recorder::Recorder;
 use crate::routes::{Choice, PickRequest, Route, RoutesHandle};
 
-/// What a dispatcher is made of.
+/// Dependencies and settings of a [`Dispatcher`].
 pub struct DispatcherSetup {
-    /// Name of this node, whose own target is reached without the network.
+    /// Name of this node; calls to its own target bypass the network.
     pub node: NodeName,
-    /// Runs calls at the own target.
+    /// Runs calls at this node's target.
     pub host: Host,
-    /// Chooses hosts.
+    /// Handle to the task that chooses hosts.
     pub routes: RoutesHandle,
-    /// Connections to hosts.
+    /// Connections to peers.
     pub hub: HubHandle,
-    /// Tokens for calls that run at most once.
+    /// Mints the tokens of non-idempotent calls.
     pub tokens: TokenIssuer,
-    /// Rules of retrying.
+    /// Rules by which failed calls are retried.
     pub policy: RetryPolicy,
-    /// Delays between attempts.
+    /// Delays before retries.
     pub backoff: Backoff,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records the events of the timeline.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
@@ -56,21 +56,21 @@
     attempts: Arc<AtomicU64>,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Debug)]
 pub(super) enum Attempt {
     /// The host replied.
     Replied(Box<Reply>),
-    /// Nothing left this node.
+    /// Nothing was sent.
     NotSent,
-    /// Something was sent and no whole reply came.
+    /// The call was sent at least in part, and no complete reply arrived.
     Lost,
-    /// The deadline passed with the attempt under way.
+    /// The deadline passed during the attempt.
     Expired,
 }
 
 impl Dispatcher {
-    /// A dispatcher.
+    /// Creates a dispatcher.
     pub fn new(setup: DispatcherSetup) -> Self {
         Self {
             setup: Arc::new(setup),
@@ -78,111 +78,120 @@
         }
     }
 
-    /// Sends a call that has no identity outside the system, which may move from host to host.
-    pub async fn send(&self, mut call: Call, budget: &mut Budget) -> Verdict {
-        let mut course = Course::default();
+    /// Sends a call without a token from its caller, which may be tried at several hosts.
+    pub async fn send(&self, mut call: Call, budget: &mut RetryBudget) -> Verdict {
+        let mut progress = CallProgress::default();
         loop {
-            let failure = match self.step(&mut call, &mut course, budget).await {
+            let failure = match self.step(&mut call, &mut progress, budget).await {
                 Step::Answered(answer) => return Verdict::Answered(answer),
-                Step::GiveUp(refused) => return course.conclude(refused),
-                Step::PassOver => continue,
+                Step::GiveUp(refused) => return progress.final_verdict(refused),
+                Step::SkipHost => continue,
                 Step::Failed(refused) => refused,
             };
-            course.note(failure);
+            progress.record_failure(failure);
             if !self.may_retry(&call, failure.kind, budget).await {
-                return course.conclude(failure);
+                return progress.final_verdict(failure);
             }
-            self.note_retry(&call, failure.kind, course.retries);
-            self.pause(course.retries).await;
-            course.retries += 1;
+            self.record_retry(&call, failure.kind, progress.retries);
+            self.sleep_backoff(progress.retries).await;
+            progress.retries += 1;
         }
     }
 
-    /// Chooses a host and makes one attempt there.
-    async fn step(&self, call: &mut Call, course: &mut Course, budget: &mut Budget) -> Step {
+    /// Chooses a host and makes an attempt there.
+    async fn step(
+        &self,
+        call: &mut Call,
+        progress: &mut CallProgress,
+        budget: &mut RetryBudget,
+    ) -> Step {
         if self.setup.clock.now() >= call.deadline {
             return Step::GiveUp(Refused::from(ErrorKind::ExpiredBeforeDispatch));
         }
         let route = match self
             .setup
             .routes
-            .pick(pick_of(call, &course.excluded))
+            .pick(pick_request(call, &progress.excluded))
             .await
         {
-            Choice::Go(route) => *route,
+            Choice::Send(route) => *route,
             Choice::Shed(retry_after) => {
                 return Step::GiveUp(Refused::new(ErrorKind::Shed, retry_after));
             }
-            Choice::Nobody => return Step::GiveUp(course.last),
+            Choice::NoHost => return Step::GiveUp(progress.last_failure),
         };
-        course.excluded.extend(route.guard.peer());
-        if !call.idempotent && !self.bind(call, &route).await {
-            route.guard.done(RouteResult::Lost, None);
-            return course.pass_over();
+        progress.excluded.extend(route.guard.peer());
+        if !call.idempotent && !self.bind_to_home(call, &route).await {
+            route.guard.finish(RouteResult::Lost, None);
+            return progress.skip_host();
         }
         match self.attempt(call, route, budget).await {
             Attempt::Replied(reply) if call.idempotent => Step::from(reply.verdict),
-            Attempt::Replied(reply) => Step::from(movable(sent_once(reply.verdict))),
-            Attempt::NotSent => course.pass_over(),
-            Attempt::Lost if !call.idempotent => {
-                Step::from(movable(self.pursue(call, budget).await))
+            Attempt::Replied(reply) => Step::from(refused_token_as_no_target(
+                lost_home_as_no_target(reply.verdict),
+            )),
+            Attempt::NotSent => progress.skip_host(),
+            Attempt::Lost if !call.idempotent => Step::from(refused_token_as_no_target(
+                self.retry_at_home(call, budget).await,
+            )),
+            Attempt::Expired if !call.idempotent => {
+                Step::from(refused_token_as_no_target(self.resolve_outcome(call).await))
             }
-            Attempt::Expired if !call.idempotent => Step::from(movable(self.settle(call).await)),
             Attempt::Lost => Step::Failed(Refused::from(ErrorKind::AnswerLost)),
             Attempt::Expired => Step::Failed(Refused::from(ErrorKind::ExpiredInFlight)),
         }
     }
 
-    /// One attempt at a host, with its part of the allowance.
+    /// Makes one attempt at a host and grants it a share of the retry allowance.
     pub(super) async fn attempt(
         &self,
         call: &mut Call,
         route: Route,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Attempt {
         let setup = &self.setup;
         call.attempt = AttemptId(self.attempts.fetch_add(1, Ordering::Relaxed));
-        call.sending += 1;
+        call.attempt_number += 1;
         let granted = budget.grant().await;
         call.allowance = granted;
         let event = Event::Sent {
             peer: route.node.clone(),
-            attempt: call.sending,
+            attempt: call.attempt_number,
         };
         setup.recorder.record(Some(call.request), event);
         let sent = setup.clock.now();
         let exchange = self.exchange(call, &route);
-        let patience = call.deadline + ANSWER_GRACE;
-        let done = tokio::time::timeout_at(patience.into(), exchange).await;
+        let give_up_at = call.deadline + ANSWER_GRACE;
+        let done = tokio::time::timeout_at(give_up_at.into(), exchange).await;
         match done.unwrap_or(Attempt::Expired) {
             Attempt::Replied(reply) if reply.attempt != call.attempt => {
                 setup.recorder.breach(Invariant::AnswerToWrongCall);
-                route.guard.done(RouteResult::Lost, None);
+                route.guard.finish(RouteResult::Lost, None);
                 Attempt::Lost
             }
             Attempt::Replied(reply) => {
-                if let Err(breach) = budget.give_back(granted, reply.allowance_left) {
+                if let Err(breach) = budget.reclaim(granted, reply.allowance_left) {
                     setup.recorder.breach(breach);
                 }
-                budget.level_below(reply.report.level);
+                budget.record_downstream_level(reply.report.level);
                 route
                     .guard
-                    .done(route_result(&reply.verdict), Some(reply.report.clone()));
+                    .finish(route_result(&reply.verdict), Some(reply.report.clone()));
                 Attempt::Replied(reply)
             }
             Attempt::NotSent => {
-                let _ = budget.give_back(granted, granted);
-                route.guard.done(RouteResult::Lost, None);
+                let _ = budget.reclaim(granted, granted);
+                route.guard.finish(RouteResult::Lost, None);
                 Attempt::NotSent
             }
             ended @ (Attempt::Lost | Attempt::Expired) => {
                 let event = Event::Lost {
                     peer: route.node.clone(),
-                    attempt: call.sending,
+                    attempt: call.attempt_number,
                     elapsed_us: micros(setup.clock.now(), sent),
                 };
                 setup.recorder.record(Some(call.request), event);
-                route.guard.done(RouteResult::Lost, None);
+                route.guard.finish(RouteResult::Lost, None);
                 ended
             }
         }
@@ -210,8 +219,8 @@
         }
     }
 
-    /// Binds a call that must run at most once to the run of one host.
-    async fn bind(&self, call: &mut Call, route: &Route) -> bool {
+    /// Binds a non-idempotent call to the current incarnation of one host by a new token.
+    async fn bind_to_home(&self, call: &mut Call, route: &Route) -> bool {
         let Some(token) = self.setup.tokens.mint_at(route, &call.service).await else {
             return false;
         };
@@ -222,18 +231,19 @@
         true
     }
 
-    async fn may_retry(&self, call: &Call, kind: ErrorKind, budget: &mut Budget) -> bool {
+    async fn may_retry(&self, call: &Call, kind: ErrorKind, budget: &mut RetryBudget) -> bool {
         if !self.setup.policy.may_retry(kind, call.idempotent, false) {
             return false;
         }
-        if self.setup.clock.now() + LEAST_TIME_FOR_RETRY >= call.deadline {
+        if self.setup.clock.now() + MIN_TIME_FOR_RETRY >= call.deadline {
             return false;
         }
-        // The request's own allowance first: a request that has none must not use up the budget of the others.
+        // The allowance of the request is checked first, so that a request without one doesn't consume the budget of
+        // the service, which other requests share.
         budget.spend().await && self.setup.routes.spend_retry(&call.service).await
     }
 
-    fn note_retry(&self, call: &Call, error: ErrorKind, retries: u16) {
+    fn record_retry(&self, call: &Call, error: ErrorKind, retries: u16) {
         let event = Event::Retried {
             error,
             attempt: retries + 1,
@@ -242,7 +252,7 @@
         self.setup.recorder.record(Some(call.request), event);
     }
 
-    async fn pause(&self, retries: u16) {
+    async fn sleep_backoff(&self, retries: u16) {
         let mut rng = SmallRng::from_os_rng();
         let delay = self.setup.backoff.delay(retries, &mut rng);
         if !delay.is_zero() {
@@ -251,13 +261,13 @@
     }
 }
 
-/// Time that must be left for a retry to make sense.
-const LEAST_TIME_FOR_RETRY: Duration = Duration::from_millis(2);
+/// Minimum time left before the deadline for a retry.
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(2);
 
-/// How long past the deadline the host's own refusal is waited for; it is more exact than the entry's.
+/// Time after the deadline in which the host's refusal is still accepted, as it is more precise than the entry's own.
 const ANSWER_GRACE: Duration = Duration::from_millis(20);
 
-fn pick_of(call: &Call, excluded: &[PeerKey]) -> PickRequest {
+fn pick_request(call: &Call, excluded: &[PeerKey]) -> PickRequest {
     PickRequest {
         service: call.service.clone(),
         operation: call.operation.clone(),
@@ -267,11 +277,11 @@
     }
 }
 
-/// What a home's refusal of a token means where the token was made for this call alone.
+/// Turns a home's refusal of a token that was minted for this call into "no target", so that another host is tried.
 ///
-/// Nobody else can have sent it, so that a home which refused it, or is another run than the token names, has not run the
-/// call; another host may.
-fn movable(verdict: Verdict) -> Verdict {
+/// The token was never given to anyone else. A home that refuses it, or that has another incarnation than the token
+/// names, has therefore not run the call.
+fn refused_token_as_no_target(verdict: Verdict) -> Verdict {
     let Verdict::Refused(refused) = verdict else {
         return verdict;
     };
@@ -283,8 +293,9 @@
     }
 }
 
-/// A home that answers that it is another run than the token names can't have run a call that was sent to it alone.
-fn sent_once(verdict: Verdict) -> Verdict {
+/// Turns "home lost" into "no target" for a call that was sent only to the answering host: as that has another
+/// incarnation than the token names, it can't have run the call.
+fn lost_home_as_no_target(verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::Refused(refused) if refused.kind == ErrorKind::HomeLost => {
             Verdict::Refused(Refused::new(ErrorKind::NoTarget, refused.retry_after))
--- a/crates/node/src/entry/origin.rs
+++ b/crates/node/src/entry/origin.rs
@@ -1,4 +1,4 @@
-//! Whom a call comes from.
+//! Origin of a call.
 
 use std::time::Instant;
 
@@ -8,62 +8,63 @@
 
 use crate::gate::Parent;
 
-/// Whom a call comes from, which decides its request, class and time.
+/// Origin of a call, which determines its request id, class and deadline.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    /// A caller outside the graph: a new request.
+    /// A caller outside the call graph; the call starts a new request.
     Caller,
-    /// This node's target without a context: a new request, counted.
-    Uncontexted,
+    /// This node's target, without a context; the call starts a new request and is counted in the metrics.
+    WithoutContext,
     /// This node's target on behalf of a call in flight.
-    Flight(Parent),
+    InFlight(Parent),
 }
 
 impl Origin {
-    /// The request that the call belongs to.
+    /// Returns the id of the request to which the call belongs.
     pub fn request(&self) -> RequestId {
         match self {
-            Self::Caller | Self::Uncontexted => RequestId::random(),
-            Self::Flight(parent) => parent.request,
+            Self::Caller | Self::WithoutContext => RequestId::random(),
+            Self::InFlight(parent) => parent.request,
         }
     }
 
-    /// The class: that of the request at its entry, whatever the service below says of the operation.
-    pub fn class(&self, own: Class, own_name: SmolStr) -> ClassOf {
+    /// Returns the class of the call. A call on behalf of another one keeps the class that the request received at its
+    /// entry, whatever class the document of the called service assigns to the operation.
+    pub fn class(&self, own: Class, own_name: SmolStr) -> NamedClass {
         match self {
-            Self::Caller | Self::Uncontexted => ClassOf {
+            Self::Caller | Self::WithoutContext => NamedClass {
                 class: own,
                 name: own_name,
             },
-            Self::Flight(parent) => ClassOf {
+            Self::InFlight(parent) => NamedClass {
                 class: parent.class,
                 name: parent.class_name.clone(),
             },
         }
     }
 
-    /// The earlier of the call's own deadline and that of the call which it serves.
+    /// Returns the earlier of the call's own deadline and that of the call on whose behalf it is made.
     pub fn deadline(&self, own: Instant) -> Instant {
         match self {
-            Self::Caller | Self::Uncontexted => own,
-            Self::Flight(parent) => own.min(parent.deadline),
+            Self::Caller | Self::WithoutContext => own,
+            Self::InFlight(parent) => own.min(parent.deadline),
         }
     }
 
-    /// Hops above the call.
+    /// Returns the number of hops upstream of the call.
     pub fn depth(&self) -> u8 {
         match self {
-            Self::Caller | Self::Uncontexted => 0,
-            Self::Flight(parent) => parent.depth,
+            Self::Caller | Self::WithoutContext => 0,
+            Self::InFlight(parent) => parent.depth,
         }
     }
 }
 
-/// A class and its name.
+/// Class of a call and its configured name.
 #[derive(Clone, Debug)]
-pub struct ClassOf {
-    /// The class.
+pub struct NamedClass {
+    /// Rank used for shedding.
     pub class: Class,
-    /// Its name in the document that gave it.
+    /// Name of the class in the document that defines it.
     pub name: SmolStr,
 }
--- a/crates/node/src/entry/pinned.rs
+++ b/crates/node/src/entry/pinned.rs
@@ -1,4 +1,4 @@
-//! Calls that run at one home or nowhere.
+//! Calls with a token, which run at the home of the token or not at all.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,37 +8,38 @@
 use coltsfootport_core::routing::RouteResult;
 use http::StatusCode;
 
-use super::Budget;
+use super::RetryBudget;
 use super::dispatcher::{Attempt, Dispatcher};
 use crate::data::{Answer, Call, OnceCall, Refused, Verdict};
 use crate::routes::Route;
 use crate::wire::{ControlReply, ControlRequest, HeaderFrame, RefusalFrame};
 
 impl Dispatcher {
-    /// Sends a call whose token its caller holds; it never moves to another home.
+    /// Sends a call with a token supplied by its caller. The call is never rerouted to another home.
     ///
-    /// Were it moved, the caller's next try with the same token would reach the first home, hear "not run", and the request
-    /// would have run at the second.
+    /// If it were, the caller's next try with the same token would reach the first home, which would report "not run"
+    /// for a call that ran at the second.
     pub async fn send_pinned(
         &self,
         mut call: Call,
         once: OnceCall,
         identity: Identity,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Verdict {
         call.once = Some(once.clone());
         match self.attempt_at_home(&mut call, &once, budget).await {
             Attempt::Replied(reply) => reply.verdict,
             Attempt::NotSent => Verdict::Refused(Refused::unsent(ErrorKind::NoTarget, identity)),
-            Attempt::Lost => self.pursue(&mut call, budget).await,
-            Attempt::Expired => self.settle(&call).await,
+            Attempt::Lost => self.retry_at_home(&mut call, budget).await,
+            Attempt::Expired => self.resolve_outcome(&call).await,
         }
     }
 
-    /// Learns what became of a call with a token after contact to its home was lost.
+    /// Repeats a call with a token after its reply was lost, and returns the verdict on it.
     ///
-    /// The home knows the token and its try, so that sending it again joins the first sending or hears its answer.
-    pub(super) async fn pursue(&self, call: &mut Call, budget: &mut Budget) -> Verdict {
+    /// The home recognizes the token and the try number, so that the repetition joins the running call or receives the
+    /// stored answer.
+    pub(super) async fn retry_at_home(&self, call: &mut Call, budget: &mut RetryBudget) -> Verdict {
         let Some(once) = call.once.clone() else {
             return Verdict::from(ErrorKind::AnswerLost);
         };
@@ -49,14 +50,14 @@
                 Attempt::NotSent | Attempt::Expired => break,
             }
         }
-        self.settle(call).await
+        self.resolve_outcome(call).await
     }
 
     async fn attempt_at_home(
         &self,
         call: &mut Call,
         once: &OnceCall,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Attempt {
         match self.setup.routes.home(&once.token).await {
             Some(route) => self.attempt(call, route, budget).await,
@@ -64,19 +65,20 @@
         }
     }
 
-    /// Asks the home what became of a call after contact was lost, and has it refuse the call if it did not run.
-    pub(super) async fn settle(&self, call: &Call) -> Verdict {
+    /// Asks the home for the outcome of a call whose reply was lost or late, and makes it refuse the call if that did
+    /// not run.
+    pub(super) async fn resolve_outcome(&self, call: &Call) -> Verdict {
         let Some(once) = &call.once else {
             return Verdict::from(ErrorKind::AnswerLost);
         };
-        let refusal = self.ask_home(once).await;
+        let refusal = self.refuse_at_home(once).await;
         match refusal {
             Refusal::Ran(answer) => Verdict::Answered(Answer {
                 replayed: true,
                 ..(*answer).clone()
             }),
             Refusal::RefusedForGood => {
-                Verdict::Refused(Refused::from(ErrorKind::TokenRefused).with_time())
+                Verdict::Refused(Refused::from(ErrorKind::TokenRefused).with_default_retry_after())
             }
             Refusal::AnswerGone => Verdict::from(ErrorKind::AnswerGone),
             Refusal::Running => Verdict::from(ErrorKind::ExpiredInFlight),
@@ -84,19 +86,23 @@
         }
     }
 
-    async fn ask_home(&self, once: &OnceCall) -> Refusal<Arc<Answer>> {
+    async fn refuse_at_home(&self, once: &OnceCall) -> Refusal<Arc<Answer>> {
         let Some(route) = self.setup.routes.home(&once.token).await else {
             return Refusal::Unknown;
         };
         let refusal = self
-            .refuse_at(&route, once)
+            .request_refusal(&route, once)
             .await
             .unwrap_or(Refusal::Unknown);
-        route.guard.done(RouteResult::Cancelled, None);
+        route.guard.finish(RouteResult::Cancelled, None);
         refusal
     }
 
-    async fn refuse_at(&self, route: &Route, once: &OnceCall) -> Option<Refusal<Arc<Answer>>> {
+    async fn request_refusal(
+        &self,
+        route: &Route,
+        once: &OnceCall,
+    ) -> Option<Refusal<Arc<Answer>>> {
         if route.node == self.setup.node {
             return Some(
                 self.setup
@@ -105,7 +111,7 @@
                     .await,
             );
         }
-        let asking = async {
+        let exchange = async {
             let link = self
                 .setup
                 .hub
@@ -115,26 +121,27 @@
                 token: once.token.clone(),
                 up_to: once.number.0,
             };
-            match link.control(request, REFUSE_PATIENCE).await.ok()? {
-                ControlReply::Refuse(frame) => refusal(frame),
+            match link.control(request, REFUSE_TIMEOUT).await.ok()? {
+                ControlReply::Refuse(frame) => refusal_from_frame(frame),
                 _ => None,
             }
         };
-        tokio::time::timeout(REFUSE_PATIENCE, asking)
+        tokio::time::timeout(REFUSE_TIMEOUT, exchange)
             .await
             .ok()
             .flatten()
     }
 
-    async fn may_repeat(&self, call: &Call, budget: &mut Budget) -> bool {
+    async fn may_repeat(&self, call: &Call, budget: &mut RetryBudget) -> bool {
         self.setup.clock.now() < call.deadline && budget.spend().await
     }
 }
 
-/// How long a home is asked; a caller that was given up hears so at once.
-const REFUSE_PATIENCE: Duration = Duration::from_millis(250);
+/// Time to wait for the home's response to a refusal request; short, so that a caller whose call was given up gets its
+/// response without further delay.
+const REFUSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-fn refusal(frame: RefusalFrame) -> Option<Refusal<Arc<Answer>>> {
+fn refusal_from_frame(frame: RefusalFrame) -> Option<Refusal<Arc<Answer>>> {
     Some(match frame {
         RefusalFrame::Running => Refusal::Running,
         RefusalFrame::Ran {
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -1,4 +1,4 @@
-//! Classifies a call by the document of its service.
+//! Classification of calls by the document of their service.
 
 use std::time::Instant;
 
@@ -8,26 +8,26 @@
 use coltsfootport_core::once::Try;
 use smol_str::SmolStr;
 
-use super::{Budget, EntryService, Inbound, Origin};
+use super::{EntryService, InboundCall, Origin, RetryBudget};
 use crate::data::{AttemptId, Call, OnceCall};
 use crate::http::{end_to_end, names};
 use crate::spread::DocumentInForce;
 
-/// A call with everything that decides how it is sent.
-pub(super) struct Prepared {
+/// Classified call with its retry budget and, if given, its token.
+pub(super) struct PreparedCall {
     pub(super) call: Call,
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
     pub(super) once: Option<OnceCall>,
 }
 
 impl EntryService {
     pub(super) fn prepare(
         &self,
-        inbound: &Inbound,
+        inbound: &InboundCall,
         origin: &Origin,
         request: RequestId,
         started: Instant,
-    ) -> Result<Prepared, ErrorKind> {
+    ) -> Result<PreparedCall, ErrorKind> {
         let DocumentInForce { revision, document } = self.document(&inbound.service)?;
         let profile = document.profile(inbound.method.as_str(), &inbound.path);
         let limit = inbound
@@ -35,18 +35,18 @@
             .unwrap_or(profile.deadline)
             .min(profile.deadline);
         let class = origin.class(profile.class, profile.class_name);
-        let once = self.once(inbound, profile.idempotent)?;
+        let once = self.once_call(inbound, profile.idempotent)?;
         let call = Call {
             request,
             attempt: AttemptId(0),
-            sending: 0,
+            attempt_number: 0,
             service: inbound.service.clone(),
             method: inbound.method.clone(),
             path: inbound.path.clone(),
             headers: end_to_end(&inbound.headers),
             class: class.class,
             class_name: class.name,
-            operation: operation_name(profile.operation),
+            operation: operation_key(profile.operation),
             deadline: origin.deadline(started + limit),
             allowance: 0,
             depth: origin.depth(),
@@ -56,12 +56,12 @@
             body: inbound.body.clone(),
         };
         let budget = match origin {
-            Origin::Flight(parent) if self.limits.allowance_enabled => {
-                Budget::Flight(self.gate.clone(), parent.flight)
+            Origin::InFlight(parent) if self.limits.allowance_enabled => {
+                RetryBudget::InFlight(self.gate.clone(), parent.flight)
             }
-            _ => Budget::Own(Allowance::new(document.retry_allowance)),
+            _ => RetryBudget::Own(Allowance::new(document.retry_allowance)),
         };
-        Ok(Prepared { call, budget, once })
+        Ok(PreparedCall { call, budget, once })
     }
 
     pub(super) fn document(&self, service: &ServiceName) -> Result<DocumentInForce, ErrorKind> {
@@ -76,9 +76,13 @@
             .ok_or(ErrorKind::UnknownService)
     }
 
-    fn once(&self, inbound: &Inbound, idempotent: bool) -> Result<Option<OnceCall>, ErrorKind> {
-        let number = inbound.number()?;
-        if let Some(text) = inbound.text(&names::TOKEN)? {
+    fn once_call(
+        &self,
+        inbound: &InboundCall,
+        idempotent: bool,
+    ) -> Result<Option<OnceCall>, ErrorKind> {
+        let number = inbound.try_number()?;
+        if let Some(text) = inbound.single_header(&names::TOKEN)? {
             let token = self.tokens.open(text, &inbound.service)?;
             let number = number.unwrap_or(Try::FIRST);
             return Ok(Some(OnceCall { token, number }));
@@ -91,8 +95,11 @@
     }
 }
 
-/// The name by which levels of an operation's subtree are kept; bounded by the document, since callers choose paths freely.
-fn operation_name(operation: Option<u16>) -> SmolStr {
+/// Returns the key under which the admission level of an operation's subtree is kept.
+///
+/// The key is the position of the operation in the document rather than the path, since callers could otherwise create
+/// any number of keys.
+fn operation_key(operation: Option<u16>) -> SmolStr {
     match operation {
         Some(position) => SmolStr::from(position.to_string()),
         None => SmolStr::new_static("other"),
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Answers the HTTP requests of callers and of the node's own target.
+//! Serves HTTP requests of callers and of the node's own target.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,9 +14,9 @@
 use slog::{Logger, debug};
 use tokio::sync::{Semaphore, watch};
 
-use super::prepare::Prepared;
+use super::prepare::PreparedCall;
 use super::tokens::TokenIssuer;
-use super::{Dispatcher, Inbound, Origin, Outgoing};
+use super::{CallerResponse, Dispatcher, InboundCall, Origin};
 use crate::clock::{SharedClock, micros};
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, GateHandle, OwnCall};
@@ -25,62 +25,63 @@
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
-/// Limits of what an entry takes in.
+/// Limits on the requests that an entry accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryLimits {
-    /// Largest body in bytes.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Time in which a body must arrive.
-    pub body_time: Duration,
-    /// Whether requests bring one allowance for their whole chain; off only for comparison, when each hop has its own.
+    /// Time within which the complete body must arrive.
+    pub body_timeout: Duration,
+    /// Whether a request has one retry allowance for its whole call chain. If disabled, each hop has its own; this
+    /// serves only for comparison.
     pub allowance_enabled: bool,
 }
 
-/// Answers HTTP requests; cheap to clone.
+/// Serves HTTP requests; cheap to clone.
 #[derive(Clone)]
 pub struct EntryService {
     /// Sends calls to hosts.
     pub dispatcher: Dispatcher,
-    /// Hands out tokens.
+    /// Issues tokens.
     pub tokens: TokenIssuer,
-    /// Knows the calls in flight that the target's own calls serve.
+    /// Holds the calls in flight on whose behalf the target makes calls.
     pub gate: GateHandle,
-    /// What is published.
+    /// Published documents and instances.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Limits.
+    /// Limits on accepted requests.
     pub limits: EntryLimits,
-    /// Places for calls at a time, which bound the memory that callers can take.
-    pub places: Arc<Semaphore>,
-    /// The process's clock.
+    /// Limits the number of concurrent calls and so the memory that callers can occupy.
+    pub call_slots: Arc<Semaphore>,
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Records the events of the timeline.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// The node's log.
+    /// Log of the node.
     pub log: Logger,
 }
 
 impl EntryService {
-    /// Answers a request of a caller outside the graph.
+    /// Serves a request of a caller outside the call graph.
     pub async fn serve_caller(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
     ) -> Response<HttpAnswer> {
-        self.serve_any(req, connection, Listener::Callers).await
+        self.serve(req, connection, Listener::Callers).await
     }
 
-    /// Answers a call of the node's own target.
+    /// Serves a call of the node's own target.
     pub async fn serve_target(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
     ) -> Response<HttpAnswer> {
-        self.serve_any(req, connection, Listener::Egress).await
+        self.serve(req, connection, Listener::Egress).await
     }
 
-    async fn serve_any(
+    async fn serve(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
@@ -89,10 +90,10 @@
         if req.uri().path() == TOKENS_PATH {
             return Box::pin(self.serve_tokens(&req)).await;
         }
-        self.serve(req, connection, listener).await
+        self.serve_call(req, connection, listener).await
     }
 
-    async fn serve(
+    async fn serve_call(
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
@@ -100,17 +101,17 @@
     ) -> Response<HttpAnswer> {
         let started = self.clock.now();
         let identity = identity_of(req.headers());
-        let Answered { class, outgoing } = match self.places.try_acquire() {
-            Ok(_place) => {
-                self.take(req, identity, connection, listener, started)
+        let ClassifiedResponse { class, response } = match self.call_slots.try_acquire() {
+            Ok(_slot) => {
+                self.read_and_answer(req, identity, connection, listener, started)
                     .await
             }
-            Err(_) => Answered::aside(RequestId::random(), ErrorKind::Shed, identity),
+            Err(_) => ClassifiedResponse::unsent(RequestId::random(), ErrorKind::Shed, identity),
         };
-        let (outcome, error) = (outgoing.outcome(), outgoing.error());
+        let (outcome, error) = (response.outcome(), response.error());
         self.metrics.calls.answered(listener, class, outcome, error);
         let elapsed_us = micros(self.clock.now(), started);
-        let event = match &outgoing.verdict {
+        let event = match &response.verdict {
             Verdict::Answered(answer) => Event::Answered {
                 status: answer.status.as_u16(),
                 elapsed_us,
@@ -121,44 +122,44 @@
                 elapsed_us,
             },
         };
-        self.recorder.record(Some(outgoing.request), event);
+        self.recorder.record(Some(response.request), event);
         debug!(self.log, "request ended";
-            "request" => %outgoing.request,
+            "request" => %response.request,
             "outcome" => outcome.as_str(),
             "error" => error.map(ErrorKind::as_str),
             "elapsed_us" => elapsed_us);
-        outgoing.into_response()
+        response.into_response()
     }
 
-    async fn take(
+    async fn read_and_answer(
         &self,
         req: Request<Incoming>,
         identity: Identity,
         connection: CallerConnection,
         listener: Listener,
         started: Instant,
-    ) -> Answered {
-        // A sender that stops halfway would keep its place and its buffer for ever.
-        let reading = tokio::time::timeout(self.limits.body_time, self.read(req));
+    ) -> ClassifiedResponse {
+        // Without the timeout, a caller that stops halfway through its body would hold its slot and buffer forever.
+        let reading = tokio::time::timeout(self.limits.body_timeout, self.read(req));
         match reading.await.unwrap_or(Err(ErrorKind::BadRequest)) {
-            // Boxed, so that a caller that has not sent its whole body takes little memory.
+            // Boxed, so that the future takes little memory until the whole body has arrived.
             Ok(inbound) => {
                 Box::pin(self.answer(inbound, identity, connection, listener, started)).await
             }
-            Err(kind) => Answered::aside(RequestId::random(), kind, identity),
+            Err(kind) => ClassifiedResponse::unsent(RequestId::random(), kind, identity),
         }
     }
 
-    async fn read(&self, req: Request<Incoming>) -> Result<Inbound, ErrorKind> {
+    async fn read(&self, req: Request<Incoming>) -> Result<InboundCall, ErrorKind> {
         let (parts, body) = req.into_parts();
-        let (service, path) = Inbound::split(&parts.uri)?;
+        let (service, path) = InboundCall::split_uri(&parts.uri)?;
         let body = read_whole(body, self.limits.body_bytes)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge => ErrorKind::TooLarge,
                 BodyError::Cut => ErrorKind::BadRequest,
             })?;
-        Ok(Inbound {
+        Ok(InboundCall {
             service,
             method: parts.method,
             path,
@@ -169,29 +170,30 @@
 
     async fn answer(
         &self,
-        inbound: Inbound,
+        inbound: InboundCall,
         identity: Identity,
         connection: CallerConnection,
         listener: Listener,
         started: Instant,
-    ) -> Answered {
+    ) -> ClassifiedResponse {
         let origin = match self.origin(&inbound, listener).await {
             Ok(origin) => origin,
-            Err(kind) => return Answered::aside(RequestId::random(), kind, identity),
+            Err(kind) => return ClassifiedResponse::unsent(RequestId::random(), kind, identity),
         };
         let request = origin.request();
         let mut prepared = match self.prepare(&inbound, &origin, request, started) {
             Ok(prepared) => prepared,
             Err(kind) => {
                 return self
-                    .refuse_early(request, &inbound.service, kind, identity)
+                    .refuse_unprepared(request, &inbound.service, kind, identity)
                     .await;
             }
         };
         let class = prepared.call.class;
-        // A paused process finds a request together with its caller's close; running it would serve nobody.
+        // A process that was paused may read a request whose caller has closed the connection in the meantime. Nobody
+        // would receive the answer.
         if !prepared.call.idempotent && connection.is_closed() {
-            return Answered::aside(request, ErrorKind::Cancelled, identity);
+            return ClassifiedResponse::unsent(request, ErrorKind::Cancelled, identity);
         }
         let event = Event::Received {
             service: inbound.service.clone(),
@@ -200,30 +202,33 @@
             allowance: 0,
         };
         self.recorder.record(Some(request), event);
-        let below = match &origin {
-            Origin::Flight(parent) => Some(self.gate.below(parent.flight)),
+        let downstream = match &origin {
+            Origin::InFlight(parent) => Some(self.gate.below(parent.flight)),
             _ => None,
         };
-        let outgoing = match self.own_call(&origin, &inbound, &mut prepared).await {
+        let response = match self.own_call(&origin, &inbound, &mut prepared).await {
             Ok(own) => {
-                let outgoing = self.dispatch(prepared, identity).await;
-                // A target that left while its answer was made will ask again.
-                if let Some(own) = own.filter(|_| outgoing.is_success() && !connection.is_closed())
+                let response = self.dispatch(prepared, identity).await;
+                // A target that closed the connection in the meantime did not receive the answer and will repeat the
+                // call.
+                if let Some(own) = own.filter(|_| response.is_success() && !connection.is_closed())
                 {
                     own.succeeded();
                 }
-                outgoing
+                response
+            }
+            Err(kind) => {
+                CallerResponse::new(request, Verdict::Refused(Refused::unsent(kind, identity)))
             }
-            Err(kind) => Outgoing::new(request, Verdict::Refused(Refused::unsent(kind, identity))),
         };
-        if let Some(below) = below.filter(|_| outgoing.is_success()) {
-            below.succeeded();
+        if let Some(downstream) = downstream.filter(|_| response.is_success()) {
+            downstream.succeeded();
         }
-        Answered { class, outgoing }
+        ClassifiedResponse { class, response }
     }
 
-    async fn dispatch(&self, prepared: Prepared, identity: Identity) -> Outgoing {
-        let Prepared {
+    async fn dispatch(&self, prepared: PreparedCall, identity: Identity) -> CallerResponse {
+        let PreparedCall {
             call,
             mut budget,
             once,
@@ -238,23 +243,24 @@
             }
             None => self.dispatcher.send(call, &mut budget).await,
         };
-        let mut outgoing = Outgoing::new(request, verdict);
-        if identity != Identity::None && needs_fresh_token(&outgoing) {
-            outgoing.token = self.tokens.issue_one(&service).await;
+        let mut response = CallerResponse::new(request, verdict);
+        if identity != Identity::None && needs_fresh_token(&response) {
+            response.token = self.tokens.issue_one(&service).await;
         }
-        outgoing
+        response
     }
 
-    /// Lets a target's own call begin, which is new or pays for its repetition.
+    /// Registers a call that the target makes on behalf of a call in flight, and charges a repetition to the retry
+    /// budget.
     ///
-    /// A target that retries by itself would multiply the attempts beyond the allowance of its request.
+    /// Otherwise a target that retries by itself would multiply the attempts beyond the retry allowance of its request.
     async fn own_call(
         &self,
         origin: &Origin,
-        inbound: &Inbound,
-        prepared: &mut Prepared,
+        inbound: &InboundCall,
+        prepared: &mut PreparedCall,
     ) -> Result<Option<OwnCall>, ErrorKind> {
-        let Origin::Flight(parent) = origin else {
+        let Origin::InFlight(parent) = origin else {
             return Ok(None);
         };
         if !self.limits.allowance_enabled {
@@ -271,31 +277,31 @@
         Ok(Some(own))
     }
 
-    async fn refuse_early(
+    async fn refuse_unprepared(
         &self,
         request: RequestId,
         service: &ServiceName,
         kind: ErrorKind,
         identity: Identity,
-    ) -> Answered {
+    ) -> ClassifiedResponse {
         if kind == ErrorKind::BadToken {
             self.metrics.faults.rejected(Rejected::Token);
         }
-        let mut answered = Answered::aside(request, kind, identity);
-        let refused_token = identity != Identity::None && needs_fresh_token(&answered.outgoing);
+        let mut refusal = ClassifiedResponse::unsent(request, kind, identity);
+        let refused_token = identity != Identity::None && needs_fresh_token(&refusal.response);
         if kind == ErrorKind::TokenRequired || refused_token {
-            answered.outgoing.token = self.tokens.issue_one(service).await;
+            refusal.response.token = self.tokens.issue_one(service).await;
         }
-        answered
+        refusal
     }
 
-    async fn origin(&self, inbound: &Inbound, listener: Listener) -> Result<Origin, ErrorKind> {
+    async fn origin(&self, inbound: &InboundCall, listener: Listener) -> Result<Origin, ErrorKind> {
         if listener != Listener::Egress {
             return Ok(Origin::Caller);
         }
-        let Some(text) = inbound.text(&names::CONTEXT)? else {
+        let Some(text) = inbound.single_header(&names::CONTEXT)? else {
             self.metrics.calls.without_context();
-            return Ok(Origin::Uncontexted);
+            return Ok(Origin::WithoutContext);
         };
         let handle: ContextHandle = text.parse().map_err(|_| ErrorKind::UnknownContext)?;
         let parent = self
@@ -303,44 +309,44 @@
             .parent(handle)
             .await
             .ok_or(ErrorKind::UnknownContext)?;
-        Ok(Origin::Flight(parent))
+        Ok(Origin::InFlight(parent))
     }
 }
 
-/// Path under which callers ask for tokens.
+/// Path of the token endpoint.
 const TOKENS_PATH: &str = "/coltsfootport/tokens";
 
-/// An answer with the class that it is counted under.
-struct Answered {
+/// Response with the class under which it is counted in the metrics.
+struct ClassifiedResponse {
     class: Class,
-    outgoing: Outgoing,
+    response: CallerResponse,
 }
 
-impl Answered {
-    /// The end of a call of which nothing was sent.
-    fn aside(request: RequestId, kind: ErrorKind, identity: Identity) -> Self {
+impl ClassifiedResponse {
+    /// Creates the response to a call of which nothing was sent, counted under the lowest class.
+    fn unsent(request: RequestId, kind: ErrorKind, identity: Identity) -> Self {
         let refused = Refused::unsent(kind, identity);
         Self {
             class: Class::LOWEST,
-            outgoing: Outgoing::new(request, Verdict::Refused(refused)),
+            response: CallerResponse::new(request, Verdict::Refused(refused)),
         }
     }
 }
 
-/// What the headers say of whether the caller holds a token and has sent it before.
+/// Determines from the headers whether the call carries a token and whether that may have been sent before.
 fn identity_of(headers: &HeaderMap) -> Identity {
     let number = headers.get(names::TRY);
     let number = number.and_then(|value| value.to_str().ok()?.parse().ok());
     Identity::of(headers.contains_key(names::TOKEN), number.map(Try))
 }
 
-/// Whether the caller's token is of no more use, and the call is known not to have run.
+/// Returns whether the caller's token can no longer be used and the call is known not to have run.
 ///
-/// After any other outcome a fresh token would invite a second run.
-fn needs_fresh_token(outgoing: &Outgoing) -> bool {
-    outgoing.outcome() == Outcome::NotRun
+/// After any other outcome, a new token could make the call run a second time.
+fn needs_fresh_token(response: &CallerResponse) -> bool {
+    response.outcome() == Outcome::NotRun
         && matches!(
-            outgoing.error(),
+            response.error(),
             Some(
                 ErrorKind::NoTarget
                     | ErrorKind::Leaving
--- a/crates/node/src/entry/token_endpoint.rs
+++ b/crates/node/src/entry/token_endpoint.rs
@@ -1,4 +1,4 @@
-//! Answers callers who ask for tokens.
+//! HTTP endpoint that issues tokens to callers.
 
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::id::ServiceName;
@@ -11,7 +11,7 @@
 use crate::http::{HttpAnswer, json, refuse};
 
 impl EntryService {
-    /// `POST /coltsfootport/tokens?service=S&count=N`.
+    /// Handles `POST /coltsfootport/tokens?service=S&count=N`.
     pub(super) async fn serve_tokens(&self, req: &Request<Incoming>) -> Response<HttpAnswer> {
         if req.method() != Method::POST {
             return refuse(Refused::from(ErrorKind::BadRequest));
@@ -21,7 +21,7 @@
             return refuse(Refused::from(ErrorKind::BadRequest));
         };
         if let Err(kind) = self.document(&query.service) {
-            return refuse(Refused::from(kind).with_time());
+            return refuse(Refused::from(kind).with_default_retry_after());
         }
         match self.tokens.issue(&query.service, query.count).await {
             Ok(page) => {
@@ -33,7 +33,7 @@
                 self.recorder.record(None, event);
                 json(serde_json::to_string(&page).unwrap_or_default())
             }
-            Err(kind) => refuse(Refused::from(kind).with_time()),
+            Err(kind) => refuse(Refused::from(kind).with_default_retry_after()),
         }
     }
 }
--- a/crates/node/src/entry/tokens.rs
+++ b/crates/node/src/entry/tokens.rs
@@ -1,4 +1,4 @@
-//! Handing out idempotency tokens.
+//! Issuing of idempotency tokens.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::peers::HubHandle;
 use crate::routes::{Choice, PickRequest, Route, RoutesHandle};
 
-/// Hands out tokens whose homes this node has heard from.
+/// Issues tokens for homes from which this node has received a report.
 #[derive(Clone, Debug)]
 pub struct TokenIssuer {
     routes: RoutesHandle,
@@ -21,23 +21,23 @@
     keys: Arc<KeyRing>,
 }
 
-/// The answer to a request for tokens.
+/// Response to a request for tokens.
 #[derive(Clone, Debug, Serialize)]
 pub struct TokenPage {
-    /// Sealed tokens.
+    /// Sealed tokens, possibly fewer than requested.
     pub tokens: Vec<SmolStr>,
 }
 
-/// Most tokens handed out at once.
-pub const MOST_TOKENS: usize = 256;
+/// Maximum number of tokens per request.
+pub const MAX_TOKENS: usize = 256;
 
 impl TokenIssuer {
-    /// An issuer that seals with the fleet's keys.
+    /// Creates an issuer that seals tokens with the keys of the fleet.
     pub fn new(routes: RoutesHandle, hub: HubHandle, keys: Arc<KeyRing>) -> Self {
         Self { routes, hub, keys }
     }
 
-    /// Opens a sealed token of a service.
+    /// Opens a sealed token; fails if it was issued for another service.
     pub fn open(&self, text: &str, service: &ServiceName) -> Result<Token, ErrorKind> {
         let token = self.keys.open(text)?;
         if token.service == *service {
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Up to `count` tokens of a service, spread over its homes.
+    /// Issues up to `count` tokens of a service, distributed over its hosts.
     pub async fn issue(&self, service: &ServiceName, count: usize) -> Result<TokenPage, ErrorKind> {
         let mut tokens = Vec::new();
-        for _ in 0..count.min(MOST_TOKENS) {
+        for _ in 0..count.min(MAX_TOKENS) {
             match self.issue_one(service).await {
                 Some(token) => tokens.push(token),
                 None if tokens.is_empty() => return Err(ErrorKind::NoTarget),
@@ -60,10 +60,10 @@
         Ok(TokenPage { tokens })
     }
 
-    /// One sealed token of a service.
+    /// Issues one sealed token of a service.
     pub async fn issue_one(&self, service: &ServiceName) -> Option<SmolStr> {
-        for _ in 0..HOMES_TRIED {
-            let Choice::Go(route) = self.routes.pick(pick_for(service)).await else {
+        for _ in 0..MAX_HOMES_TRIED {
+            let Choice::Send(route) = self.routes.pick(pick_request(service)).await else {
                 return None;
             };
             if let Some(token) = self.mint(*route, service).await {
@@ -73,7 +73,7 @@
         None
     }
 
-    /// A token of the host that a route leads to, which is contacted if it was not heard yet.
+    /// Mints a token whose home is the host of a route. Connects to the host first if it has not sent a report yet.
     pub async fn mint_at(&self, route: &Route, service: &ServiceName) -> Option<Token> {
         if let Some(token) = self.routes.mint(&route.node, service).await {
             return Some(token);
@@ -89,14 +89,15 @@
         } else {
             RouteResult::Lost
         };
-        route.guard.done(result, None);
+        route.guard.finish(result, None);
         token
     }
 }
 
-const HOMES_TRIED: usize = 3;
+/// Number of hosts that are tried for one token.
+const MAX_HOMES_TRIED: usize = 3;
 
-fn pick_for(service: &ServiceName) -> PickRequest {
+fn pick_request(service: &ServiceName) -> PickRequest {
     PickRequest {
         service: service.clone(),
         operation: SmolStr::default(),
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -66,7 +66,7 @@
 
     fn record_hello(&self, hello: HelloFrame) {
         self.recorder.observe(hello.stamp);
-        self.routes.heard(HostReport::from(hello.report));
+        self.routes.record_report(HostReport::from(hello.report));
     }
 }
 
--- a/crates/node/src/routes/task.rs
+++ b/crates/node/src/routes/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns routing.
+//! Task that owns the state of routing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,23 +25,23 @@
 use crate::data::HostReport;
 use crate::spread::{Published, StateReport};
 
-/// What the routes task is made of.
+/// Settings and channels of the routes task.
 pub struct RoutesSetup {
-    /// Settings of routing.
+    /// Settings of the router.
     pub routing: RoutingConfig,
-    /// Settings of the retry budgets.
+    /// Settings of the retry budgets, one for each service.
     pub budget: EdgeBudgetConfig,
-    /// Whether levels heard from hosts are acted on.
+    /// Whether calls are shed here by the admission levels that hosts report.
     pub level_shedding: bool,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// What is published, with the list of instances.
+    /// Published documents and instances.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Where words of nodes about themselves go.
-    pub words: mpsc::UnboundedSender<StateReport>,
+    /// Passes on the states that nodes report of themselves.
+    pub state_reports: mpsc::UnboundedSender<StateReport>,
 }
 
-/// The task that owns routing, levels, budgets and minting.
+/// Task that owns the router, admission levels, retry budgets and the minting of tokens.
 pub struct Routes {
     router: Router,
     levels: DownstreamLevels,
@@ -50,26 +50,26 @@
     budgets: Map<ServiceName, EdgeBudget>,
     minter: Minter,
     addresses: Map<NodeName, SocketAddr>,
-    told: Map<NodeName, Told>,
-    /// Highest revision of published entries held here.
-    known: u64,
+    reported: Map<NodeName, ReportedState>,
+    /// Highest revision of published entries that this node holds or that a peer has reported.
+    known_revision: u64,
     rng: SmallRng,
     clock: SharedClock,
     published: watch::Receiver<Arc<Published>>,
-    words: mpsc::UnboundedSender<StateReport>,
+    state_reports: mpsc::UnboundedSender<StateReport>,
     tx: mpsc::UnboundedSender<RoutesMessage>,
     rx: mpsc::UnboundedReceiver<RoutesMessage>,
 }
 
-/// What a node last told about itself.
+/// State that a node last reported of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct ReportedState {
     incarnation: Incarnation,
     state: NodeState,
 }
 
 impl Routes {
-    /// The task and its handle.
+    /// Creates the task and its handle.
     pub fn new(setup: RoutesSetup) -> (Self, RoutesHandle) {
         let (tx, rx) = mpsc::unbounded_channel();
         let routes = Self {
@@ -80,26 +80,26 @@
             budgets: Map::default(),
             minter: Minter::new(),
             addresses: Map::default(),
-            told: Map::default(),
-            known: 0,
+            reported: Map::default(),
+            known_revision: 0,
             rng: SmallRng::from_os_rng(),
             clock: setup.clock,
             published: setup.published,
-            words: setup.words,
+            state_reports: setup.state_reports,
             tx: tx.clone(),
             rx,
         };
         (routes, RoutesHandle::new(tx))
     }
 
-    /// Runs until the process ends.
+    /// Runs until the publisher of the instance list or the message channel closes.
     pub async fn run(mut self) {
-        self.take_published();
+        self.apply_published();
         loop {
             tokio::select! {
                 biased;
                 changed = self.published.changed() => match changed {
-                    Ok(()) => self.take_published(),
+                    Ok(()) => self.apply_published(),
                     Err(_) => return,
                 },
                 message = self.rx.recv() => match message {
@@ -110,10 +110,10 @@
         }
     }
 
-    fn take_published(&mut self) {
+    fn apply_published(&mut self) {
         let published = Arc::clone(&self.published.borrow_and_update());
         let now = self.clock.now();
-        self.known = published.revision;
+        self.known_revision = published.revision;
         self.levels.expire(now);
         self.addresses = published
             .nodes
@@ -121,7 +121,7 @@
             .map(|node| (node.view.node.clone(), node.peer))
             .collect();
         let addresses = &self.addresses;
-        self.told.retain(|node, _| addresses.contains_key(node));
+        self.reported.retain(|node, _| addresses.contains_key(node));
         self.router.update(
             published
                 .nodes
@@ -140,8 +140,8 @@
             RoutesMessage::Home(token, reply) => {
                 let _ = reply.send(self.home(&token));
             }
-            RoutesMessage::Done(end) => self.done(end),
-            RoutesMessage::Heard(report) => self.heard(&report),
+            RoutesMessage::AttemptEnded(end) => self.end_attempt(end),
+            RoutesMessage::HostReport(report) => self.record_report(&report),
             RoutesMessage::Mint(home, service, reply) => {
                 let _ = reply.send(self.minter.mint(&home, &service, self.clock.now()));
             }
@@ -161,26 +161,22 @@
             .router
             .pick(&request.service, &request.excluded, now, &mut self.rng);
         let Some(key) = picked else {
-            return Choice::Nobody;
+            return Choice::NoHost;
         };
         match self.route(key, request.service, request.operation, now) {
-            Some(route) => Choice::Go(Box::new(route)),
-            None => Choice::Nobody,
+            Some(route) => Choice::Send(Box::new(route)),
+            None => Choice::NoHost,
         }
     }
 
-    /// Refuses here what would die further down, before any work is spent on it.
+    /// Sheds a call that would be shed downstream, before any work is spent on it.
     fn shed_early(&mut self, request: &PickRequest, now: Instant) -> Option<Choice> {
-        let edge = edge(&request.service, &request.operation);
-        if !self.level_shedding
-            || self
-                .levels
-                .admits(&edge, request.class, request.bucket, now)
-        {
+        let key = edge_key(&request.service, &request.operation);
+        if !self.level_shedding || self.levels.admits(&key, request.class, request.bucket, now) {
             return None;
         }
         let target = TargetState {
-            level: self.levels.level(&edge, now),
+            level: self.levels.level(&key, now),
             ..IDLE_TARGET
         };
         let cfg = RetryAfterConfig::default();
@@ -220,7 +216,7 @@
         })
     }
 
-    fn done(&mut self, end: AttemptEnd) {
+    fn end_attempt(&mut self, end: AttemptEnd) {
         let now = self.clock.now();
         let load = end
             .report
@@ -229,41 +225,41 @@
             .unwrap_or_default();
         self.router.done(end.peer, end.result, load, now);
         if end.result == RouteResult::Served {
-            self.budget_of(end.service.clone(), now).success();
+            self.service_budget(end.service.clone(), now).success();
         }
         let Some(report) = end.report else { return };
         self.levels
-            .record(&edge(&end.service, &end.operation), report.level, now);
-        self.heard(&report);
+            .record(&edge_key(&end.service, &end.operation), report.level, now);
+        self.record_report(&report);
     }
 
-    fn heard(&mut self, report: &HostReport) {
+    fn record_report(&mut self, report: &HostReport) {
         let now = self.clock.now();
         self.minter
             .update_home(report.node.clone(), report.incarnation, report.tick, now);
-        let told = Told {
+        let reported = ReportedState {
             incarnation: report.incarnation,
             state: report.state,
         };
-        let newer = report.revision > self.known;
-        if self.told.get(&report.node) == Some(&told) && !newer {
+        let newer = report.revision > self.known_revision;
+        if self.reported.get(&report.node) == Some(&reported) && !newer {
             return;
         }
-        self.told.insert(report.node.clone(), told);
+        self.reported.insert(report.node.clone(), reported);
         if report.state == NodeState::Leaving {
             self.router.record_leaving(&report.node, report.incarnation);
         }
-        self.known = self.known.max(report.revision);
-        let _ = self.words.send(StateReport::from(report));
+        self.known_revision = self.known_revision.max(report.revision);
+        let _ = self.state_reports.send(StateReport::from(report));
     }
 
     fn spend_retry(&mut self, service: ServiceName, reply: oneshot::Sender<bool>) {
         let now = self.clock.now();
-        let spent = self.budget_of(service, now).try_spend(now);
+        let spent = self.service_budget(service, now).try_spend(now);
         let _ = reply.send(spent);
     }
 
-    fn budget_of(&mut self, service: ServiceName, now: Instant) -> &mut EdgeBudget {
+    fn service_budget(&mut self, service: ServiceName, now: Instant) -> &mut EdgeBudget {
         let cfg = &self.budget;
         self.budgets
             .entry(service)
@@ -286,16 +282,16 @@
             service: view.service.clone(),
             leaving: view.leaving
                 || self
-                    .told
+                    .reported
                     .get(node)
-                    .is_some_and(|told| told.state == NodeState::Leaving),
+                    .is_some_and(|reported| reported.state == NodeState::Leaving),
             in_flight: self.router.in_flight(key),
             ejected: self.router.is_ejected(key, now),
         })
     }
 }
 
-/// A target of which nothing but its level is known.
+/// State assumed of a target of which only the admission level is known.
 const IDLE_TARGET: TargetState = TargetState {
     level: coltsfootport_core::admission::Level::OPEN,
     queued: 0,
@@ -303,8 +299,11 @@
     service_time: std::time::Duration::ZERO,
 };
 
-/// Levels are kept by operation, so that an overload below one operation does not shed others of the same service.
-fn edge(service: &ServiceName, operation: &SmolStr) -> ServiceName {
+/// Returns the key under which the admission level of an operation is kept.
+///
+/// Levels are kept by operation, so that an overload downstream of one operation doesn't shed calls to other operations
+/// of the same service.
+fn edge_key(service: &ServiceName, operation: &SmolStr) -> ServiceName {
     let mut name = String::with_capacity(service.as_str().len() + operation.len() + 1);
     name.push_str(service.as_str());
     name.push(' ');
