--- a/crates/core/src/class.rs
+++ b/crates/core/src/class.rs
@@ -1,20 +1,20 @@
-//! The class of a call, which orders calls for shedding.
+//! Classes of calls, which determine the order of load shedding.
 
 use serde::{Deserialize, Serialize};
 
-/// Rank of a call for shedding: 0 is shed last, higher ranks are shed earlier.
+/// Shedding rank of a call: 0 is shed last, higher ranks are shed earlier.
 ///
-/// The document of a service names its classes; the position in that list is the rank.
+/// The rank is the index of the class in the list of the service's document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Class(pub u8);
 
 impl Class {
-    /// The rank that is shed last.
+    /// Rank that is shed last.
     pub const HIGHEST: Self = Self(0);
 
-    /// Number of ranks that a document may name.
+    /// Maximum number of classes in a document.
     pub const COUNT: usize = 8;
 
-    /// The rank that is shed first.
+    /// Rank that is shed first.
     pub const LOWEST: Self = Self(Self::COUNT as u8 - 1);
 }
