--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,22 +1,23 @@
-//! What is known about whether a request ran.
+//! Execution outcome of a request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the target ran a request, as told to its caller.
+/// Whether the target ran a request, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The target ran the request; the answer is the target's own, unless the error kind says that it was not kept.
+    /// The target ran the request. The answer comes from the target unless the error kind is
+    /// [`AnswerGone`](crate::error_kind::ErrorKind::AnswerGone).
     Ran,
-    /// The request did not run and never will under this token and any try up to this one.
+    /// The request did not run, and never will with this token and any try up to this one.
     NotRun,
     /// The request may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the `coltsfootport-outcome` header.
+    /// Returns the value of the `coltsfootport-outcome` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
