--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,24 +1,24 @@
-//! Invariants that every node checks while it runs.
+//! Invariants that every node checks at run time.
 
-/// A condition that must hold in every state; a breach is a defect of coltsfootport.
+/// Invariant of a node, named after its violation. A violation is a bug in coltsfootport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
     /// A token was dispatched to the target a second time.
     DispatchedTwice,
-    /// A retry allowance grew beyond what was granted.
+    /// A retry allowance exceeded the granted amount.
     AllowanceGrew,
-    /// A document's revision in force went back.
+    /// The active revision of a document decreased.
     VersionWentBack,
-    /// New work was dispatched after the node began to leave.
+    /// New work was dispatched after the node started to shut down.
     WorkAfterLeaving,
-    /// An answer was about to reach a call that it doesn't belong to.
+    /// An answer was about to be delivered to the wrong call.
     AnswerToWrongCall,
-    /// A queue grew past its bound.
+    /// A queue exceeded its maximum length.
     QueuePastBound,
 }
 
 impl Invariant {
-    /// Every invariant, for metrics that list all of them from the start.
+    /// All invariants, for metrics that export every label from the start.
     pub const ALL: [Self; 6] = [
         Self::DispatchedTwice,
         Self::AllowanceGrew,
@@ -28,7 +28,7 @@
         Self::QueuePastBound,
     ];
 
-    /// The label used in metrics, logs and the time line.
+    /// Returns the label used in metrics, logs and the timeline.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::DispatchedTwice => "dispatched-twice",
