--- a/crates/core/src/collections.rs
+++ b/crates/core/src/collections.rs
@@ -1,10 +1,12 @@
-//! Hash maps and sets with the project's hasher.
+//! Hash maps and sets with a fast, unkeyed hasher.
 
-/// A hash map with a fast hasher; keys must not be chosen freely by callers outside the fleet.
+/// Hash map with [`FastHasher`]. It doesn't resist collision attacks, so keys must not be controlled by callers outside
+/// the fleet.
 pub type Map<K, V> = rustc_hash::FxHashMap<K, V>;
 
-/// A hash set with a fast hasher; keys must not be chosen freely by callers outside the fleet.
+/// Hash set with [`FastHasher`]. It doesn't resist collision attacks, so keys must not be controlled by callers outside
+/// the fleet.
 pub type Set<T> = rustc_hash::FxHashSet<T>;
 
-/// The hasher of both; the same on all nodes of one build.
+/// Hasher of [`Map`] and [`Set`]. It gives the same hashes on all nodes that run the same build.
 pub type FastHasher = rustc_hash::FxHasher;
