--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of an overload control layer for service call graphs, without sockets, tasks or clocks.
+//! Decision logic of an overload control layer for service call graphs, without I/O.
 //!
-//! Every type takes events and the current time and answers with what to do. Nothing here reads a clock, opens a socket
-//! or starts a task, so each part can be embedded elsewhere and tested with any interleaving.
+//! Types take events and the current time as input and return the actions to perform. Nothing in this crate reads a
+//! clock, opens a socket or spawns a task, so each module can be embedded elsewhere and tested with any interleaving.
 
 pub mod admission;
 pub mod allowance;
