--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers shared by all parts.
+//! Identifiers used across modules.
 
 mod incarnation;
 mod names;
--- a/crates/core/src/id/incarnation.rs
+++ b/crates/core/src/id/incarnation.rs
@@ -1,18 +1,19 @@
-//! The identity of one run of a node process.
+//! Identity of a node process.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// Random identity of one run of a node; a restarted node has a new one.
+/// Random ID of a node process, which changes with every restart.
 ///
-/// State kept in memory ends with the incarnation, so whatever names an incarnation can't be confused with a later run.
+/// In-memory state is lost when the process ends. A reference that includes the incarnation can't be confused with the
+/// state of a later process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u128);
 
 impl Incarnation {
-    /// A fresh identity.
+    /// Generates a random ID.
     pub fn random() -> Self {
         Self(Uuid::new_v4().as_u128())
     }
--- a/crates/core/src/id/names.rs
+++ b/crates/core/src/id/names.rs
@@ -1,4 +1,4 @@
-//! Names taken from settings, documents and the instance list.
+//! Names from settings, documents and the instance list.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
         pub struct $name(pub SmolStr);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -34,12 +34,12 @@
 }
 
 name! {
-    /// Name of a node, unique in the fleet and reused when its instance is replaced.
+    /// Name of a node, unique within the fleet. The replacement of its instance reuses the name.
     NodeName
 }
 
 name! {
-    /// Name of a service, which is also the first segment of a call's path.
+    /// Name of a service, which is also the first path segment of its calls.
     ServiceName
 }
 
@@ -49,6 +49,6 @@
 }
 
 name! {
-    /// Name of a region, which holds failure domains.
+    /// Name of a region, which contains failure domains.
     RegionName
 }
--- a/crates/core/src/id/request_id.rs
+++ b/crates/core/src/id/request_id.rs
@@ -1,4 +1,4 @@
-//! The identity of one request over its whole call chain.
+//! Request IDs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// Identity of a request, given at its entry and kept by every call made on its behalf.
+/// ID of a request, assigned at its entry and shared by all calls of its call chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
-/// A text is not a request id of 32 hexadecimal digits.
+/// Error of parsing a request ID that does not have 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a request id has 32 hexadecimal digits")]
+#[error("a request id must have 32 hexadecimal digits")]
 pub struct ParseRequestIdError;
 
 impl RequestId {
-    /// A fresh identity.
+    /// Generates a random ID.
     pub fn random() -> Self {
         Self(Uuid::new_v4().as_u128())
     }
