--- a/crates/core/src/document/call_profile.rs
+++ b/crates/core/src/document/call_profile.rs
@@ -1,4 +1,4 @@
-//! What a document says about one call.
+//! Policy that a document assigns to one call.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::class::Class;
 
-/// What a document says about one call.
+/// Class, idempotency and time limit that a document assigns to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallProfile {
-    /// Rank for shedding.
+    /// Shedding rank.
     pub class: Class,
-    /// Name of the rank, as the team wrote it.
+    /// Class name as written in the document.
     pub class_name: SmolStr,
-    /// Whether the call may run twice.
+    /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Longest time that the call may take.
+    /// Maximum duration of the call.
     pub deadline: Duration,
-    /// Position of the operation in the document, from the most specific; absent where none covers the call.
+    /// Index of the matching operation, counted from the most specific one. `None` if no operation matches.
     pub operation: Option<u16>,
 }
