--- a/crates/core/src/document/class_name.rs
+++ b/crates/core/src/document/class_name.rs
@@ -1,15 +1,15 @@
-//! The name of a class.
+//! Class names.
 
 use std::fmt;
 
 use smol_str::SmolStr;
 
-/// Name of a class of calls, as a team writes it.
+/// Name of a class of calls, as written in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClassName(pub SmolStr);
 
 impl ClassName {
-    /// The name as text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
