--- a/crates/core/src/document/operation.rs
+++ b/crates/core/src/document/operation.rs
@@ -1,4 +1,4 @@
-//! One entry of `operations`.
+//! An entry of a document's `operations` list.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 
 use super::{Method, PathPattern};
 
-/// Calls that a team singles out, by method and path.
+/// Rule for calls selected by method and path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Method of the calls; absent for any.
+    /// Method of the calls, or `None` for any method.
     pub method: Option<Method>,
-    /// Paths of the calls.
+    /// Pattern that the path of a call must match.
     pub path: PathPattern,
     /// Class of the calls.
     pub class: Class,
-    /// Whether the calls may run twice; absent where the method decides.
+    /// Whether the calls may run more than once. `None` leaves this to the method.
     pub idempotent: Option<bool>,
-    /// Time limit of the calls; absent for the document's.
+    /// Time limit of the calls. `None` uses the document's limit.
     pub deadline: Option<Duration>,
 }
 
 impl Operation {
-    /// Whether a call belongs to this operation.
+    /// Returns whether a call matches this operation.
     pub fn matches(&self, method: Option<Method>, path: &str) -> bool {
         let method_matches = self.method.is_none() || self.method == method;
         method_matches && self.path.matches(path)
