--- a/crates/core/src/document/target_hints.rs
+++ b/crates/core/src/document/target_hints.rs
@@ -1,14 +1,14 @@
-//! What a team says about the targets of its service.
+//! Hints of a document about the targets of its service.
 
 use std::time::Duration;
 
-/// Hints about each target of the service; the settings of a node come first, own observation decides.
+/// Capacity hints for each target of a service. A node's settings take precedence, and its own measurements decide.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetHints {
-    /// Calls that a target works on at a time.
+    /// Number of calls that a target processes concurrently.
     pub slots: Option<u32>,
-    /// Connections that a target accepts.
+    /// Number of connections that a target accepts.
     pub connections: Option<u32>,
-    /// Time that a target takes from its start to full speed.
+    /// Time from the start of a target until it reaches full capacity.
     pub cold_start: Option<Duration>,
 }
