--- a/crates/core/src/timeline/event_kind.rs
+++ b/crates/core/src/timeline/event_kind.rs
@@ -1,11 +1,11 @@
-//! The kinds of events, for filters.
+//! Kinds of timeline events.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The kind of an [`Event`](super::Event) without its fields.
+/// Kind of an [`Event`](super::Event), without its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-#[allow(missing_docs)] // Each kind is explained at the event of the same name.
+#[allow(missing_docs)] // Each kind is documented at the event of the same name.
 pub enum EventKind {
     Received,
     Routed,
@@ -35,13 +35,13 @@
     SettingsWarning,
 }
 
-/// A text is not the name of an event kind.
+/// Error of parsing an unknown event kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no event has this name")]
+#[error("unknown event kind")]
 pub struct ParseEventKindError;
 
 impl EventKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 26] = [
         Self::Received,
         Self::Routed,
@@ -71,7 +71,7 @@
         Self::SettingsWarning,
     ];
 
-    /// The name in JSON, in filters and in rendered lines.
+    /// Returns the name used in JSON, filters and rendered records.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Received => "received",
