--- a/crates/core/src/timeline/filter.rs
+++ b/crates/core/src/timeline/filter.rs
@@ -1,4 +1,4 @@
-//! Which records a reader asks for.
+//! Filters for timeline records.
 
 use crate::id::RequestId;
 
@@ -6,25 +6,25 @@
 use super::record::Record;
 use super::stamp::Stamp;
 
-/// Conditions that a record must all meet.
+/// Query for timeline records. A record must satisfy all conditions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Filter {
-    /// Only records of this request.
+    /// Selects only records of this request.
     pub request: Option<RequestId>,
-    /// Only records stamped above this.
+    /// Selects only records with a later stamp.
     pub since: Option<Stamp>,
-    /// Only these kinds; every kind where empty.
+    /// Selects only events of these kinds, or all kinds if empty.
     pub kinds: Vec<EventKind>,
-    /// Number of records at most: the oldest ones where `since` is set, so that a reader can go on from the last one;
-    /// else the newest ones.
+    /// Maximum number of records. With `since`, the oldest matches are returned, so that a reader can continue from the
+    /// last one. Otherwise the newest matches are returned.
     pub limit: usize,
 }
 
 impl Filter {
-    /// Records at most where the reader sets no limit.
+    /// Limit used if the reader sets none.
     pub const DEFAULT_LIMIT: usize = 1000;
 
-    /// Whether the record meets all conditions but the limit.
+    /// Returns whether a record satisfies all conditions. The limit is not considered.
     pub fn matches(&self, record: &Record) -> bool {
         let request = self
             .request
