--- a/crates/core/src/timeline/hlc.rs
+++ b/crates/core/src/timeline/hlc.rs
@@ -1,10 +1,10 @@
-//! A hybrid logical clock.
+//! Hybrid logical clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use super::stamp::Stamp;
 
-/// Gives stamps that grow strictly and respect the order of messages between nodes.
+/// Hybrid logical clock, whose stamps increase strictly and respect the causal order of messages between nodes.
 ///
 /// Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks", OPODIS 2014.
 #[derive(Clone, Debug, Default)]
@@ -12,28 +12,28 @@
     last: Stamp,
 }
 
-/// What became of a peer's stamp.
+/// Result of observing a peer's stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observed {
-    /// Later stamps of this clock are above the peer's.
+    /// The stamp was merged. All following stamps of this clock are greater.
     Merged,
-    /// The stamp lies too far ahead of the wall time and was ignored.
+    /// The stamp is too far ahead of the wall time and was ignored.
     TooFarAhead,
 }
 
 impl Hlc {
-    /// How far a peer's stamp may lie ahead of this node's wall time.
+    /// Maximum time by which a peer's stamp may be ahead of this node's wall time.
     pub const MAX_AHEAD: Duration = Duration::from_secs(2);
 
-    /// A clock that has given no stamp yet.
+    /// Creates a clock that has issued no stamp yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The stamp of an event that happens at `wall`; it is above every earlier one of this clock.
+    /// Returns the stamp of an event at wall time `wall`, which is greater than all previous stamps of this clock.
     ///
-    /// Where the wall time steps back, stamps go on from the highest one by their counter until the wall time has
-    /// caught up.
+    /// If the wall time steps back, stamps continue from the highest one by increasing the counter until the wall time
+    /// has caught up.
     pub fn tick(&mut self, wall: SystemTime) -> Stamp {
         let wall = Stamp {
             wall_ms: unix_ms(wall),
@@ -43,11 +43,11 @@
         self.last
     }
 
-    /// Takes note of a stamp that a peer sent, so that what follows is stamped above it.
+    /// Merges a stamp received from a peer, so that subsequent events get a greater stamp.
     pub fn observe(&mut self, peer: Stamp, wall: SystemTime) -> Observed {
-        // A peer whose clock stepped hours ahead would drag every node's stamps with it, one message at a time, and
-        // they would stay there. One would notice time lines from the future over the whole fleet. A stamp beyond the
-        // bound is ignored, so the fault stays with that peer.
+        // If the clock of one peer jumped hours ahead, its messages would gradually advance the stamps of all nodes
+        // for good, and timelines of the whole fleet would show events in the future. Ignoring stamps beyond the limit
+        // confines the error to that peer.
         if peer.wall_ms > unix_ms(wall).saturating_add(max_ahead_ms()) {
             return Observed::TooFarAhead;
         }
