--- a/crates/core/src/timeline/render.rs
+++ b/crates/core/src/timeline/render.rs
@@ -1,4 +1,4 @@
-//! A record as a line for people.
+//! Human-readable rendering of timeline records.
 
 use std::fmt::Write;
 
@@ -9,45 +9,46 @@
 
 const MS_PER_DAY: u64 = 24 * 60 * 60 * 1000;
 
-/// One line: UTC time with counter, node, request id or `-`, event and its fields as `name=value`.
+/// Formats a record as one line: UTC time with counter, node, request ID or `-`, event kind and fields as `name=value`.
 ///
-/// Control characters in text of others are escaped, so that the line stays one line.
+/// Control characters in the node name and in fields are escaped, so that the output always is a single line.
 pub fn render(record: &Record) -> String {
-    let mut line = utc(record.at);
+    let mut line = format_utc(record.at);
     let request = record
         .request
         .map_or_else(|| "-".to_owned(), |request| request.to_string());
     let kind = record.event.kind();
     let node = record.node.as_str().escape_debug();
-    // Writing to a string can't fail.
+    // Writing to a `String` never fails.
     let _ = write!(line, " {node} {request} {kind}");
     if let Ok(Value::Object(fields)) = serde_json::to_value(&record.event) {
         for (name, value) in fields.iter().filter(|(name, _)| *name != "kind") {
-            let _ = write!(line, " {name}={}", shown(value));
+            let _ = write!(line, " {name}={}", format_value(value));
         }
     }
     line
 }
 
-fn shown(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => format!("\"{}\"", text.escape_debug()),
         value => value.to_string(),
     }
 }
 
-fn utc(at: Stamp) -> String {
+fn format_utc(at: Stamp) -> String {
     let (year, month, day) = civil_date(at.wall_ms / MS_PER_DAY);
-    let in_day = at.wall_ms % MS_PER_DAY;
-    let (hour, minute) = (in_day / 3_600_000, in_day / 60_000 % 60);
-    let (second, milli) = (in_day / 1000 % 60, in_day % 1000);
+    let ms_of_day = at.wall_ms % MS_PER_DAY;
+    let (hour, minute) = (ms_of_day / 3_600_000, ms_of_day / 60_000 % 60);
+    let (second, milli) = (ms_of_day / 1000 % 60, ms_of_day % 1000);
     let counter = at.counter;
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z+{counter}")
 }
 
-/// Year, month and day of a number of days since the Unix epoch, in the Gregorian calendar.
+/// Converts days since the Unix epoch to year, month and day of the Gregorian calendar.
 ///
-/// The year is counted from 1 March, so that the leap day is its last; 400 years have 146,097 days.
+/// Years are counted from 1 March, which makes the leap day the last day of the year. An era of 400 years has 146,097
+/// days.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     const DAYS_0000_03_01_TO_EPOCH: u64 = 719_468;
     const DAYS_PER_ERA: u64 = 146_097;
