--- a/crates/core/src/timeline/ring.rs
+++ b/crates/core/src/timeline/ring.rs
@@ -1,11 +1,11 @@
-//! The bounded store of a node's records.
+//! Ring buffer of timeline records.
 
 use std::collections::VecDeque;
 
 use super::filter::Filter;
 use super::record::Record;
 
-/// The newest records of a node, oldest first.
+/// Ring buffer of the newest records of a node, ordered from oldest to newest.
 #[derive(Clone, Debug)]
 pub struct Ring {
     records: VecDeque<Record>,
@@ -14,7 +14,7 @@
 }
 
 impl Ring {
-    /// An empty store that keeps at most `capacity` records.
+    /// Creates an empty buffer for at most `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Self {
             records: VecDeque::new(),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Adds the newest record, in place of the oldest one where the store is full.
+    /// Appends a record and drops the oldest one if the buffer is full.
     pub fn push(&mut self, record: Record) {
         if self.capacity == 0 {
             self.dropped += 1;
@@ -36,7 +36,7 @@
         self.records.push_back(record);
     }
 
-    /// The records that meet the filter, oldest first.
+    /// Returns the records that match the filter, ordered from oldest to newest.
     pub fn select(&self, filter: Filter) -> Vec<Record> {
         let matching = self.records.iter().filter(|record| filter.matches(record));
         if filter.since.is_some() {
@@ -47,17 +47,17 @@
         newest
     }
 
-    /// Number of records kept.
+    /// Returns the number of records in the buffer.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is kept.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Number of records that gave way to newer ones since the start.
+    /// Returns the number of records dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
