--- a/crates/core/src/timeline/stamp.rs
+++ b/crates/core/src/timeline/stamp.rs
@@ -1,30 +1,30 @@
-//! A stamp of a hybrid logical clock.
+//! Timestamps of the hybrid logical clock.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the time line: wall time refined by a counter.
+/// Hybrid logical timestamp: wall time with a counter as the tie-breaker.
 ///
-/// Stamps of one node grow strictly, and a stamp given after hearing of another is above it.
+/// The stamps of a node increase strictly, and a stamp issued after observing another one is greater than that.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
     /// Milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// Orders events within one millisecond.
+    /// Counter that orders events within the same millisecond.
     pub counter: u16,
 }
 
-/// A text is not a stamp of the form `MILLISECONDS.COUNTER`.
+/// Error of parsing a stamp that does not have the format `MILLISECONDS.COUNTER`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a stamp has the form MILLISECONDS.COUNTER")]
+#[error("a stamp must have the format MILLISECONDS.COUNTER")]
 pub struct ParseStampError;
 
 impl Stamp {
-    /// The next stamp above this one.
+    /// Returns the smallest stamp greater than this one.
     pub(super) fn next(self) -> Self {
         match self.counter.checked_add(1) {
             Some(counter) => Self { counter, ..self },
@@ -45,7 +45,7 @@
 impl FromStr for Stamp {
     type Err = ParseStampError;
 
-    /// Reads `MILLISECONDS.COUNTER`; the counter may be left out and is then 0.
+    /// Parses `MILLISECONDS.COUNTER`. The counter is optional and defaults to 0.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (wall, counter) = text.split_once('.').unwrap_or((text, "0"));
         let wall_ms = wall.parse().map_err(|_| ParseStampError)?;
