--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -1,14 +1,16 @@
-//! The time line: typed events of every node, stamped so that they can be merged over all nodes.
+//! Timeline of typed events.
+//!
+//! Nodes stamp events with a hybrid logical clock, so that the timelines of all nodes can be merged.
 
 mod event;
 mod event_kind;
 mod filter;
 mod hlc;
-mod label;
 mod merge;
 mod record;
 mod render;
 mod ring;
+mod serde_labels;
 mod stamp;
 
 pub use event::Event;
--- a/crates/core/src/timeline/event.rs
+++ b/crates/core/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! The closed list of events.
+//! Timeline events.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -9,109 +9,109 @@
 use crate::invariant::Invariant;
 
 use super::event_kind::EventKind;
-use super::label;
+use super::serde_labels;
 
-/// Something that happened at a node, with the few fields that explain it.
+/// Event at a node, with the fields needed to understand it.
 ///
-/// `attempt` counts the sendings of a request by one hop from 1, `allowance` is the number of retries left, and
-/// `elapsed_us` is the time in microseconds since the node received the request.
+/// `attempt` is the number of times that the current hop has sent the request, starting at 1. `allowance` is the number
+/// of retries left. `elapsed_us` is the time in microseconds since the node received the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-#[allow(missing_docs)] // The fields' names are explained above and their variants below.
+#[allow(missing_docs)] // Common fields are documented above, variants below.
 pub enum Event {
-    /// A request arrived from a caller, from the own target or from a peer; `depth` is 0 at the entry.
+    /// A request arrived from a caller, the node's own target or a peer. `depth` is 0 at the entry.
     Received {
         service: ServiceName,
         class: Class,
         depth: u8,
         allowance: u16,
     },
-    /// A target's node was chosen for an attempt.
+    /// The node of a target was selected for an attempt.
     Routed {
         service: ServiceName,
         peer: NodeName,
         attempt: u16,
     },
-    /// An attempt was handed to the connection to a peer.
+    /// An attempt was passed to the connection to a peer.
     Sent { peer: NodeName, attempt: u16 },
-    /// Admission let the request through.
+    /// Admission control accepted the request.
     Admitted { class: Class, elapsed_us: u64 },
-    /// The request waits for a slot behind `ahead` others.
+    /// The request was queued for a slot behind `ahead` other requests.
     Queued { class: Class, ahead: u32 },
-    /// Admission refused the request under overload, at this admission level.
+    /// Admission control rejected the request due to overload. `level` is the admission level.
     Shed {
         service: ServiceName,
         class: Class,
         level: u16,
     },
-    /// The request's first byte goes to the target.
+    /// The node starts sending the request to the target.
     Dispatched { attempt: u16, elapsed_us: u64 },
-    /// A whole answer went back to whoever sent the request.
+    /// The complete answer was returned to the sender of the request.
     Answered {
         status: u16,
         elapsed_us: u64,
         allowance: u16,
     },
-    /// The request is sent again after this error.
+    /// The request is retried after `error`.
     Retried {
-        #[serde(with = "label::error_kind")]
+        #[serde(with = "serde_labels::error_kind")]
         error: ErrorKind,
         attempt: u16,
         allowance: u16,
     },
-    /// Whoever sent the request went away or cancelled it.
+    /// The sender of the request disconnected or cancelled it.
     Cancelled { elapsed_us: u64 },
-    /// Contact to the peer was lost before the answer was whole.
+    /// The connection to the peer was lost before the answer was complete.
     Lost {
         peer: NodeName,
         attempt: u16,
         elapsed_us: u64,
     },
-    /// The node itself answered with an error.
+    /// The node answered the request with an error of its own.
     Refused {
-        #[serde(with = "label::error_kind")]
+        #[serde(with = "serde_labels::error_kind")]
         error: ErrorKind,
         elapsed_us: u64,
     },
-    /// Tokens were handed to a caller.
+    /// Tokens were issued to a caller.
     TokenMinted { service: ServiceName, count: u32 },
-    /// A stored answer was given again to a repeated token.
+    /// A repeated token was answered with the stored answer.
     TokenReplayed { attempt: u16 },
-    /// A repeated token waits for the running call of the same token.
+    /// A repeated token waits for the call with the same token that is already running.
     TokenJoined { attempt: u16 },
-    /// All sendings of a token up to `attempt` were refused for good.
+    /// All attempts of a token up to `attempt` were permanently refused.
     TokenBurned { attempt: u16 },
-    /// A document came into force.
+    /// A document became active.
     DocumentInForce { service: ServiceName, revision: u64 },
-    /// A document was rejected and the former one stays in force.
+    /// A document was rejected, and the previous one stays active.
     DocumentRejected {
         service: ServiceName,
         revision: u64,
         fault: SmolStr,
     },
-    /// The node entered a phase of its lifecycle.
+    /// The node entered a lifecycle phase.
     Phase { phase: SmolStr },
-    /// A peer can be reached.
+    /// A peer became reachable.
     PeerUp { peer: NodeName },
-    /// A peer can't be reached any more.
+    /// A peer became unreachable.
     PeerDown { peer: NodeName },
-    /// A peer is leaving and takes no new work.
+    /// A peer is shutting down and accepts no new work.
     PeerLeaving { peer: NodeName },
-    /// This node reads the platform for its failure domain from now on.
+    /// This node started to read from the platform on behalf of its failure domain.
     ReaderBecame,
-    /// This node no longer reads the platform for its failure domain.
+    /// This node stopped reading from the platform on behalf of its failure domain.
     ReaderCeased,
-    /// An invariant does not hold: a defect of coltsfootport.
+    /// An invariant was violated, which is a bug in coltsfootport.
     InvariantBreached {
-        #[serde(with = "label::invariant")]
+        #[serde(with = "serde_labels::invariant")]
         invariant: Invariant,
     },
-    /// A setting is questionable, though the node runs with it.
+    /// A setting is questionable but accepted.
     SettingsWarning { text: SmolStr },
 }
 
 impl Event {
-    /// The kind of this event.
+    /// Returns the kind of this event.
     pub const fn kind(&self) -> EventKind {
         match self {
             Self::Received { .. } => EventKind::Received,
--- a/crates/core/src/timeline/record.rs
+++ b/crates/core/src/timeline/record.rs
@@ -1,27 +1,27 @@
-//! One entry of the time line.
+//! Timeline records.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{NodeName, RequestId};
 
 use super::event::Event;
-use super::label;
+use super::serde_labels;
 use super::stamp::Stamp;
 
-/// An event with its place and time, and the request on whose behalf it happened.
+/// Event with its time, node and request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When it happened.
+    /// Time of the event.
     pub at: Stamp,
-    /// The node at which it happened.
+    /// Node at which the event occurred.
     pub node: NodeName,
-    /// The request, where the event belongs to one.
+    /// Request that the event belongs to, if any.
     #[serde(
         default,
-        with = "label::request_id",
+        with = "serde_labels::request_id",
         skip_serializing_if = "Option::is_none"
     )]
     pub request: Option<RequestId>,
-    /// What happened.
+    /// The event itself.
     pub event: Event,
 }
--- a/crates/core/src/timeline/label.rs
+++ b/crates/core/src/timeline/serde_labels.rs
@@ -1,6 +1,6 @@
-//! Closed lists of other modules as their labels in JSON.
+//! Serde adapters that write types of other modules as labels.
 
-/// An error kind as the value of the `coltsfootport-error` header.
+/// Serializes an error kind as the value of the `coltsfootport-error` header.
 pub(super) mod error_kind {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
@@ -23,11 +23,11 @@
         let kind = ErrorKind::ALL
             .into_iter()
             .find(|kind| kind.as_str() == label);
-        kind.ok_or_else(|| D::Error::custom("no error kind has this label"))
+        kind.ok_or_else(|| D::Error::custom("unknown error kind"))
     }
 }
 
-/// An invariant as its label in metrics.
+/// Serializes an invariant as its label in metrics.
 pub(super) mod invariant {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
@@ -50,11 +50,11 @@
         let invariant = Invariant::ALL
             .into_iter()
             .find(|invariant| invariant.as_str() == label);
-        invariant.ok_or_else(|| D::Error::custom("no invariant has this label"))
+        invariant.ok_or_else(|| D::Error::custom("unknown invariant"))
     }
 }
 
-/// A request id as 32 hexadecimal digits, the form in which callers see it.
+/// Serializes a request ID as 32 hexadecimal digits, the format that callers see.
 pub(super) mod request_id {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
