--- a/crates/core/tests/timeline.rs
+++ b/crates/core/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line: order of stamps, bounds, filters, merge and form.
+//! Timeline tests: stamp order, ring buffer, filters, merging and formats.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -42,27 +42,27 @@
     records.iter().map(|record| record.at.wall_ms).collect()
 }
 
-/// One step of a cluster of three clocks.
+/// Step of a simulation with three nodes.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Something happens at a node.
+    /// An event occurs at a node.
     Tick(usize),
-    /// The first node sends to the second.
+    /// The first node sends a message to the second.
     Send(usize, usize),
-    /// A node's wall clock moves by this many milliseconds.
-    Move(usize, i64),
+    /// The wall clock of a node is adjusted by a number of milliseconds.
+    AdjustClock(usize, i64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         (0..3_usize).prop_map(Step::Tick),
         (0..3_usize, 0..3_usize).prop_map(|(from, to)| Step::Send(from, to)),
-        (0..3_usize, -5000..5000_i64).prop_map(|(node, ms)| Step::Move(node, ms)),
+        (0..3_usize, -5000..5000_i64).prop_map(|(node, ms)| Step::AdjustClock(node, ms)),
     ];
     prop::collection::vec(step, 1..200)
 }
 
-/// Clocks with their wall times and the last stamp of each.
+/// Simulated nodes: clock, wall time and last stamp of each.
 struct Cluster {
     clocks: [Hlc; 3],
     walls: [u64; 3],
@@ -79,12 +79,12 @@
 
     fn send(&mut self, from: usize, to: usize) -> Result<(), TestCaseError> {
         let sent = self.tick(from)?;
-        let unmoved = self.clocks[to].clone().tick(wall(self.walls[to]));
+        let unmerged = self.clocks[to].clone().tick(wall(self.walls[to]));
         let observed = self.clocks[to].observe(sent, wall(self.walls[to]));
         let received = self.tick(to)?;
         match observed {
             Observed::Merged => prop_assert!(received > sent),
-            Observed::TooFarAhead => prop_assert_eq!(received, unmoved),
+            Observed::TooFarAhead => prop_assert_eq!(received, unmerged),
         }
         Ok(())
     }
@@ -93,9 +93,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: the time line shows an effect before its cause, or two events of a node at one stamp.
-    // Sequence: clocks step to and fro while nodes send to each other.
-    // Cause: stamps that follow the wall clock alone.
+    // Guards against timelines that show an effect before its cause, or two events of a node with the same stamp. This
+    // happens if stamps follow the wall clock alone and clocks step back and forth while nodes exchange messages.
     #[test]
     fn stamps_grow_at_a_node_and_along_messages(steps in steps()) {
         let clocks = std::array::from_fn(|_| Hlc::new());
@@ -104,7 +103,7 @@
             match step {
                 Step::Tick(node) => drop(cluster.tick(node)?),
                 Step::Send(from, to) => cluster.send(from, to)?,
-                Step::Move(node, ms) => {
+                Step::AdjustClock(node, ms) => {
                     cluster.walls[node] = cluster.walls[node].saturating_add_signed(ms);
                 }
             }
@@ -113,16 +112,18 @@
 
     #[test]
     fn a_merge_is_ordered_and_keeps_every_record(
-        lines in prop::collection::vec(prop::collection::vec((0..50_u64, 0..4_usize), 0..40), 0..6)
+        timelines in prop::collection::vec(prop::collection::vec((0..50_u64, 0..4_usize), 0..40), 0..6)
     ) {
         let names = ["a", "b", "c", "d"];
         let record = |(ms, node): (u64, usize)| record(ms, names[node], 0, Event::ReaderBecame);
-        let lines: Vec<Vec<_>> =
-            lines.into_iter().map(|line| line.into_iter().map(record).collect()).collect();
+        let timelines: Vec<Vec<_>> = timelines
+            .into_iter()
+            .map(|timeline| timeline.into_iter().map(record).collect())
+            .collect();
         let key = |record: Record| (record.at, record.node);
-        let mut expected: Vec<_> = lines.concat().into_iter().map(key).collect();
+        let mut expected: Vec<_> = timelines.concat().into_iter().map(key).collect();
         expected.sort();
-        let merged: Vec<_> = merge(lines).into_iter().map(key).collect();
+        let merged: Vec<_> = merge(timelines).into_iter().map(key).collect();
         prop_assert_eq!(merged, expected);
     }
 
@@ -140,21 +141,20 @@
     }
 }
 
-// Symptom: every node's time line runs hours ahead of the time of day and stays there.
-// Sequence: one node's clock steps forward; its messages carry the far stamp to all others.
-// Cause: a hybrid clock that takes over any higher stamp.
+// Guards against timelines of all nodes running hours ahead for good. This happens if one node's clock steps forward,
+// its messages carry the stamp to all others, and the hybrid clock accepts any greater stamp.
 #[test]
 fn a_far_stamp_is_ignored_and_a_near_one_taken_over() {
     let max = i64::try_from(Hlc::MAX_AHEAD.as_millis()).unwrap();
     let at = |ahead: i64, counter| stamp(NOON_MS.saturating_add_signed(ahead), counter);
-    // How far the peer's stamp with counter 9 lies ahead, and the next stamp of this clock.
+    // Offset of the peer's stamp, which has counter 9, from the local time, the result and the next local stamp.
     let cases = [
         ("behind", -10, Observed::Merged, at(0, 0)),
         ("equal", 0, Observed::Merged, at(0, 10)),
         ("ahead", 10, Observed::Merged, at(10, 10)),
         ("at the bound", max, Observed::Merged, at(max, 10)),
-        ("past it", max + 1, Observed::TooFarAhead, at(0, 0)),
-        ("far", 3_600_000, Observed::TooFarAhead, at(0, 0)),
+        ("past the bound", max + 1, Observed::TooFarAhead, at(0, 0)),
+        ("an hour ahead", 3_600_000, Observed::TooFarAhead, at(0, 0)),
         ("end of time", i64::MAX, Observed::TooFarAhead, at(0, 0)),
     ];
     for (name, ahead_ms, observed, next) in cases {
@@ -168,9 +168,8 @@
     }
 }
 
-// Symptom: two events of a node have one stamp, or the later sorts first.
-// Sequence: the clock steps back by an hour and more events follow than the counter can number.
-// Cause: the counter runs over while the wall part stands.
+// Guards against two events of a node with the same or reversed stamps. This happens if the counter overflows while the
+// wall time is constant: the clock steps back by an hour, and more events follow than the counter can distinguish.
 #[test]
 fn stamps_grow_through_a_step_back_and_a_full_counter() {
     let mut clock = Hlc::new();
@@ -213,17 +212,17 @@
         ("request", by(request, None, None, 9), &[2, 4, 6, 8]),
         ("since", by(None, since, None, 9), &[5, 6, 7, 8, 9]),
         ("kind", by(None, None, kind, 9), &[3, 6, 9]),
-        ("the newest", by(None, None, None, 2), &[8, 9]),
-        ("the next after a stamp", by(None, since, None, 2), &[5, 6]),
-        ("none", by(None, None, None, 0), &[]),
-        ("together", by(request, since, kind, 9), &[6]),
+        ("newest", by(None, None, None, 2), &[8, 9]),
+        ("oldest after a stamp", by(None, since, None, 2), &[5, 6]),
+        ("zero limit", by(None, None, None, 0), &[]),
+        ("all conditions", by(request, since, kind, 9), &[6]),
     ];
     for (name, filter, expected) in cases {
         assert_eq!(walls(&ring.select(filter)), expected, "{name}");
     }
 }
 
-/// One event of each kind as JSON, in the order of [`EventKind::ALL`].
+/// JSON of one event of each kind, in the order of [`EventKind::ALL`].
 const EVERY_EVENT: &str = r#"
 {"kind":"received","service":"bidding","class":2,"depth":3,"allowance":4}
 {"kind":"routed","service":"bidding","peer":"p-1","attempt":2}
