--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,4 +1,5 @@
-//! Team documents: what a service asks of the system, checked whole before it takes effect.
+//! Documents: the policy that a team publishes for its service. A document is validated as a whole before it takes
+//! effect.
 
 mod call_profile;
 mod class_name;
@@ -23,70 +24,77 @@
 pub use path_pattern::{ParsePathPatternError, PathPattern};
 pub use target_hints::TargetHints;
 
-/// The document of one service.
+/// Policy of one service: classes, operations, retry allowance and time limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// The service that the document is about.
+    /// Service that the policy applies to.
     pub service: ServiceName,
-    /// Names of the classes, by rank: the first is shed last.
+    /// Class names in order of rank. The first class is shed last.
     pub classes: Vec<ClassName>,
-    /// Class of calls that no operation covers.
+    /// Class of calls that match no operation.
     pub default_class: Class,
-    /// Calls singled out, from the most specific to the least.
+    /// Rules for particular calls, sorted from most to least specific.
     pub operations: Vec<Operation>,
-    /// Retries that one request may cause over its whole call chain.
+    /// Number of retries that one request may cause across its whole call chain.
     pub retry_allowance: u16,
-    /// Time limit of calls that no operation limits.
+    /// Time limit of calls whose operation sets none.
     pub deadline: Duration,
-    /// Hints about the targets.
+    /// Capacity hints for the targets.
     pub target: TargetHints,
 }
 
 impl Document {
-    /// Retries where the document names no number.
+    /// Retry allowance if the document sets none.
     pub const DEFAULT_RETRY_ALLOWANCE: u16 = 2;
 
-    /// Most retries that a document may allow.
+    /// Maximum retry allowance that a document may set.
     pub const MAX_RETRY_ALLOWANCE: u16 = 8;
 
-    /// Time limit where the document names none.
+    /// Time limit if the document sets none.
     pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
 
-    /// Most operations of one document.
+    /// Maximum number of operations in a document.
     pub const MAX_OPERATIONS: usize = 256;
 
-    /// Reads a document; with any fault it is refused and every fault is told.
+    /// Parses and validates a document. Any fault rejects it, and all faults are returned.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         Self::read(text, None)
     }
 
-    /// Reads the document that is published for `service`; a document that names another service is refused.
+    /// Parses the document published for `service` and rejects it if it names another service.
     ///
-    /// Published under the wrong key, one team's rules would hold for another team's calls, seen as bids in a class that
-    /// their service doesn't know.
+    /// Without this check, a document published under the wrong key would apply one team's rules to another team's
+    /// calls. Bids, for example, would run in a class that their service doesn't define.
     pub fn parse_for(service: &ServiceName, text: &str) -> Result<Self, Vec<Fault>> {
         Self::read(text, Some(service))
     }
 
-    /// What the document says about a call, whose path is the target's own, with or without a query.
+    /// Returns the class, idempotency and time limit of a call.
+    ///
+    /// `path` is the path that the target sees, with or without a query.
     pub fn profile(&self, method: &str, path: &str) -> CallProfile {
-        let method = Method::from_word(method);
+        let method = Method::from_name(method);
         let path = path::without_query(path);
         if path::is_ambiguous(path) {
-            return self.profile_of(self.default_class, false, self.deadline, None);
+            return self.build_profile(self.default_class, false, self.deadline, None);
         }
-        let by_method = method.is_some_and(Method::is_idempotent);
-        let covers = |operation: &Operation| operation.matches(method, path);
-        let Some(position) = self.operations.iter().position(covers) else {
-            return self.profile_of(self.default_class, by_method, self.deadline, None);
+        let idempotent_by_method = method.is_some_and(Method::is_idempotent);
+        let matches = |operation: &Operation| operation.matches(method, path);
+        let Some(position) = self.operations.iter().position(matches) else {
+            return self.build_profile(
+                self.default_class,
+                idempotent_by_method,
+                self.deadline,
+                None,
+            );
         };
         let operation = &self.operations[position];
-        let idempotent = operation.idempotent.unwrap_or(by_method);
+        let idempotent = operation.idempotent.unwrap_or(idempotent_by_method);
         let deadline = operation.deadline.unwrap_or(self.deadline);
-        self.profile_of(operation.class, idempotent, deadline, Some(position as u16))
+        self.build_profile(operation.class, idempotent, deadline, Some(position as u16))
     }
 
-    /// The name of a class; absent where the document has fewer classes.
+    /// Returns the name of a class, or `None` if the document defines fewer classes.
     pub fn class_name(&self, class: Class) -> Option<&ClassName> {
         self.classes.get(usize::from(class.0))
     }
@@ -99,7 +107,7 @@
         }
     }
 
-    fn profile_of(
+    fn build_profile(
         &self,
         class: Class,
         idempotent: bool,
--- a/crates/core/src/document/method.rs
+++ b/crates/core/src/document/method.rs
@@ -1,6 +1,6 @@
-//! The HTTP methods that a document may name.
+//! HTTP methods that a document may name.
 
-/// A method that an operation may name.
+/// HTTP method of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Method {
     /// `GET`.
@@ -20,8 +20,8 @@
 }
 
 impl Method {
-    /// Every method with the word that names it.
-    pub const WORDS: [(&str, Self); 7] = [
+    /// All methods with their names in HTTP.
+    pub const NAMES: [(&str, Self); 7] = [
         ("GET", Self::Get),
         ("HEAD", Self::Head),
         ("PUT", Self::Put),
@@ -31,15 +31,15 @@
         ("PATCH", Self::Patch),
     ];
 
-    /// The method of a word, compared by case as HTTP does; absent where a document can't name it.
-    pub fn from_word(word: &str) -> Option<Self> {
-        Self::WORDS
+    /// Returns the method with this name, or `None` if documents don't support it. Like HTTP, this is case-sensitive.
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::NAMES
             .iter()
-            .find(|(known, _)| *known == word)
+            .find(|(known, _)| *known == name)
             .map(|(_, method)| *method)
     }
 
-    /// Whether calls of this method are idempotent unless an operation says otherwise (RFC 9110, section 9.2.2).
+    /// Returns whether the method is idempotent by RFC 9110, section 9.2.2. An operation may override this.
     pub const fn is_idempotent(self) -> bool {
         match self {
             Self::Get | Self::Head | Self::Put | Self::Delete | Self::Options => true,
--- a/crates/core/src/document/operations.rs
+++ b/crates/core/src/document/operations.rs
@@ -1,12 +1,12 @@
-//! Reading the list of operations and finding those that can't take effect.
+//! Parsing of the `operations` list and detection of entries that can't take effect.
 
 use crate::class::Class;
-use crate::jsonc::{FaultKind, Item, Place, Section};
+use crate::jsonc::{FaultKind, Item, Location, Section};
 
 use super::read::{DEADLINE_MS, read_class};
 use super::{Document, Method, Operation, PathPattern};
 
-/// Reads `operations`, sorted so that the first one which matches a call is the most specific.
+/// Reads `operations` and sorts them so that the first match of a call is the most specific one.
 pub(super) fn read(
     root: &mut Section<'_, '_>,
     names: &[&str],
@@ -16,29 +16,34 @@
         return Vec::new();
     };
     let lengths = 0..=Document::MAX_OPERATIONS;
-    let placed = item.list(lengths, |item| Placed::read(item, names, default_class));
-    let placed = placed.unwrap_or_default();
-    report_duplicates(root, &placed);
-    report_unreachable(root, &placed);
-    let mut operations: Vec<Operation> =
-        placed.into_iter().map(|placed| placed.operation).collect();
-    operations.sort_by_cached_key(|operation| (operation.path.rank(), operation.method.is_none()));
+    let located = item.list(lengths, |item| {
+        LocatedOperation::read(item, names, default_class)
+    });
+    let located = located.unwrap_or_default();
+    report_duplicates(root, &located);
+    report_unreachable(root, &located);
+    let mut operations: Vec<Operation> = located
+        .into_iter()
+        .map(|located| located.operation)
+        .collect();
+    operations
+        .sort_by_cached_key(|operation| (operation.path.sort_key(), operation.method.is_none()));
     operations
 }
 
-/// An operation with its place in the text.
-struct Placed {
+/// An operation with its location in the document.
+struct LocatedOperation {
     operation: Operation,
-    place: Place,
+    location: Location,
 }
 
-impl Placed {
+impl LocatedOperation {
     fn read(item: Item<'_, '_>, names: &[&str], default_class: Class) -> Option<Self> {
-        let place = item.place();
+        let location = item.location();
         let mut section = item.section()?;
         let method = section
             .optional("method")
-            .map(|item| item.choice(&Method::WORDS));
+            .map(|item| item.choice(&Method::NAMES));
         let path = section.required("path").and_then(read_path);
         let class = section
             .optional("class")
@@ -49,7 +54,7 @@
             .and_then(|item| item.millis(DEADLINE_MS));
         section.finish();
         let operation = Operation {
-            // A method that isn't understood must not stand for any method.
+            // Drops the operation if its method is invalid, as `None` would match any method.
             method: match method {
                 Some(method) => Some(method?),
                 None => None,
@@ -59,10 +64,13 @@
             idempotent,
             deadline,
         };
-        Some(Self { operation, place })
+        Some(Self {
+            operation,
+            location,
+        })
     }
 
-    fn covers_same(&self, other: &Self) -> bool {
+    fn is_duplicate_of(&self, other: &Self) -> bool {
         self.operation.method == other.operation.method && self.has_same_path(other)
     }
 
@@ -75,36 +83,39 @@
     item.parsed(|text| PathPattern::parse(text).map_err(|error| error.to_string()))
 }
 
-fn report_duplicates(root: &mut Section<'_, '_>, list: &[Placed]) {
-    for (index, placed) in list.iter().enumerate() {
+fn report_duplicates(root: &mut Section<'_, '_>, list: &[LocatedOperation]) {
+    for (index, located) in list.iter().enumerate() {
         let Some(earlier) = list[..index]
             .iter()
-            .find(|earlier| earlier.covers_same(placed))
+            .find(|earlier| earlier.is_duplicate_of(located))
         else {
             continue;
         };
-        let message = format!("{} has the same method and path", earlier.place.path());
-        root.fault_at(&placed.place, FaultKind::Duplicate, message);
+        let message = format!("{} has the same method and path", earlier.location.path());
+        root.fault_at(&located.location, FaultKind::Duplicate, message);
     }
 }
 
-/// Reports operations for any method whose path has an operation for each method of its own.
+/// Reports operations without a method whose path also has an operation for every single method.
 ///
-/// A longer path or a method of its own wins, so nothing else can hide an operation.
-fn report_unreachable(root: &mut Section<'_, '_>, list: &[Placed]) {
-    for placed in list
+/// Longer paths and explicit methods take precedence, so this is the only way to make an operation unreachable.
+fn report_unreachable(root: &mut Section<'_, '_>, list: &[LocatedOperation]) {
+    for located in list
         .iter()
-        .filter(|placed| placed.operation.method.is_none())
+        .filter(|located| located.operation.method.is_none())
     {
-        let is_named = |method: Method| {
-            let names = |other: &&Placed| other.operation.method == Some(method);
+        let has_operation = |method: Method| {
+            let has_method = |other: &&LocatedOperation| other.operation.method == Some(method);
             list.iter()
-                .filter(names)
-                .any(|other| other.has_same_path(placed))
+                .filter(has_method)
+                .any(|other| other.has_same_path(located))
         };
-        if Method::WORDS.iter().all(|(_, method)| is_named(*method)) {
-            let message = "no call is left for this: each method of the path has an operation";
-            root.fault_at(&placed.place, FaultKind::Unreachable, message);
+        if Method::NAMES
+            .iter()
+            .all(|(_, method)| has_operation(*method))
+        {
+            let message = "unreachable: every method of this path has an operation of its own";
+            root.fault_at(&located.location, FaultKind::Unreachable, message);
         }
     }
 }
--- a/crates/core/src/document/path.rs
+++ b/crates/core/src/document/path.rs
@@ -1,47 +1,48 @@
-//! Reading the path of a call as a target would.
+//! Normalization of call paths, to match them the way targets interpret them.
 
-/// The segments of a path, without empty ones.
+/// Returns the non-empty segments of a path.
 ///
-/// Targets commonly treat `//lots` as `/lots`. Were the empty segment compared, a caller could reach an operation under
-/// a path that the document doesn't name, seen as a bid in the class of plain lookups.
+/// Targets commonly treat `//lots` as `/lots`. If empty segments were compared, a caller could reach an operation
+/// through a path that no pattern matches, for example to place a bid in the class of plain lookups.
 pub(super) fn segments(path: &str) -> impl Iterator<Item = &str> {
     path.split('/').filter(|segment| !segment.is_empty())
 }
 
-/// The path without its query.
+/// Strips the query and fragment from a path.
 pub(super) fn without_query(path: &str) -> &str {
     path.split(['?', '#']).next().unwrap_or(path)
 }
 
-/// Whether targets differ in what they read from a path.
+/// Returns whether different targets may interpret a path differently.
 ///
-/// `/lots/x/../bids`, `/lots%2Fbids`, `/bids;v=1` and `/lots\bids` name one resource for some servers and another for
-/// others. Taken literally, a non-idempotent operation could be sent twice under the name of an idempotent one, seen as
-/// a doubled bid. Such calls are therefore never taken as idempotent.
+/// Servers disagree on the resource that `/lots/x/../bids`, `/lots%2Fbids`, `/bids;v=1` and `/lots\bids` refer to. If
+/// these were matched literally, a non-idempotent operation could pass for an idempotent one and be sent twice, which
+/// would duplicate a bid. Calls with such a path are therefore never considered idempotent.
 pub(super) fn is_ambiguous(path: &str) -> bool {
     path.contains([';', '\\']) || segments(path).any(is_ambiguous_segment)
 }
 
 fn is_ambiguous_segment(segment: &str) -> bool {
-    let is_dots = |mut bytes: Decoded<'_>| bytes.all(|byte| byte == b'.');
-    let hides_structure = |byte| matches!(byte, b'/' | b'\\' | b';' | b'%' | b'?' | b'#' | 0);
+    let has_only_dots = |mut bytes: PercentDecoded<'_>| bytes.all(|byte| byte == b'.');
+    let is_delimiter = |byte| matches!(byte, b'/' | b'\\' | b';' | b'%' | b'?' | b'#' | 0);
     let is_encoded = segment.contains('%');
-    is_dots(decoded(segment)) || (is_encoded && decoded(segment).any(hides_structure))
+    has_only_dots(percent_decoded(segment))
+        || (is_encoded && percent_decoded(segment).any(is_delimiter))
 }
 
-/// The bytes of a segment with its percent-encoding undone, without allocation.
-pub(super) fn decoded(segment: &str) -> Decoded<'_> {
-    Decoded {
+/// Percent-decodes a segment without allocating.
+pub(super) fn percent_decoded(segment: &str) -> PercentDecoded<'_> {
+    PercentDecoded {
         rest: segment.as_bytes(),
     }
 }
 
-/// Iterator over the decoded bytes of a segment.
-pub(super) struct Decoded<'s> {
+/// Iterator over the percent-decoded bytes of a segment. Invalid escapes are returned as they are.
+pub(super) struct PercentDecoded<'s> {
     rest: &'s [u8],
 }
 
-impl Iterator for Decoded<'_> {
+impl Iterator for PercentDecoded<'_> {
     type Item = u8;
 
     fn next(&mut self) -> Option<u8> {
--- a/crates/core/src/document/path_pattern.rs
+++ b/crates/core/src/document/path_pattern.rs
@@ -1,12 +1,12 @@
-//! The paths that an operation covers.
+//! Path patterns of operations.
 
 use smol_str::SmolStr;
 
-use super::path::{decoded, segments};
+use super::path::{percent_decoded, segments};
 
-/// A prefix of paths, by whole segments; `*` stands for any one segment.
+/// Path prefix that is matched by whole segments. `*` matches any single segment.
 ///
-/// `/lots/*/bids` covers `/lots/7/bids` and `/lots/7/bids/3`, and not `/lots/7/bidsheet`.
+/// `/lots/*/bids` matches `/lots/7/bids` and `/lots/7/bids/3`, but not `/lots/7/bidsheet`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PathPattern {
     segments: Vec<Segment>,
@@ -18,31 +18,31 @@
     Literal(SmolStr),
 }
 
-/// Why a text is no path pattern.
+/// Error of parsing a path pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePathPatternError {
-    /// It is not absolute.
-    #[error("a path starts with \"/\"")]
+    /// The pattern doesn't start with `/`.
+    #[error("a path must start with \"/\"")]
     NotAbsolute,
-    /// A segment is empty, so that no path could match it.
-    #[error("a path has no empty segments: leave out \"//\" and a \"/\" at the end")]
+    /// A segment is empty, which no path could match.
+    #[error("a path must not have empty segments: remove \"//\" and any trailing \"/\"")]
     EmptySegment,
-    /// A segment is `.` or `..`, so that no path could match it.
-    #[error("a path has no segments \".\" and \"..\"")]
+    /// A segment is `.` or `..`, which no path could match.
+    #[error("a path must not have \".\" or \"..\" segments")]
     DotSegment,
-    /// A segment holds `*` besides other characters.
-    #[error("\"*\" stands for one whole segment and has no other characters beside it")]
+    /// A segment mixes `*` with other characters.
+    #[error("\"*\" must be a whole segment, without other characters")]
     PartialWildcard,
-    /// A segment is written as a named parameter, as routers do, and would be compared literally.
-    #[error("a segment that varies is written \"*\", not as a named parameter")]
+    /// A segment is a named parameter as in HTTP routers, which would be compared literally.
+    #[error("a variable segment must be \"*\", not a named parameter")]
     NamedParameter,
-    /// A segment holds a character that is never compared.
-    #[error("a segment is written without \"{0}\"")]
+    /// A segment contains a character that is never part of a compared segment.
+    #[error("a path segment must not contain \"{0}\"")]
     Character(char),
 }
 
 impl PathPattern {
-    /// The pattern of a text such as `/lots/*/bids`; `/` covers every path.
+    /// Parses a pattern such as `/lots/*/bids`. The pattern `/` matches every path.
     pub fn parse(text: &str) -> Result<Self, ParsePathPatternError> {
         let rest = text
             .strip_prefix('/')
@@ -59,17 +59,17 @@
         Ok(Self { segments })
     }
 
-    /// Number of segments.
+    /// Returns the number of segments.
     pub fn len(&self) -> usize {
         self.segments.len()
     }
 
-    /// Whether the pattern is `/`, which covers every path.
+    /// Returns whether the pattern is `/`, which matches every path.
     pub fn is_empty(&self) -> bool {
         self.segments.is_empty()
     }
 
-    /// Whether a path is covered; percent-encoded characters are compared decoded.
+    /// Returns whether a path matches. Percent-encoded characters are decoded before the comparison.
     pub fn matches(&self, path: &str) -> bool {
         let mut rest = segments(path);
         self.segments
@@ -77,8 +77,8 @@
             .all(|segment| rest.next().is_some_and(|text| segment.matches(text)))
     }
 
-    /// Key that sorts patterns from the most specific to the least: more segments first, then literal segments first.
-    pub(super) fn rank(&self) -> (std::cmp::Reverse<usize>, Vec<bool>) {
+    /// Returns a key that sorts patterns from most to least specific: more segments first, then literal segments first.
+    pub(super) fn sort_key(&self) -> (std::cmp::Reverse<usize>, Vec<bool>) {
         let wildcards = self
             .segments
             .iter()
@@ -96,7 +96,7 @@
             "*" => Ok(Self::Any),
             text if text.contains('*') => Err(ParsePathPatternError::PartialWildcard),
             text if text.starts_with([':', '{']) => Err(ParsePathPatternError::NamedParameter),
-            text => match text.chars().find(|c| !is_plain(*c)) {
+            text => match text.chars().find(|c| !is_allowed(*c)) {
                 Some(c) => Err(ParsePathPatternError::Character(c)),
                 None => Ok(Self::Literal(SmolStr::new(text))),
             },
@@ -106,12 +106,12 @@
     fn matches(&self, text: &str) -> bool {
         match self {
             Self::Any => true,
-            Self::Literal(literal) => decoded(text).eq(literal.bytes()),
+            Self::Literal(literal) => percent_decoded(text).eq(literal.bytes()),
         }
     }
 }
 
-/// Whether a character may stand in a pattern; others start a query, an encoding or parameters, or end the path.
-fn is_plain(c: char) -> bool {
+/// Returns whether a character may occur in a pattern. Others start a query, escape or parameter, or end the path.
+fn is_allowed(c: char) -> bool {
     !c.is_whitespace() && !c.is_control() && !matches!(c, '?' | '#' | '%' | ';' | '\\')
 }
--- a/crates/core/src/document/read.rs
+++ b/crates/core/src/document/read.rs
@@ -1,4 +1,4 @@
-//! From the text of a document to its checked form.
+//! Parsing and validation of documents.
 
 use std::ops::RangeInclusive;
 
@@ -8,15 +8,13 @@
 
 use super::{ClassName, Document, TargetHints, operations};
 
-/// First segment of the paths that nodes serve themselves, which no service may take.
+/// First path segment of the nodes' own endpoints, which no service may use as its name.
 const RESERVED_SERVICE: &str = "coltsfootport";
 
-/// Time limits of calls, in milliseconds.
+/// Allowed time limits of calls, in milliseconds.
 pub(super) const DEADLINE_MS: RangeInclusive<u64> = 10..=60_000;
 
-/// Reads a whole document.
-///
-/// With `published_for`, the document must name that service.
+/// Reads a document. If `published_for` is given, the document must name that service.
 pub(super) fn document(
     mut root: Section<'_, '_>,
     published_for: Option<&ServiceName>,
@@ -53,14 +51,14 @@
 ) -> Option<ServiceName> {
     let text = item.as_text()?;
     if text == RESERVED_SERVICE {
-        return item.refuse(
+        return item.reject(
             FaultKind::Invalid,
-            "this name is reserved for nodes themselves",
+            "this name is reserved for the nodes' own endpoints",
         );
     }
     if let Some(service) = published_for.filter(|service| service.as_str() != text) {
         let message = format!("the document is published for \"{service}\"");
-        return item.refuse(FaultKind::Invalid, message);
+        return item.reject(FaultKind::Invalid, message);
     }
     item.name().map(ServiceName::from)
 }
@@ -71,9 +69,9 @@
         let text = item.as_text()?;
         let name = ClassName::from(text);
         if seen.contains(&name) {
-            return item.refuse(
+            return item.reject(
                 FaultKind::Duplicate,
-                format!("class \"{name}\" stands twice"),
+                format!("class \"{name}\" is listed more than once"),
             );
         }
         item.name()?;
@@ -82,7 +80,7 @@
     })
 }
 
-/// The class of calls that no operation covers: the one shed first, unless the document names another.
+/// Reads the class of calls that match no operation. Defaults to the class that is shed first.
 fn read_default_class(root: &mut Section<'_, '_>, names: &[&str]) -> Class {
     let last = class_at(names.len().saturating_sub(1));
     root.optional("default_class")
@@ -94,11 +92,11 @@
     let text = item.as_text()?;
     match names.iter().position(|name| *name == text) {
         Some(rank) => Some(class_at(rank)),
-        None => item.unknown_word(text, names),
+        None => item.unknown_value(text, names),
     }
 }
 
-/// The class of a rank; lists are bounded by [`Class::COUNT`], so that the rank always fits.
+/// Returns the class with a rank. The list of classes is limited to [`Class::COUNT`], so the rank always fits.
 fn class_at(rank: usize) -> Class {
     u8::try_from(rank).map_or(Class::LOWEST, Class)
 }
--- a/crates/core/src/jsonc.rs
+++ b/crates/core/src/jsonc.rs
@@ -1,21 +1,21 @@
-//! Checked reading of JSON with comments: every fault is reported with its position and key.
+//! Validating reader for JSON with comments. Every fault is reported with its position and key.
 
 mod fault;
 mod faults;
+mod formats;
 mod item;
+mod location;
 mod nearest;
-mod need;
-mod place;
+mod parser;
+mod presence;
 mod section;
-mod shape;
-mod text;
-mod words;
+mod structure;
 
 pub use fault::{Fault, FaultKind};
 pub use faults::Faults;
 pub use item::Item;
+pub use location::Location;
 pub use nearest::nearest;
-pub use need::Need;
-pub use place::Place;
+pub use parser::{Parsed, parse};
+pub use presence::Presence;
 pub use section::Section;
-pub use text::{Parsed, parse};
--- a/crates/core/src/jsonc/fault.rs
+++ b/crates/core/src/jsonc/fault.rs
@@ -1,46 +1,46 @@
-//! One fault in a text of JSON with comments.
+//! Faults in JSON with comments.
 
 use std::fmt;
 
-/// What is wrong at a place of a text.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FaultKind {
-    /// The text is not JSON with comments.
+    /// The text is not valid JSON with comments.
     Syntax,
-    /// The key is not one that this place may hold.
+    /// The object does not support the key.
     UnknownKey,
-    /// The key stands twice in one object.
+    /// The key occurs more than once in the object.
     DuplicateKey,
-    /// A key that must be given is absent.
+    /// A required key is missing.
     Missing,
-    /// The value is of another type than the key takes.
+    /// The value has the wrong type for the key.
     WrongType,
-    /// The number or length lies outside the range of the key.
+    /// A number or length is outside the allowed range.
     OutOfRange,
-    /// The value is of the right type but can't be used.
+    /// The value has the right type but is not valid.
     Invalid,
-    /// The entry repeats an earlier one of its list.
+    /// The entry duplicates an earlier one in the same list.
     Duplicate,
-    /// The entry can never take effect, because other entries take everything that it matches.
+    /// The entry can never take effect because other entries take precedence for everything it matches.
     Unreachable,
-    /// Further faults, which are counted and not listed.
+    /// Summary of further faults that are counted but not listed.
     Unlisted,
 }
 
-/// One fault, with its position in the text and the key that it concerns.
+/// Fault with its position in the text and the affected key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// Path of the key from the root, as in `operations[2].class`; empty for the whole text.
+    /// Path of the key from the root, such as `operations[2].class`. Empty if the fault concerns the whole text.
     pub key: String,
-    /// What is wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// What is wrong, in a sentence for the person who wrote the text.
+    /// Human-readable description.
     pub message: String,
-    /// The nearest known key or value, where one is near enough.
+    /// Known key or value that is similar enough to be suggested.
     pub hint: Option<String>,
 }
 
--- a/crates/core/src/jsonc/faults.rs
+++ b/crates/core/src/jsonc/faults.rs
@@ -1,14 +1,14 @@
-//! The faults found so far in one text.
+//! Collection of the faults in one text.
 
-use super::{Fault, FaultKind, Need};
+use super::{Fault, FaultKind, Presence};
 
-/// Most faults that are listed; the rest is counted.
+/// Maximum number of faults that are listed. Any further faults are only counted.
 ///
-/// A megabyte of garbled keys has tens of thousands of faults. Finding the place and the nearest key of each would keep
-/// every node busy for minutes on one published text, seen as calls that time out on all instances at once.
+/// A megabyte of garbled keys has tens of thousands of faults. Computing the position and the nearest key of each would
+/// keep every node busy for minutes when such a text is published, and calls would time out on all instances at once.
 const MAX_LISTED: usize = 100;
 
-/// Collects faults by byte offset while a text is read.
+/// Faults found while a text is read, by byte offset.
 #[derive(Debug, Default)]
 pub struct Faults {
     list: Vec<(usize, Fault)>,
@@ -17,7 +17,7 @@
 }
 
 impl Faults {
-    /// Records a fault at a byte offset of the text.
+    /// Adds a fault at a byte offset of the text.
     pub fn push<M>(&mut self, offset: usize, key: &str, kind: FaultKind, message: M)
     where
         M: Into<String>,
@@ -25,7 +25,7 @@
         self.push_with_hint(offset, key, kind, message, None);
     }
 
-    /// Records a fault with the nearest known key or value.
+    /// Adds a fault and suggests `hint`, a known key or value.
     pub fn push_with_hint<M>(
         &mut self,
         offset: usize,
@@ -54,27 +54,28 @@
         ));
     }
 
-    /// Notes that a value that was needed so is missing or wrong.
-    pub fn mark(&mut self, need: Need) {
-        self.fatal |= need == Need::Required;
+    /// Marks the text as unusable if a value that is missing or invalid was required.
+    pub fn mark_fatal_if_required(&mut self, presence: Presence) {
+        self.fatal |= presence == Presence::Required;
     }
 
-    /// Whether a value without a usable default is missing or wrong.
+    /// Returns whether a required value is missing or invalid.
     pub fn is_fatal(&self) -> bool {
         self.fatal
     }
 
-    /// Whether nothing was found.
+    /// Returns whether no fault was found.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Whether further faults are only counted.
+    /// Returns whether any further faults are only counted.
     pub(super) fn is_full(&self) -> bool {
         self.list.len() >= MAX_LISTED
     }
 
-    /// The faults in the order of `text`, with lines and columns; the last one counts those that are not listed.
+    /// Returns the faults in the order of `text`, with lines and columns. If some are not listed, the last entry counts
+    /// them.
     pub fn into_list(mut self, text: &str) -> Vec<Fault> {
         self.list.sort_by_key(|(offset, _)| *offset);
         if self.unlisted > 0 {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Line and column, both from 1, of a byte offset.
+/// Converts a byte offset to a line and a column, both starting at 1.
 fn position(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
--- a/crates/core/src/jsonc/item.rs
+++ b/crates/core/src/jsonc/item.rs
@@ -1,4 +1,4 @@
-//! One value of a text, read as the type that its key takes.
+//! Typed access to a single value.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 
-use super::{FaultKind, Faults, Need, Place, Section, nearest, words};
+use super::{FaultKind, Faults, Location, Presence, Section, formats, nearest};
 
-/// The value of a key or an element of a list.
+/// Value of a key or element of a list.
 ///
-/// Each reading method consumes the item and answers `None` after it has reported a fault.
+/// Methods that consume the item return `None` after reporting a fault if the value is not of the expected form.
 #[derive(Debug)]
 pub struct Item<'t, 'f> {
     value: &'t Value<'t>,
     path: String,
-    need: Need,
+    presence: Presence,
     faults: &'f mut Faults,
 }
 
@@ -25,23 +25,23 @@
     pub(super) fn new(
         value: &'t Value<'t>,
         path: String,
-        need: Need,
+        presence: Presence,
         faults: &'f mut Faults,
     ) -> Self {
         Self {
             value,
             path,
-            need,
+            presence,
             faults,
         }
     }
 
-    /// A text.
+    /// Reads a string.
     pub fn text(mut self) -> Option<&'t str> {
         self.as_text()
     }
 
-    /// A text as `parse` understands it; a fault carries the message of `parse`.
+    /// Reads a string and converts it with `parse`, whose error becomes the message of the fault.
     pub fn parsed<T, F>(mut self, parse: F) -> Option<T>
     where
         F: FnOnce(&'t str) -> Result<T, String>,
@@ -49,35 +49,35 @@
         let text = self.as_text()?;
         match parse(text) {
             Ok(value) => Some(value),
-            Err(message) => self.refuse(FaultKind::Invalid, message),
+            Err(message) => self.reject(FaultKind::Invalid, message),
         }
     }
 
-    /// A name: 1 to 64 letters, digits, `-`, `_` and `.`, which is safe in paths, headers and labels.
+    /// Reads a name of 1 to 64 letters, digits, `-`, `_` and `.`, which is safe in paths, headers and labels.
     pub fn name(self) -> Option<&'t str> {
-        self.parsed(words::name)
+        self.parsed(formats::name)
     }
 
-    /// An IP number with a port, to listen at.
+    /// Reads an IP address and port to listen on.
     pub fn address(self) -> Option<SocketAddr> {
-        self.parsed(words::address)
+        self.parsed(formats::address)
     }
 
-    /// An IP number with a port, to connect to.
+    /// Reads an IP address and port to connect to.
     pub fn peer_address(self) -> Option<SocketAddr> {
-        self.parsed(words::peer_address)
+        self.parsed(formats::peer_address)
     }
 
-    /// A whole number of a range.
+    /// Reads an integer within a range.
     pub fn integer<T>(mut self, range: RangeInclusive<T>) -> Option<T>
     where
         T: TryFrom<u64> + PartialOrd + Display + Copy,
     {
         let Value::NumberLit(literal) = self.value else {
-            return self.wrong_type("a whole number");
+            return self.wrong_type("an integer");
         };
         if !literal.value.bytes().all(|byte| byte.is_ascii_digit()) {
-            return self.out_of_range("a whole number", &range);
+            return self.out_of_range("an integer", &range);
         }
         let number = literal
             .value
@@ -86,11 +86,11 @@
             .and_then(|number| T::try_from(number).ok());
         match number.filter(|number| range.contains(number)) {
             Some(number) => Some(number),
-            None => self.out_of_range("a whole number", &range),
+            None => self.out_of_range("an integer", &range),
         }
     }
 
-    /// A number of a range.
+    /// Reads a number within a range.
     pub fn number(mut self, range: RangeInclusive<f64>) -> Option<f64> {
         let Value::NumberLit(literal) = self.value else {
             return self.wrong_type("a number");
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Whole milliseconds of a range.
+    /// Reads an integer number of milliseconds within a range.
     pub fn millis(self, range: RangeInclusive<u64>) -> Option<Duration> {
         self.integer(range).map(Duration::from_millis)
     }
 
-    /// `true` or `false`.
+    /// Reads a boolean.
     pub fn boolean(mut self) -> Option<bool> {
         match self.value {
             Value::BooleanLit(literal) => Some(literal.value),
@@ -119,20 +119,20 @@
         }
     }
 
-    /// One of a closed set of words.
+    /// Reads one of a fixed set of strings.
     pub fn choice<T>(mut self, choices: &[(&str, T)]) -> Option<T>
     where
         T: Copy,
     {
         let text = self.as_text()?;
-        if let Some((_, value)) = choices.iter().find(|(word, _)| *word == text) {
+        if let Some((_, value)) = choices.iter().find(|(name, _)| *name == text) {
             return Some(*value);
         }
-        let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
-        self.unknown_word(text, &words)
+        let known: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
+        self.unknown_value(text, &known)
     }
 
-    /// An object.
+    /// Reads an object.
     pub fn section(mut self) -> Option<Section<'t, 'f>> {
         match self.value {
             Value::Object(object) => Some(Section::new(object, self.path, self.faults)),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A list with a bounded number of elements, read one by one; elements that `read` refuses are left out.
+    /// Reads a list with a limited number of elements. Elements for which `read` returns `None` are skipped.
     pub fn list<T, F>(mut self, lengths: RangeInclusive<usize>, mut read: F) -> Option<Vec<T>>
     where
         F: FnMut(Item<'t, '_>) -> Option<T>,
@@ -154,44 +154,44 @@
         let mut list = Vec::with_capacity(array.elements.len());
         for (index, value) in array.elements.iter().enumerate() {
             let path = format!("{}[{index}]", self.path);
-            list.extend(read(Item::new(value, path, self.need, self.faults)));
+            list.extend(read(Item::new(value, path, self.presence, self.faults)));
         }
         Some(list)
     }
 
-    /// Records a fault about this value and answers `None`.
-    pub fn refuse<T, M>(&mut self, kind: FaultKind, message: M) -> Option<T>
+    /// Reports a fault of this value and returns `None`.
+    pub fn reject<T, M>(&mut self, kind: FaultKind, message: M) -> Option<T>
     where
         M: Into<String>,
     {
         self.faults
             .push(self.value.range().start, &self.path, kind, message);
-        self.faults.mark(self.need);
+        self.faults.mark_fatal_if_required(self.presence);
         None
     }
 
-    /// Records that a text is none of the known words, with the nearest one, and answers `None`.
-    pub fn unknown_word<T>(&mut self, text: &str, words: &[&str]) -> Option<T> {
-        let message = format!("\"{text}\" is none of {}", words.join(", "));
-        let hint = nearest(text, words).map(str::to_owned);
+    /// Reports that a string is not one of the known values, suggests the nearest one and returns `None`.
+    pub fn unknown_value<T>(&mut self, text: &str, known: &[&str]) -> Option<T> {
+        let message = format!("\"{text}\" is not one of {}", known.join(", "));
+        let hint = nearest(text, known).map(str::to_owned);
         let offset = self.value.range().start;
         self.faults
             .push_with_hint(offset, &self.path, FaultKind::Invalid, message, hint);
-        self.faults.mark(self.need);
+        self.faults.mark_fatal_if_required(self.presence);
         None
     }
 
-    /// The text of this item without consuming it, for checks that refuse it afterwards.
+    /// Reads a string without consuming the item, for callers that may still reject it.
     pub fn as_text(&mut self) -> Option<&'t str> {
         match self.value {
             Value::StringLit(literal) => Some(&literal.value),
-            _ => self.wrong_type("a text"),
+            _ => self.wrong_type("a string"),
         }
     }
 
-    /// The place of this item, for faults that are found when the item is consumed.
-    pub fn place(&self) -> Place {
-        Place {
+    /// Returns the location of this item, for faults that are found after the item was consumed.
+    pub fn location(&self) -> Location {
+        Location {
             offset: self.value.range().start,
             path: self.path.clone(),
         }
@@ -199,30 +199,30 @@
 
     fn wrong_type<T>(&mut self, expected: &str) -> Option<T> {
         let found = type_name(self.value);
-        self.refuse(
+        self.reject(
             FaultKind::WrongType,
-            format!("{expected} is expected, not {found}"),
+            format!("expected {expected}, found {found}"),
         )
     }
 
-    fn out_of_range<T, N>(&mut self, what: &str, range: &RangeInclusive<N>) -> Option<T>
+    fn out_of_range<T, N>(&mut self, expected: &str, range: &RangeInclusive<N>) -> Option<T>
     where
         N: Display,
     {
         let message = format!(
-            "{what} from {} to {} is expected",
+            "expected {expected} from {} to {}",
             range.start(),
             range.end()
         );
-        self.refuse(FaultKind::OutOfRange, message)
+        self.reject(FaultKind::OutOfRange, message)
     }
 }
 
 fn type_name(value: &Value<'_>) -> &'static str {
     match value {
-        Value::StringLit(_) => "a text",
+        Value::StringLit(_) => "a string",
         Value::NumberLit(_) => "a number",
-        Value::BooleanLit(_) => "true or false",
+        Value::BooleanLit(_) => "a boolean",
         Value::Object(_) => "an object",
         Value::Array(_) => "a list",
         Value::NullKeyword(_) => "null",
--- a/crates/core/src/jsonc/nearest.rs
+++ b/crates/core/src/jsonc/nearest.rs
@@ -1,9 +1,12 @@
-//! The nearest of the known words to a mistyped one.
+//! Suggestions for mistyped keys and values.
 
-/// Longest word that is compared, in bytes; the distance takes time by the product of the lengths.
+/// Maximum length of a word to compare, in bytes. The edit distance takes time proportional to the product of the
+/// lengths.
 const MAX_BYTES: usize = 64;
 
-/// The known word with the smallest edit distance to `word` but for case, where at most a third of it differs.
+/// Returns the known word with the smallest case-insensitive edit distance to `word`.
+///
+/// The distance may be at most a third of the length of `word`, but a distance of 1 is always accepted.
 pub fn nearest<'k>(word: &str, known: &[&'k str]) -> Option<&'k str> {
     if word.len() > MAX_BYTES {
         return None;
@@ -18,7 +21,7 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Edit distance of two words (Levenshtein): insertions, deletions and substitutions.
+/// Computes the Levenshtein distance of two words.
 fn distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/core/src/jsonc/text.rs
+++ b/crates/core/src/jsonc/parser.rs
@@ -1,34 +1,34 @@
-//! From a text to its checked root object.
+//! Entry point of the reader.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
-use super::{Fault, FaultKind, Faults, Section, shape};
+use super::{Fault, FaultKind, Faults, Section, structure};
 
-/// Largest text that is read, in bytes: the largest value that the platform's service holds.
+/// Maximum size of a text in bytes, which is the largest value that the platform's configuration service stores.
 const MAX_BYTES: usize = 1024 * 1024;
 
-/// What came of reading a text.
+/// Result of reading a text.
 #[derive(Debug)]
 pub struct Parsed<T> {
-    /// The value; absent where a fault left nothing to build.
+    /// The value, or `None` if faults prevented building it.
     pub value: Option<T>,
-    /// Every fault, in the order of the text.
+    /// All faults, in the order of the text.
     pub faults: Vec<Fault>,
-    /// Whether a fault concerns a value without a usable default.
+    /// Whether a required value is missing or invalid, or `value` is `None`.
     pub fatal: bool,
 }
 
-/// Parses `text` and hands its root object to `read`, which reports faults through the section.
+/// Parses `text` and passes its root object to `read`, which reports faults through the section.
 ///
-/// `read` returns `None` where a fault leaves nothing to build.
+/// `read` returns `None` if faults prevent building the value.
 pub fn parse<T, F>(text: &str, read: F) -> Parsed<T>
 where
     F: FnOnce(Section<'_, '_>) -> Option<T>,
 {
     let mut faults = Faults::default();
-    let root = check_syntax(text, &mut faults);
+    let root = parse_syntax(text, &mut faults);
     let value = root.and_then(|root| read_root(&root, &mut faults, read));
     let fatal = faults.is_fatal() || value.is_none();
     Parsed {
@@ -45,22 +45,22 @@
     if let Value::Object(object) = root {
         return read(Section::new(object, String::new(), faults));
     }
-    let message = "the text must be one object in braces";
+    let message = "the root must be an object";
     faults.push(root.range().start, "", FaultKind::WrongType, message);
     None
 }
 
-fn check_syntax<'t>(text: &'t str, faults: &mut Faults) -> Option<Value<'t>> {
+fn parse_syntax<'t>(text: &'t str, faults: &mut Faults) -> Option<Value<'t>> {
     if text.len() > MAX_BYTES {
         faults.push(
             0,
             "",
             FaultKind::OutOfRange,
-            format!("the text is above {MAX_BYTES} bytes"),
+            format!("the text is larger than {MAX_BYTES} bytes"),
         );
         return None;
     }
-    if let Some(fault) = shape::check(text) {
+    if let Some(fault) = structure::check(text) {
         faults.push(fault.offset, "", FaultKind::Syntax, fault.message);
         return None;
     }
--- a/crates/core/src/jsonc/section.rs
+++ b/crates/core/src/jsonc/section.rs
@@ -1,4 +1,4 @@
-//! One object of a text, read key by key.
+//! Typed access to the keys of an object.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -9,9 +9,9 @@
 
 use crate::collections::Set;
 
-use super::{FaultKind, Faults, Item, Need, Place, nearest};
+use super::{FaultKind, Faults, Item, Location, Presence, nearest};
 
-/// An object that remembers which keys were asked for, so that all others can be reported.
+/// Object that tracks which keys were read, to report all others as unknown.
 #[derive(Debug)]
 pub struct Section<'t, 'f> {
     object: &'t Object<'t>,
@@ -30,25 +30,25 @@
         }
     }
 
-    /// The value of a key that may be absent.
+    /// Returns the value of an optional key.
     pub fn optional(&mut self, key: &'static str) -> Option<Item<'t, '_>> {
-        self.item(key, Need::Optional)
+        self.item(key, Presence::Optional)
     }
 
-    /// The value of a key that may be absent, but for which nothing can serve where it is wrong.
+    /// Returns the value of an optional key. If it is present but invalid, the whole text is unusable.
     pub fn optional_strict(&mut self, key: &'static str) -> Option<Item<'t, '_>> {
         match self.object.get(key) {
-            Some(_) => self.item(key, Need::Required),
-            None => self.item(key, Need::Optional),
+            Some(_) => self.item(key, Presence::Required),
+            None => self.item(key, Presence::Optional),
         }
     }
 
-    /// The value of a key that must be given; its absence is a fault.
+    /// Returns the value of a required key, or reports a fault if it is missing.
     pub fn required(&mut self, key: &'static str) -> Option<Item<'t, '_>> {
-        self.item(key, Need::Required)
+        self.item(key, Presence::Required)
     }
 
-    /// A whole number of a range, or the default where it is absent or wrong.
+    /// Reads an integer within a range. Returns the default if it is missing or invalid.
     pub fn integer<T>(&mut self, key: &'static str, range: RangeInclusive<T>, default: T) -> T
     where
         T: TryFrom<u64> + PartialOrd + Display + Copy,
@@ -58,21 +58,21 @@
             .unwrap_or(default)
     }
 
-    /// A number of a range, or the default where it is absent or wrong.
+    /// Reads a number within a range. Returns the default if it is missing or invalid.
     pub fn number(&mut self, key: &'static str, range: RangeInclusive<f64>, default: f64) -> f64 {
         self.optional(key)
             .and_then(|item| item.number(range))
             .unwrap_or(default)
     }
 
-    /// `true` or `false`, or the default where it is absent or wrong.
+    /// Reads a boolean. Returns the default if it is missing or invalid.
     pub fn boolean(&mut self, key: &'static str, default: bool) -> bool {
         self.optional(key)
             .and_then(Item::boolean)
             .unwrap_or(default)
     }
 
-    /// Whole milliseconds of a range, or the default where they are absent or wrong.
+    /// Reads an integer number of milliseconds within a range. Returns the default if it is missing or invalid.
     pub fn millis(
         &mut self,
         key: &'static str,
@@ -84,7 +84,7 @@
             .unwrap_or(default)
     }
 
-    /// One of a closed set of words, or the default where it is absent or wrong.
+    /// Reads one of a fixed set of strings. Returns the default if it is missing or invalid.
     pub fn choice<T>(&mut self, key: &'static str, choices: &[(&str, T)], default: T) -> T
     where
         T: Copy,
@@ -94,7 +94,7 @@
             .unwrap_or(default)
     }
 
-    /// Reads the object under `key`, or the default where it is absent or no object.
+    /// Reads the object at `key`. Returns the default if it is missing or not an object.
     pub fn section<T, F>(&mut self, key: &'static str, read: F) -> T
     where
         T: Default,
@@ -104,8 +104,8 @@
         section.map(read).unwrap_or_default()
     }
 
-    /// Records a fault about the value of `key`, or about the object where the key is absent.
-    pub fn fault<M>(&mut self, key: &str, need: Need, kind: FaultKind, message: M)
+    /// Reports a fault at the value of `key`, or at the object if the key is missing.
+    pub fn fault<M>(&mut self, key: &str, presence: Presence, kind: FaultKind, message: M)
     where
         M: Into<String>,
     {
@@ -116,20 +116,21 @@
             .map_or(start, |property| property.value.range().start);
         self.faults
             .push(offset, &join(&self.path, key), kind, message);
-        self.faults.mark(need);
+        self.faults.mark_fatal_if_required(presence);
     }
 
-    /// Records a fault at a place that was read before.
-    pub fn fault_at<M>(&mut self, place: &Place, kind: FaultKind, message: M)
+    /// Reports a fault at the location of a value that was read before.
+    pub fn fault_at<M>(&mut self, location: &Location, kind: FaultKind, message: M)
     where
         M: Into<String>,
     {
-        self.faults.push(place.offset, &place.path, kind, message);
+        self.faults
+            .push(location.offset, &location.path, kind, message);
     }
 
-    /// Reports keys that stand twice and keys that nothing asked for.
+    /// Reports duplicate and unknown keys.
     ///
-    /// To be called when every known key has been read.
+    /// This must be called after all known keys have been read.
     pub fn finish(self) {
         let mut seen = Set::default();
         for property in &self.object.properties {
@@ -137,39 +138,39 @@
             let path = join(&self.path, key);
             let offset = name_offset(property);
             if !self.known.contains(&key) {
-                let near = if self.faults.is_full() {
+                let suggestion = if self.faults.is_full() {
                     None
                 } else {
                     nearest(key, &self.known)
                 };
-                let (kind, hint) = (FaultKind::UnknownKey, near.map(str::to_owned));
+                let (kind, hint) = (FaultKind::UnknownKey, suggestion.map(str::to_owned));
                 self.faults
                     .push_with_hint(offset, &path, kind, "unknown key", hint);
             }
             if !seen.insert(key) {
-                let message = "the key stands twice in this object; the first one counts";
+                let message = "duplicate key in this object; the first one is used";
                 self.faults
                     .push(offset, &path, FaultKind::DuplicateKey, message);
             }
         }
     }
 
-    fn item(&mut self, key: &'static str, need: Need) -> Option<Item<'t, '_>> {
+    fn item(&mut self, key: &'static str, presence: Presence) -> Option<Item<'t, '_>> {
         self.known.push(key);
         let path = join(&self.path, key);
         let Some(property) = self.object.get(key) else {
-            self.report_absent(&path, need);
+            self.report_missing(&path, presence);
             return None;
         };
-        Some(Item::new(&property.value, path, need, self.faults))
+        Some(Item::new(&property.value, path, presence, self.faults))
     }
 
-    fn report_absent(&mut self, path: &str, need: Need) {
-        if need == Need::Required {
-            let message = "this key must be given";
+    fn report_missing(&mut self, path: &str, presence: Presence) {
+        if presence == Presence::Required {
+            let message = "this key is required";
             self.faults
                 .push(self.object.range.start, path, FaultKind::Missing, message);
-            self.faults.mark(need);
+            self.faults.mark_fatal_if_required(presence);
         }
     }
 }
--- a/crates/core/src/jsonc/shape.rs
+++ b/crates/core/src/jsonc/structure.rs
@@ -1,25 +1,25 @@
-//! Checks on the token stream that the parser itself doesn't make.
+//! Structural checks of the token stream that the parser doesn't perform.
 
 use jsonc_parser::Scanner;
 use jsonc_parser::tokens::Token;
 
-/// Deepest nesting that is parsed.
+/// Maximum nesting depth, far above what any document needs.
 ///
-/// The parser recurses once a level: a text of a megabyte of `[` would overflow the stack and end the process, seen as
-/// a node that crashes on reading a document. The limit is far above what any document needs.
+/// The parser recurses once per level. Without a limit, a document with a megabyte of `[` would overflow the stack and
+/// crash the node that reads it.
 const MAX_DEPTH: usize = 32;
 
-/// A token at which the text is refused.
+/// Structural fault at a token.
 #[derive(Debug)]
-pub(super) struct ShapeFault {
+pub(super) struct StructureFault {
     pub(super) offset: usize,
     pub(super) message: &'static str,
 }
 
-/// The first place where the text nests too deep or a comma is missing.
+/// Returns the first location where the nesting is too deep or a comma is missing.
 ///
-/// Faults that the scanner itself finds are left to the parser, which reports them.
-pub(super) fn check(text: &str) -> Option<ShapeFault> {
+/// Errors of the scanner are ignored, as the parser reports them.
+pub(super) fn check(text: &str) -> Option<StructureFault> {
     let mut scanner = Scanner::new(text);
     let mut depth = 0_usize;
     let mut after_value = false;
@@ -29,9 +29,9 @@
             continue;
         }
         if after_value && starts_value(&token) {
-            return Some(ShapeFault {
+            return Some(StructureFault {
                 offset,
-                message: "a comma is missing before this",
+                message: "missing comma before this value",
             });
         }
         match token {
@@ -40,9 +40,9 @@
             _ => {}
         }
         if depth > MAX_DEPTH {
-            return Some(ShapeFault {
+            return Some(StructureFault {
                 offset,
-                message: "nested too deep",
+                message: "nesting is too deep",
             });
         }
         after_value = ends_value(&token);
--- a/crates/node/src/config/admission.rs
+++ b/crates/node/src/config/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootport_core::jsonc::{FaultKind, Need, Section};
+use coltsfootport_core::jsonc::{FaultKind, Presence, Section};
 
 /// How the limit of concurrent calls is found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -89,7 +89,7 @@
         );
         section.fault(
             "initial_limit",
-            Need::Optional,
+            Presence::Optional,
             FaultKind::OutOfRange,
             message,
         );
--- a/crates/node/src/config/advertise.rs
+++ b/crates/node/src/config/advertise.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use coltsfootport_core::jsonc::{FaultKind, Item, Need, Section};
+use coltsfootport_core::jsonc::{FaultKind, Item, Presence, Section};
 
 use super::ListenSettings;
 
@@ -36,7 +36,7 @@
         if peers.ip().is_unspecified() {
             let message = "\"advertise.peers\" must give the address that other nodes connect to, \
                            because \"listen.peers\" is not one address";
-            root.fault("advertise", Need::Required, FaultKind::Invalid, message);
+            root.fault("advertise", Presence::Required, FaultKind::Invalid, message);
         }
     }
 }
--- a/crates/node/src/config/listen.rs
+++ b/crates/node/src/config/listen.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use coltsfootport_core::jsonc::{FaultKind, Item, Need, Section};
+use coltsfootport_core::jsonc::{FaultKind, Item, Presence, Section};
 
 /// Addresses of the four listeners; port 0 lets the system choose one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
             // The egress listener trusts its contexts. On another interface any process of the network could make calls
             // in the name of a call in flight, seen only as spent allowances; loopback leaves it to the own target.
             let message = "the egress listener must have a loopback address";
-            section.fault("egress", Need::Required, FaultKind::Invalid, message);
+            section.fault("egress", Presence::Required, FaultKind::Invalid, message);
         }
         section.finish();
         Some(Self {
--- a/crates/node/src/config/settings.rs
+++ b/crates/node/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use coltsfootport_core::jsonc::{self, Fault, FaultKind, Item, Need, Section};
+use coltsfootport_core::jsonc::{self, Fault, FaultKind, Item, Presence, Section};
 
 use super::{
     AdmissionSettings, AdvertiseSettings, FleetKey, LimitsSettings, ListenSettings, Loaded,
@@ -144,7 +144,12 @@
     let repeats = |index: usize| keys[..index].iter().any(|key| key.id == keys[index].id);
     if (1..keys.len()).any(repeats) {
         let message = "two keys have the same id";
-        root.fault("fleet_keys", Need::Required, FaultKind::Duplicate, message);
+        root.fault(
+            "fleet_keys",
+            Presence::Required,
+            FaultKind::Duplicate,
+            message,
+        );
     }
     Some(keys)
 }
--- a/crates/node/src/config/tls.rs
+++ b/crates/node/src/config/tls.rs
@@ -1,6 +1,6 @@
 //! Section `tls`: certificates of the fleet, as PEM text because instances have no disks.
 
-use coltsfootport_core::jsonc::{FaultKind, Item, Need, Section};
+use coltsfootport_core::jsonc::{FaultKind, Item, Presence, Section};
 use rustls::crypto::ring::sign::any_supported_type;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::sign::CertifiedKey;
@@ -29,7 +29,7 @@
         {
             // Taken as it is, the node would start and every peer would refuse its connections.
             let message = "the certificate and the private key are no pair";
-            section.fault("key_pem", Need::Required, FaultKind::Invalid, message);
+            section.fault("key_pem", Presence::Required, FaultKind::Invalid, message);
         }
         section.finish();
         let key_pem = Secret::new(key_pem?.to_owned());
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -386,9 +386,9 @@
     let faults = check::find_faults(CheckKind::Document, text);
     let mut out = Vec::new();
     check::print(path, &faults, &mut out).expect("written");
-    let expected = "a.jsonc:1:1: service: this key must be given\n\
+    let expected = "a.jsonc:1:1: service: this key is required\n\
         a.jsonc:2:3: servise: unknown key (did you mean \"service\"?)\n\
-        a.jsonc:3:14: classes: a list with a length from 1 to 8 is expected\n";
+        a.jsonc:3:14: classes: expected a list with a length from 1 to 8\n";
     assert_eq!(String::from_utf8_lossy(&out), expected);
     assert_eq!(check::check(CheckKind::Document, path, text), Exit::Invalid);
     let (path, text) = example("telmarino/bidding.jsonc");
