--- a/crates/core/tests/document.rs
+++ b/crates/core/tests/document.rs
@@ -1,4 +1,4 @@
-//! Team documents: what is accepted, what is refused and why, and what a document says about a call.
+//! Document tests: validation, reported faults and the profiles of calls.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-struct Broken {
+struct InvalidCase {
     name: &'static str,
     text: &'static str,
     faults: &'static [Expected],
@@ -50,8 +50,8 @@
     }
 }
 
-const BROKEN: [Broken; 16] = [
-    Broken {
+const INVALID_CASES: [InvalidCase; 16] = [
+    InvalidCase {
         name: "mistyped keys",
         text: r#"{
   // A comment moves nothing.
@@ -65,15 +65,15 @@
             fault(5, 50, "operations[0].zzzz", UnknownKey),
         ],
     },
-    Broken {
-        name: "everything missing",
+    InvalidCase {
+        name: "all required keys missing",
         text: "{ }",
         faults: &[
             fault(1, 1, "service", Missing),
             fault(1, 1, "classes", Missing),
         ],
     },
-    Broken {
+    InvalidCase {
         name: "wrong types",
         text: r#"{
   "service": 7,
@@ -92,7 +92,7 @@
             fault(7, 13, "target", WrongType),
         ],
     },
-    Broken {
+    InvalidCase {
         name: "out of range",
         text: r#"{
   "service": "bidding", "classes": ["bids"],
@@ -111,7 +111,7 @@
             fault(6, 66, "target.cold_start_ms", OutOfRange),
         ],
     },
-    Broken {
+    InvalidCase {
         name: "classes that are not in the list",
         text: r#"{
   "service": "bidding", "classes": ["bids", "lookups"],
@@ -124,8 +124,8 @@
             fault(4, 78, "operations[1].class", Invalid),
         ],
     },
-    Broken {
-        name: "class names that repeat or can't stand in a header",
+    InvalidCase {
+        name: "class names that are duplicate or invalid in a header",
         text: r#"{ "service": "bidding",
   "classes": ["bids", "bids", "a b", ""] }"#,
         faults: &[
@@ -134,18 +134,18 @@
             fault(2, 38, "classes[3]", Invalid),
         ],
     },
-    Broken {
+    InvalidCase {
         name: "too many classes",
         text: r#"{ "service": "bidding", "classes": ["a", "b", "c", "d", "e", "f", "g", "h", "i"] }"#,
         faults: &[fault(1, 36, "classes", OutOfRange)],
     },
-    Broken {
+    InvalidCase {
         name: "no class",
         text: r#"{ "service": "bidding", "classes": [] }"#,
         faults: &[fault(1, 36, "classes", OutOfRange)],
     },
-    Broken {
-        name: "operations that repeat",
+    InvalidCase {
+        name: "duplicate operations",
         text: r#"{ "service": "bidding", "classes": ["bids"], "operations": [
   { "method": "GET", "path": "/a/*" }, { "path": "/a/*" }, { "path": "/a/b" },
   { "method": "GET", "path": "/a/*", "idempotent": false },
@@ -156,8 +156,8 @@
             fault(4, 3, "operations[4]", Duplicate),
         ],
     },
-    Broken {
-        name: "an operation that no call can reach",
+    InvalidCase {
+        name: "an unreachable operation",
         text: r#"{ "service": "bidding", "classes": ["bids"], "operations": [
   { "method": "GET", "path": "/a" }, { "method": "HEAD", "path": "/a" }, { "method": "PUT", "path": "/a" },
   { "path": "/a" },
@@ -166,8 +166,8 @@
 ] }"#,
         faults: &[fault(3, 3, "operations[3]", Unreachable)],
     },
-    Broken {
-        name: "methods and paths",
+    InvalidCase {
+        name: "invalid methods and paths",
         text: r#"{ "service": "bidding", "classes": ["bids"], "operations": [
   { "method": "post", "path": "/a" }, { "method": "FETCH", "path": "/a" }, { },
   { "path": "a" }, { "path": "/a/" }, { "path": "/a//b" }, { "path": "/../a" },
@@ -187,29 +187,29 @@
             fault(4, 72, "operations[10].path", Invalid),
         ],
     },
-    Broken {
-        name: "keys that stand twice",
+    InvalidCase {
+        name: "duplicate keys",
         text: r#"{ "service": "bidding", "classes": ["bids"],
   "deadline_ms": 100, "deadline_ms": 200 }"#,
         faults: &[fault(2, 23, "deadline_ms", DuplicateKey)],
     },
-    Broken {
-        name: "the name that nodes use themselves",
+    InvalidCase {
+        name: "the reserved service name",
         text: r#"{ "service": "coltsfootport", "classes": ["bids"] }"#,
         faults: &[fault(1, 14, "service", Invalid)],
     },
-    Broken {
+    InvalidCase {
         name: "a missing comma",
         text: "{ \"service\": \"bidding\"\n  \"classes\": [\"bids\"] }",
         faults: &[fault(2, 3, "", Syntax)],
     },
-    Broken {
-        name: "an unfinished text, with a column counted in characters",
+    InvalidCase {
+        name: "a missing value after a multi-byte character, with the column in characters",
         text: "{ \"é\": }",
         faults: &[fault(1, 8, "", Syntax)],
     },
-    Broken {
-        name: "no object",
+    InvalidCase {
+        name: "a root that is not an object",
         text: "[]",
         faults: &[fault(1, 1, "", WrongType)],
     },
@@ -217,7 +217,7 @@
 
 #[test]
 fn every_fault_of_a_broken_document_is_reported() {
-    for case in &BROKEN {
+    for case in &INVALID_CASES {
         let faults = Document::parse(case.text).expect_err(case.name);
         let found: Vec<_> = faults
             .iter()
@@ -240,7 +240,7 @@
     assert_eq!(faults[0].to_string(), line);
 }
 
-const PROFILED: &str = r#"{
+const VALID_DOCUMENT: &str = r#"{
   "service": "bidding",
   "classes": ["bids", "pages", "lookups"],
   "default_class": "lookups",
@@ -255,7 +255,7 @@
   "deadline_ms": 900
 }"#;
 
-struct Profiled {
+struct ProfileCase {
     method: &'static str,
     path: &'static str,
     class: u8,
@@ -269,8 +269,8 @@
     class: u8,
     idempotent: bool,
     deadline_ms: u64,
-) -> Profiled {
-    Profiled {
+) -> ProfileCase {
+    ProfileCase {
         method,
         path,
         class,
@@ -279,7 +279,7 @@
     }
 }
 
-const CALLS: [Profiled; 20] = [
+const PROFILE_CASES: [ProfileCase; 20] = [
     call("GET", "/", 1, true, 900),
     call("GET", "/anything/else?x=1", 1, true, 900),
     call("PUT", "/anything/else", 2, true, 900),
@@ -294,7 +294,7 @@
     call("POST", "/lots/7/bids?lot=8", 0, false, 1500),
     call("POST", "/lots/7/bids/9", 0, false, 1500),
     call("POST", "/lots/7/bidsheet", 1, false, 900),
-    // Of two patterns of one length the one whose literal comes first wins.
+    // With the same number of segments, the pattern with the earlier literal segment wins.
     call("POST", "/lots/special/bids", 2, true, 900),
     call("DELETE", "/lots/7/bids/9", 0, false, 900),
     call("DELETE", "/lots/7/bids", 1, true, 900),
@@ -305,8 +305,8 @@
 
 #[test]
 fn the_most_specific_operation_decides() {
-    let document = Document::parse(PROFILED).expect("a valid document");
-    for case in &CALLS {
+    let document = Document::parse(VALID_DOCUMENT).expect("a valid document");
+    for case in &PROFILE_CASES {
         let profile = document.profile(case.method, case.path);
         let found = (profile.class, profile.idempotent, profile.deadline);
         let deadline = Duration::from_millis(case.deadline_ms);
@@ -317,13 +317,13 @@
     }
 }
 
-/// Symptom: a bid runs twice.
-/// Sequence: a call comes as `POST /search/../lots/7/bids`; it is taken for an idempotent search; its answer is lost; it
-/// is sent again; the target resolves the path to a bid both times.
-/// Cause: node and target read one path differently.
+/// Guards against a bid that runs twice because node and target interpret a path differently.
+///
+/// `POST /search/../lots/7/bids` would match the idempotent search and be retried after its answer is lost, while the
+/// target resolves the path to a bid both times.
 #[test]
 fn a_path_that_targets_read_differently_is_never_idempotent() {
-    let document = Document::parse(PROFILED).expect("a valid document");
+    let document = Document::parse(VALID_DOCUMENT).expect("a valid document");
     let paths = [
         "/search/../lots/7/bids",
         "/search/%2e%2E/lots/7/bids",
@@ -362,9 +362,8 @@
     assert_eq!(document.target.slots, None);
 }
 
-/// Symptom: bids are shed with the lookups of another service.
-/// Sequence: a team publishes its document under the key of another service; nodes put it in force.
-/// Cause: the key and the service in the text were not compared.
+/// Guards against bids being shed like the lookups of another service. This happens if a team publishes its document
+/// under the key of another service and nodes apply it without comparing the key to the service in the document.
 #[test]
 fn a_document_under_the_key_of_another_service_is_refused() {
     let text = r#"{ "service": "bidding", "classes": ["bids"] }"#;
@@ -373,10 +372,8 @@
     assert_eq!((faults.len(), faults[0].key.as_str()), (1, "service"));
 }
 
-/// Symptom: every node ends at the same moment.
-/// Sequence: a text of many opening brackets is published; each node reads it; the parser recurses once a bracket until
-/// the stack overflows, which no handler can catch.
-/// Cause: the depth of nesting had no bound.
+/// Guards against a document that crashes all nodes at once. The parser recurses once per opening bracket, so unlimited
+/// nesting overflows the stack, which can't be caught.
 #[test]
 fn deep_nesting_is_a_fault_and_not_a_crash() {
     for open in ["[", "{\"a\":"] {
@@ -388,9 +385,8 @@
     assert!(Document::parse(&harmless.replace("BRACKETS", &brackets)).is_ok());
 }
 
-/// Symptom: calls time out on all instances for minutes after a document is published.
-/// Sequence: a text with tens of thousands of unknown keys is published; each node looks up place and nearest key of each.
-/// Cause: the number of faults that are worked out had no bound.
+/// Guards against calls timing out on all instances for minutes after a document is published. With tens of thousands
+/// of unknown keys and no limit on listed faults, each node would compute the position and nearest key of every one.
 #[test]
 fn faults_beyond_a_hundred_are_counted_and_not_listed() {
     let keys: Vec<String> = (0..50_000)
@@ -407,7 +403,7 @@
 
 #[test]
 fn a_text_above_a_megabyte_is_refused() {
-    let text = format!("{PROFILED}{}", " ".repeat(1024 * 1024));
+    let text = format!("{VALID_DOCUMENT}{}", " ".repeat(1024 * 1024));
     assert_eq!(
         Document::parse(&text).expect_err("refused")[0].kind,
         OutOfRange
@@ -434,13 +430,13 @@
     }
 }
 
-/// Text with a few characters replaced, which reaches far more of the reader than random text does.
-fn damaged() -> impl Strategy<Value = String> {
+/// Generates documents with a few replaced characters, which cover far more of the parser than random text.
+fn corrupted_documents() -> impl Strategy<Value = String> {
     let replacement = "[\\x00-~é\"{}\\[\\],:]";
-    let damage = prop::collection::vec((any::<prop::sample::Index>(), replacement), 1..6);
-    damage.prop_map(|damage| {
-        let mut chars: Vec<String> = PROFILED.chars().map(String::from).collect();
-        for (index, replacement) in damage {
+    let replacements = prop::collection::vec((any::<prop::sample::Index>(), replacement), 1..6);
+    replacements.prop_map(|replacements| {
+        let mut chars: Vec<String> = VALID_DOCUMENT.chars().map(String::from).collect();
+        for (index, replacement) in replacements {
             let index = index.index(chars.len());
             chars[index] = replacement;
         }
@@ -459,7 +455,7 @@
 
 #[test]
 fn a_damaged_document_is_read_whole_or_refused_with_a_place_in_the_text() {
-    let result = runner().run(&damaged(), |text| {
+    let result = runner().run(&corrupted_documents(), |text| {
         for fault in Document::parse(&text).err().into_iter().flatten() {
             let line = text.split('\n').nth(fault.line - 1);
             let columns = line.map(|line| line.chars().count() + 1);
@@ -480,7 +476,7 @@
 
 #[test]
 fn any_path_has_a_profile() {
-    let document = Document::parse(PROFILED).expect("a valid document");
+    let document = Document::parse(VALID_DOCUMENT).expect("a valid document");
     let calls = ("[A-Z]{0,7}", "[/a-z%.*;?#0-9é]{0,40}");
     let result = runner().run(&calls, |(method, path)| {
         let profile = document.profile(&method, &path);
