--- a/crates/core/src/jsonc/structure.rs
+++ b/crates/core/src/jsonc/structure.rs
@@ -31,7 +31,7 @@
         if after_value && starts_value(&token) {
             return Some(StructureFault {
                 offset,
-                message: "missing comma before this value",
+                message: "missing comma before this token",
             });
         }
         match token {
