--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -22,6 +22,8 @@
 pub use flight::{Flight, FlightKey, FlightPhase};
 pub use guard::FlightGuard;
 pub use handle::GateHandle;
-pub use message::{Admittance, Departure, Entered, FlightEnd, GateMessage, GateStatus, Parent};
+pub use message::{
+    AdmissionDecision, AdmissionRequest, Departure, FlightEnd, GateMessage, GateStatus, Parent,
+};
 pub use own_call::{OwnCall, OwnCalls};
 pub use task::{Gate, GateSetup};
--- a/crates/node/src/gate/deciding.rs
+++ b/crates/node/src/gate/deciding.rs
@@ -4,7 +4,7 @@
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::timeline::Event;
 
-use super::{Entered, FlightEnd, FlightGuard, FlightPhase, Gate};
+use super::{AdmissionDecision, FlightEnd, FlightGuard, FlightPhase, Gate};
 use crate::clock::micros;
 
 impl Gate {
@@ -51,9 +51,9 @@
         // The first caller may have left while a later try of its token waits; that one then runs the call. Where nobody is
         // left, dropping the guard abandons it.
         for reply in waiting.by_ref() {
-            match reply.send(Entered::Admitted(guard)) {
+            match reply.send(AdmissionDecision::Admitted(guard)) {
                 Ok(()) => break,
-                Err(Entered::Admitted(unsent)) => guard = unsent,
+                Err(AdmissionDecision::Admitted(unsent)) => guard = unsent,
                 Err(_) => return,
             }
         }
@@ -81,7 +81,7 @@
             self.end_record(record, FlightEnd::Withdrawn(kind), self.clock.now());
         }
         if let Some(reply) = flight.reply {
-            let _ = reply.send(Entered::Refused(self.refused(kind)));
+            let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
         }
     }
 
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -9,7 +9,7 @@
 use coltsfootport_core::timeline::Event;
 use tokio::sync::oneshot;
 
-use super::{Departure, Entered, Flight, FlightEnd, FlightKey, FlightPhase, Gate};
+use super::{AdmissionDecision, Departure, Flight, FlightEnd, FlightKey, FlightPhase, Gate};
 use crate::clock::micros;
 
 impl Gate {
@@ -99,7 +99,7 @@
             FlightEnd::Answered(answer) => {
                 self.once.answered(record, Arc::clone(&answer), now);
                 for reply in joined {
-                    let _ = reply.send(Entered::Replayed(Arc::clone(&answer)));
+                    let _ = reply.send(AdmissionDecision::Replayed(Arc::clone(&answer)));
                 }
             }
             FlightEnd::Lost(kind) => {
@@ -113,9 +113,9 @@
         }
     }
 
-    fn refuse_joined(&mut self, joined: Vec<oneshot::Sender<Entered>>, kind: ErrorKind) {
+    fn refuse_joined(&mut self, joined: Vec<oneshot::Sender<AdmissionDecision>>, kind: ErrorKind) {
         for reply in joined {
-            let _ = reply.send(Entered::Refused(self.refused(kind)));
+            let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
         }
     }
 }
--- a/crates/node/src/gate/entering.rs
+++ b/crates/node/src/gate/entering.rs
@@ -11,100 +11,103 @@
 use coltsfootport_core::timeline::Event;
 use tokio::sync::oneshot;
 
-use super::{Admittance, Below, Entered, Flight, FlightPhase, Gate, OwnCalls};
+use super::{AdmissionDecision, AdmissionRequest, Below, Flight, FlightPhase, Gate, OwnCalls};
 use crate::data::Answer;
 
 impl Gate {
-    pub(super) fn enter(&mut self, admittance: Admittance, reply: oneshot::Sender<Entered>) {
+    pub(super) fn admit(
+        &mut self,
+        request: AdmissionRequest,
+        reply: oneshot::Sender<AdmissionDecision>,
+    ) {
         let now = self.clock.now();
-        let live = admittance.once.as_ref();
+        let live = request.once.as_ref();
         let live = live.is_some_and(|once| self.once.is_live(&once.token));
         if !self.lifecycle.may_accept() && !live {
-            self.enter_closed(&admittance, reply, now);
+            self.refuse_while_closed(&request, reply, now);
             return;
         }
-        let record = match self.arrive(&admittance, now) {
+        let record = match self.arrive(&request, now) {
             None => None,
             Some(Arrival::Run(record)) => Some(record),
             Some(Arrival::Join(record)) => {
-                self.note_token(&admittance, |attempt| Event::TokenJoined { attempt });
-                self.join(record, admittance.deadline, reply);
+                self.note_token(&request, |attempt| Event::TokenJoined { attempt });
+                self.join(record, request.deadline, reply);
                 return;
             }
             Some(Arrival::Replay(answer)) => {
-                self.note_token(&admittance, |attempt| Event::TokenReplayed { attempt });
-                let _ = reply.send(Entered::Replayed(answer));
+                self.note_token(&request, |attempt| Event::TokenReplayed { attempt });
+                let _ = reply.send(AdmissionDecision::Replayed(answer));
                 return;
             }
             Some(Arrival::Refused(kind)) => {
-                self.refuse_entry(&admittance, reply, kind);
+                self.refuse_entry(&request, reply, kind);
                 return;
             }
         };
-        self.admit(admittance, record, reply, now);
+        self.offer(request, record, reply, now);
     }
 
-    fn note_token<E>(&self, admittance: &Admittance, event: E)
+    fn note_token<E>(&self, request: &AdmissionRequest, event: E)
     where
         E: FnOnce(u16) -> Event,
     {
-        let number = admittance.once.as_ref().map_or(0, |once| once.number.0);
+        let number = request.once.as_ref().map_or(0, |once| once.number.0);
         let number = u16::try_from(number).unwrap_or(u16::MAX);
-        self.recorder
-            .record(Some(admittance.request), event(number));
+        self.recorder.record(Some(request.request), event(number));
     }
 
     /// Answers a call while no new work is taken.
     ///
     /// A token's try is refused for good before its caller hears "not run": while the node is still starting, an older try
     /// could otherwise arrive after it became ready, and run. An answer kept from before is still given.
-    fn enter_closed(
+    fn refuse_while_closed(
         &mut self,
-        admittance: &Admittance,
-        reply: oneshot::Sender<Entered>,
+        request: &AdmissionRequest,
+        reply: oneshot::Sender<AdmissionDecision>,
         now: Instant,
     ) {
-        let refusal = match &admittance.once {
+        let refusal = match &request.once {
             None => Refusal::RefusedForGood,
             Some(once) => self.once.refuse(&once.token, once.number, now),
         };
         match refusal {
             Refusal::Ran(answer) => {
-                let _ = reply.send(Entered::Replayed(answer));
+                let _ = reply.send(AdmissionDecision::Replayed(answer));
             }
-            Refusal::RefusedForGood => self.refuse_entry(admittance, reply, self.closed_kind()),
-            Refusal::AnswerGone => self.refuse_entry(admittance, reply, ErrorKind::AnswerGone),
+            Refusal::RefusedForGood => self.refuse_entry(request, reply, self.closed_kind()),
+            Refusal::AnswerGone => self.refuse_entry(request, reply, ErrorKind::AnswerGone),
             Refusal::Running | Refusal::Unknown => {
-                self.refuse_entry(admittance, reply, ErrorKind::HomeLost);
+                self.refuse_entry(request, reply, ErrorKind::HomeLost);
             }
         }
     }
 
-    fn admit(
+    fn offer(
         &mut self,
-        admittance: Admittance,
+        request: AdmissionRequest,
         record: Option<RecordKey>,
-        reply: oneshot::Sender<Entered>,
+        reply: oneshot::Sender<AdmissionDecision>,
         now: Instant,
     ) {
         let offer = Offer {
-            class: admittance.class,
-            bucket: admittance.bucket,
-            deadline: admittance.deadline,
+            class: request.class,
+            bucket: request.bucket,
+            deadline: request.deadline,
         };
         self.drop_left();
         let call = self.admission.offer(offer, now);
         self.lifecycle.accepted();
         let flight = Flight {
-            request: admittance.request,
-            class: admittance.class,
-            class_name: admittance.class_name,
-            operation: admittance.operation,
-            deadline: admittance.deadline,
-            depth: admittance.depth,
-            sending: admittance.sending,
+            request: request.request,
+            class: request.class,
+            class_name: request.class_name,
+            operation: request.operation,
+            deadline: request.deadline,
+            depth: request.depth,
+            sending: request.sending,
             entered: now,
-            allowance: Allowance::new(admittance.allowance),
+            allowance: Allowance::new(request.allowance),
             call,
             record,
             phase: FlightPhase::Queued,
@@ -121,7 +124,12 @@
     }
 
     /// Lets a further try of a token wait for the first, and the call last as long as the most patient of them.
-    fn join(&mut self, record: RecordKey, deadline: Instant, reply: oneshot::Sender<Entered>) {
+    fn join(
+        &mut self,
+        record: RecordKey,
+        deadline: Instant,
+        reply: oneshot::Sender<AdmissionDecision>,
+    ) {
         self.joined.entry(record).or_default().push(reply);
         let flight = self.by_record.get(&record);
         if let Some(flight) = flight.and_then(|key| self.flights.get_mut(*key)) {
@@ -129,25 +137,25 @@
         }
     }
 
-    fn arrive(&mut self, admittance: &Admittance, now: Instant) -> Option<Arrival<Arc<Answer>>> {
-        let once = admittance.once.as_ref()?;
+    fn arrive(&mut self, request: &AdmissionRequest, now: Instant) -> Option<Arrival<Arc<Answer>>> {
+        let once = request.once.as_ref()?;
         Some(self.once.arrive(&once.token, once.number, now))
     }
 
     fn refuse_entry(
         &mut self,
-        admittance: &Admittance,
-        reply: oneshot::Sender<Entered>,
+        request: &AdmissionRequest,
+        reply: oneshot::Sender<AdmissionDecision>,
         kind: ErrorKind,
     ) {
         self.recorder.record(
-            Some(admittance.request),
+            Some(request.request),
             Event::Refused {
                 error: kind,
                 elapsed_us: 0,
             },
         );
-        let _ = reply.send(Entered::Refused(self.refused(kind)));
+        let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
     }
 
     fn closed_kind(&self) -> ErrorKind {
--- a/crates/node/src/gate/flight.rs
+++ b/crates/node/src/gate/flight.rs
@@ -11,7 +11,7 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{Below, Entered, OwnCalls};
+use super::{AdmissionDecision, Below, OwnCalls};
 
 new_key_type! {
     /// Key of a call in flight.
@@ -57,7 +57,7 @@
     /// How far it has come.
     pub phase: FlightPhase,
     /// Where its admission is awaited, until it is decided.
-    pub reply: Option<oneshot::Sender<Entered>>,
+    pub reply: Option<oneshot::Sender<AdmissionDecision>>,
     /// Its target's own calls; a repeat of a failed one is a retry.
     pub own_calls: OwnCalls,
     /// Time that its target spends on its own calls.
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
-    Admittance, BelowGuard, ContextHandle, Departure, Entered, FlightEnd, FlightKey, GateMessage,
-    GateStatus, OwnCall, Parent,
+    AdmissionDecision, AdmissionRequest, BelowGuard, ContextHandle, Departure, FlightEnd,
+    FlightKey, GateMessage, GateStatus, OwnCall, Parent,
 };
 use crate::data::{Answer, HostReport, Refused};
 
@@ -27,15 +27,15 @@
     }
 
     /// Asks to run a call; waits while it is queued.
-    pub async fn enter(&self, admittance: Admittance) -> Entered {
+    pub async fn admit(&self, request: AdmissionRequest) -> AdmissionDecision {
         // The table of tokens has ended with the gate, so nothing is known of an earlier try any more.
-        let without_gate = match admittance.once {
+        let without_gate = match request.once {
             Some(_) => ErrorKind::HomeLost,
             None => ErrorKind::NotReady,
         };
-        self.ask(|reply| GateMessage::Enter(Box::new(admittance), reply))
+        self.ask(|reply| GateMessage::Admit(Box::new(request), reply))
             .await
-            .unwrap_or(Entered::Refused(Refused::from(without_gate)))
+            .unwrap_or(AdmissionDecision::Refused(Refused::from(without_gate)))
     }
 
     /// The last check right before the first byte goes to the target.
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -17,7 +17,7 @@
 
 /// What the gate needs to know of a call that asks to run here.
 #[derive(Clone, Debug)]
-pub struct Admittance {
+pub struct AdmissionRequest {
     /// Request on whose behalf the call is made.
     pub request: RequestId,
     /// Its class.
@@ -42,7 +42,7 @@
 
 /// What the gate says to a call that asked to run.
 #[derive(Debug)]
-pub enum Entered {
+pub enum AdmissionDecision {
     /// It may go to the target after a last check.
     Admitted(FlightGuard),
     /// An earlier try has run; this is its answer.
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub enum GateMessage {
     /// A call asks to run.
-    Enter(Box<Admittance>, oneshot::Sender<Entered>),
+    Admit(Box<AdmissionRequest>, oneshot::Sender<AdmissionDecision>),
     /// Last check right before the first byte goes to the target.
     Dispatch(FlightKey, oneshot::Sender<Result<(), ErrorKind>>),
     /// A call in flight ended.
@@ -165,7 +165,7 @@
     Status(oneshot::Sender<GateStatus>),
 }
 
-impl From<&Call> for Admittance {
+impl From<&Call> for AdmissionRequest {
     fn from(call: &Call) -> Self {
         Self {
             request: call.request,
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -15,7 +15,7 @@
 use slotmap::SlotMap;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{Entered, Flight, FlightKey, GateHandle, GateMessage};
+use super::{AdmissionDecision, Flight, FlightKey, GateHandle, GateMessage};
 use crate::clock::SharedClock;
 use crate::data::Answer;
 use crate::recorder::Recorder;
@@ -62,7 +62,7 @@
     pub(super) flights: SlotMap<FlightKey, Flight>,
     pub(super) by_call: Map<CallKey, FlightKey>,
     pub(super) by_record: Map<RecordKey, FlightKey>,
-    pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<Entered>>>,
+    pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
     pub(super) below: DownstreamLevels,
     /// A call that asked to run by the message at hand.
     pub(super) entering: Option<FlightKey>,
@@ -152,7 +152,7 @@
 
     fn handle(&mut self, message: GateMessage) {
         match message {
-            GateMessage::Enter(admittance, reply) => self.enter(*admittance, reply),
+            GateMessage::Admit(request, reply) => self.admit(*request, reply),
             GateMessage::Dispatch(key, reply) => {
                 let _ = reply.send(self.dispatch(key));
             }
--- a/crates/node/src/host/runner.rs
+++ b/crates/node/src/host/runner.rs
@@ -13,7 +13,8 @@
 use crate::clock::SharedClock;
 use crate::data::{Answer, AttemptId, Call, HostReport, Refused, Reply, Verdict};
 use crate::gate::{
-    Admittance, ContextHandle, Departure, Entered, FlightEnd, FlightGuard, GateHandle,
+    AdmissionDecision, AdmissionRequest, ContextHandle, Departure, FlightEnd, FlightGuard,
+    GateHandle,
 };
 use crate::metrics::Metrics;
 use crate::recorder::Recorder;
@@ -66,9 +67,11 @@
         if call.service != self.setup.service {
             return self.aside(&call, Verdict::from(ErrorKind::NoTarget)).await;
         }
-        match self.setup.gate.enter(Admittance::from(&call)).await {
-            Entered::Admitted(guard) if call.once.is_some() => self.run_detached(call, guard).await,
-            Entered::Admitted(guard) => {
+        match self.setup.gate.admit(AdmissionRequest::from(&call)).await {
+            AdmissionDecision::Admitted(guard) if call.once.is_some() => {
+                self.run_detached(call, guard).await
+            }
+            AdmissionDecision::Admitted(guard) => {
                 let (attempt, deadline) = (call.attempt, call.deadline);
                 Some(
                     self.execute(call, guard, deadline, None)
@@ -76,14 +79,16 @@
                         .into_reply(attempt),
                 )
             }
-            Entered::Replayed(answer) => {
+            AdmissionDecision::Replayed(answer) => {
                 let answer = Answer {
                     replayed: true,
                     ..(*answer).clone()
                 };
                 self.aside(&call, Verdict::Answered(answer)).await
             }
-            Entered::Refused(refused) => self.aside(&call, Verdict::Refused(refused)).await,
+            AdmissionDecision::Refused(refused) => {
+                self.aside(&call, Verdict::Refused(refused)).await
+            }
         }
     }
 
--- a/crates/node/tests/gate.rs
+++ b/crates/node/tests/gate.rs
@@ -3,15 +3,15 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport::data::OnceCall;
-use coltsfootport::gate::{Admittance, Entered, GateHandle};
+use coltsfootport::gate::{AdmissionDecision, AdmissionRequest, GateHandle};
 use coltsfootport_core::class::Class;
 use coltsfootport_core::id::{Incarnation, RequestId};
 use coltsfootport_core::once::{Tick, Token, Try};
 use coltsfootport_core::outcome::Outcome;
 use tokio::sync::mpsc;
 
-fn admittance(once: Option<OnceCall>) -> Admittance {
-    Admittance {
+fn request(once: Option<OnceCall>) -> AdmissionRequest {
+    AdmissionRequest {
         request: RequestId::random(),
         class: Class::HIGHEST,
         class_name: "bid".into(),
@@ -44,9 +44,9 @@
     for (once, outcome) in [(Some(once), Outcome::Unknown), (None, Outcome::NotRun)] {
         let (tx, rx) = mpsc::unbounded_channel();
         drop(rx);
-        let entered = GateHandle::new(tx).enter(admittance(once)).await;
-        let Entered::Refused(refused) = entered else {
-            panic!("{entered:?}");
+        let decision = GateHandle::new(tx).admit(request(once)).await;
+        let AdmissionDecision::Refused(refused) = decision else {
+            panic!("{decision:?}");
         };
         assert_eq!(refused.kind.rule().outcome, outcome, "{refused:?}");
     }
