--- a/crates/node/src/entry/budget.rs
+++ b/crates/node/src/entry/budget.rs
@@ -4,7 +4,7 @@
 use coltsfootport_core::allowance::Allowance;
 use coltsfootport_core::invariant::Invariant;
 
-use crate::gate::{FlightKey, GateHandle};
+use crate::gate::{GateHandle, InFlightKey};
 
 /// The retry allowance that pays for a call.
 ///
@@ -15,7 +15,7 @@
     /// The allowance of a new request.
     Own(Allowance),
     /// The allowance of a call in flight at this node.
-    Flight(GateHandle, FlightKey),
+    Flight(GateHandle, InFlightKey),
 }
 
 impl Budget {
@@ -23,7 +23,7 @@
     pub async fn grant(&mut self) -> u16 {
         match self {
             Self::Own(allowance) => allowance.grant(),
-            Self::Flight(gate, flight) => gate.grant(*flight).await,
+            Self::Flight(gate, key) => gate.grant(*key).await,
         }
     }
 
@@ -31,8 +31,8 @@
     pub fn give_back(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
         match self {
             Self::Own(allowance) => allowance.reclaim(granted, left),
-            Self::Flight(gate, flight) => {
-                gate.give_back(*flight, granted, left);
+            Self::Flight(gate, key) => {
+                gate.give_back(*key, granted, left);
                 Ok(())
             }
         }
@@ -40,8 +40,8 @@
 
     /// Notes the admission level below the call, for callers of the operation that it serves.
     pub fn level_below(&self, level: Level) {
-        if let Self::Flight(gate, flight) = self {
-            gate.level_below(*flight, level);
+        if let Self::Flight(gate, key) = self {
+            gate.level_below(*key, level);
         }
     }
 
@@ -49,7 +49,7 @@
     pub async fn spend(&mut self) -> bool {
         match self {
             Self::Own(allowance) => allowance.spend(),
-            Self::Flight(gate, flight) => gate.spend(*flight).await,
+            Self::Flight(gate, key) => gate.spend(*key).await,
         }
     }
 }
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -57,7 +57,7 @@
         };
         let budget = match origin {
             Origin::Flight(parent) if self.limits.allowance_enabled => {
-                Budget::Flight(self.gate.clone(), parent.flight)
+                Budget::Flight(self.gate.clone(), parent.key)
             }
             _ => Budget::Own(Allowance::new(document.retry_allowance)),
         };
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -201,7 +201,7 @@
         };
         self.recorder.record(Some(request), event);
         let below = match &origin {
-            Origin::Flight(parent) => Some(self.gate.below(parent.flight)),
+            Origin::Flight(parent) => Some(self.gate.below(parent.key)),
             _ => None,
         };
         let outgoing = match self.own_call(&origin, &inbound, &mut prepared).await {
@@ -260,7 +260,7 @@
         if !self.limits.allowance_enabled {
             return Ok(None);
         }
-        let begun = self.gate.own_call(parent.flight, inbound.fingerprint());
+        let begun = self.gate.own_call(parent.key, inbound.fingerprint());
         let own = tokio::time::timeout_at(prepared.call.deadline.into(), begun)
             .await
             .map_err(|_| ErrorKind::ExpiredBeforeDispatch)?
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -7,9 +7,9 @@
 mod ending;
 mod entering;
 mod figures;
-mod flight;
-mod guard;
 mod handle;
+mod in_flight_call;
+mod in_flight_guard;
 mod life;
 mod message;
 mod own_call;
@@ -19,11 +19,12 @@
 pub use below::Below;
 pub use below_guard::BelowGuard;
 pub use context::ContextHandle;
-pub use flight::{Flight, FlightKey, FlightPhase};
-pub use guard::FlightGuard;
 pub use handle::GateHandle;
+pub use in_flight_call::{InFlightCall, InFlightKey, InFlightPhase};
+pub use in_flight_guard::InFlightGuard;
 pub use message::{
-    AdmissionDecision, AdmissionRequest, Departure, FlightEnd, GateMessage, GateStatus, Parent,
+    AdmissionDecision, AdmissionRequest, Completion, CompletionReply, GateMessage, GateStatus,
+    Parent,
 };
 pub use own_call::{OwnCall, OwnCalls};
 pub use task::{Gate, GateSetup};
--- a/crates/node/src/gate/below_guard.rs
+++ b/crates/node/src/gate/below_guard.rs
@@ -2,24 +2,24 @@
 
 use tokio::sync::mpsc;
 
-use super::{FlightKey, GateMessage};
+use super::{GateMessage, InFlightKey};
 
 /// Tells the gate when a target's own call ends, also where it is given up at any await.
 ///
 /// Without it a cancelled call would count as under way for ever, and its parent as waiting below.
 #[derive(Debug)]
 pub struct BelowGuard {
-    flight: FlightKey,
+    key: InFlightKey,
     tx: mpsc::UnboundedSender<GateMessage>,
     succeeded: bool,
 }
 
 impl BelowGuard {
     /// Notes that a call on behalf of this call in flight began.
-    pub fn new(flight: FlightKey, tx: mpsc::UnboundedSender<GateMessage>) -> Self {
-        let _ = tx.send(GateMessage::BelowBegan(flight));
+    pub fn new(key: InFlightKey, tx: mpsc::UnboundedSender<GateMessage>) -> Self {
+        let _ = tx.send(GateMessage::BelowBegan(key));
         Self {
-            flight,
+            key,
             tx,
             succeeded: false,
         }
@@ -34,7 +34,7 @@
 impl Drop for BelowGuard {
     fn drop(&mut self) {
         let _ = self.tx.send(GateMessage::BelowEnded {
-            flight: self.flight,
+            key: self.key,
             succeeded: self.succeeded,
         });
     }
--- a/crates/node/src/gate/context.rs
+++ b/crates/node/src/gate/context.rs
@@ -6,7 +6,7 @@
 use coltsfootport_core::id::Incarnation;
 use slotmap::{Key, KeyData};
 
-use super::FlightKey;
+use super::InFlightKey;
 
 /// Names a call in flight at one incarnation of a node.
 ///
@@ -17,7 +17,7 @@
 pub struct ContextHandle {
     incarnation: u64,
     /// The call in flight.
-    pub flight: FlightKey,
+    pub key: InFlightKey,
 }
 
 /// A text is not a context handle.
@@ -27,10 +27,10 @@
 
 impl ContextHandle {
     /// The handle of a call in flight at `incarnation`.
-    pub fn new(incarnation: Incarnation, flight: FlightKey) -> Self {
+    pub fn new(incarnation: Incarnation, key: InFlightKey) -> Self {
         Self {
             incarnation: fold(incarnation),
-            flight,
+            key,
         }
     }
 
@@ -46,7 +46,7 @@
             f,
             "{:016x}-{:016x}",
             self.incarnation,
-            self.flight.data().as_ffi()
+            self.key.data().as_ffi()
         )
     }
 }
@@ -55,12 +55,12 @@
     type Err = ParseContextError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (incarnation, flight) = text.split_once('-').ok_or(ParseContextError)?;
+        let (incarnation, key) = text.split_once('-').ok_or(ParseContextError)?;
         let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| ParseContextError)?;
-        let flight = u64::from_str_radix(flight, 16).map_err(|_| ParseContextError)?;
+        let key = u64::from_str_radix(key, 16).map_err(|_| ParseContextError)?;
         Ok(Self {
             incarnation,
-            flight: FlightKey::from(KeyData::from_ffi(flight)),
+            key: InFlightKey::from(KeyData::from_ffi(key)),
         })
     }
 }
--- a/crates/node/src/gate/deciding.rs
+++ b/crates/node/src/gate/deciding.rs
@@ -4,7 +4,7 @@
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::timeline::Event;
 
-use super::{AdmissionDecision, FlightEnd, FlightGuard, FlightPhase, Gate};
+use super::{AdmissionDecision, Completion, Gate, InFlightGuard, InFlightPhase};
 use crate::clock::micros;
 
 impl Gate {
@@ -28,26 +28,26 @@
         self.poll_life(now);
     }
 
-    fn start(&mut self, call: CallKey) {
-        let Some(&key) = self.by_call.get(&call) else {
+    fn start(&mut self, admission_key: CallKey) {
+        let Some(&key) = self.by_admission_key.get(&admission_key) else {
             return;
         };
-        let Some(flight) = self.flights.get_mut(key) else {
+        let Some(call) = self.calls.get_mut(key) else {
             return;
         };
-        flight.phase = FlightPhase::Admitted;
+        call.phase = InFlightPhase::Admitted;
         let event = Event::Admitted {
-            class: flight.class,
-            elapsed_us: micros(self.clock.now(), flight.entered),
+            class: call.class,
+            elapsed_us: micros(self.clock.now(), call.entered),
         };
-        self.recorder.record(Some(flight.request), event);
-        let Some(reply) = flight.reply.take() else {
+        self.recorder.record(Some(call.request), event);
+        let Some(reply) = call.reply.take() else {
             return;
         };
-        let record = flight.record;
+        let record = call.record;
         let joined = record.and_then(|record| self.joined.remove(&record));
         let mut waiting = std::iter::once(reply).chain(joined.unwrap_or_default());
-        let mut guard = FlightGuard::new(key, self.tx.clone());
+        let mut guard = InFlightGuard::new(key, self.tx.clone());
         // The first caller may have left while a later try of its token waits; that one then runs the call. Where nobody is
         // left, dropping the guard abandons it.
         for reply in waiting.by_ref() {
@@ -63,24 +63,24 @@
         }
     }
 
-    fn shed(&mut self, call: CallKey, kind: ErrorKind) {
-        let Some(key) = self.by_call.remove(&call) else {
+    fn shed(&mut self, admission_key: CallKey, kind: ErrorKind) {
+        let Some(key) = self.by_admission_key.remove(&admission_key) else {
             return;
         };
-        let Some(flight) = self.flights.remove(key) else {
+        let Some(call) = self.calls.remove(key) else {
             return;
         };
         self.lifecycle.withdrawn();
         let event = Event::Shed {
             service: self.service.clone(),
-            class: flight.class,
+            class: call.class,
             level: self.admission.level().position(),
         };
-        self.recorder.record(Some(flight.request), event);
-        if let Some(record) = flight.record {
-            self.end_record(record, FlightEnd::Withdrawn(kind), self.clock.now());
+        self.recorder.record(Some(call.request), event);
+        if let Some(record) = call.record {
+            self.end_record(record, Completion::Withdrawn(kind), self.clock.now());
         }
-        if let Some(reply) = flight.reply {
+        if let Some(reply) = call.reply {
             let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
         }
     }
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -9,104 +9,107 @@
 use coltsfootport_core::timeline::Event;
 use tokio::sync::oneshot;
 
-use super::{AdmissionDecision, Departure, Flight, FlightEnd, FlightKey, FlightPhase, Gate};
+use super::{
+    AdmissionDecision, Completion, CompletionReply, Gate, InFlightCall, InFlightKey, InFlightPhase,
+};
 use crate::clock::micros;
 
 impl Gate {
-    pub(super) fn dispatch(&mut self, key: FlightKey) -> Result<(), ErrorKind> {
+    pub(super) fn dispatch(&mut self, key: InFlightKey) -> Result<(), ErrorKind> {
         let now = self.clock.now();
-        let Some(flight) = self.flights.get_mut(key) else {
+        let Some(call) = self.calls.get_mut(key) else {
             return Err(ErrorKind::Cancelled);
         };
         // A process that was paused between admission and here would otherwise run a call whose caller has gone.
-        if now >= flight.deadline {
+        if now >= call.deadline {
             return Err(ErrorKind::ExpiredBeforeDispatch);
         }
         if !self.lifecycle.may_dispatch() {
             return Err(ErrorKind::Leaving);
         }
-        if let Some(record) = flight.record {
-            self.once.dispatch(record, flight.deadline, now)?;
+        if let Some(record) = call.record {
+            self.once.dispatch(record, call.deadline, now)?;
         }
         if let Some(breach) = self.lifecycle.dispatched() {
             self.recorder.breach(breach);
             return Err(ErrorKind::Leaving);
         }
-        flight.phase = FlightPhase::Dispatched;
+        call.phase = InFlightPhase::Dispatched;
         let event = Event::Dispatched {
-            attempt: flight.sending,
-            elapsed_us: micros(now, flight.entered),
+            attempt: call.sending,
+            elapsed_us: micros(now, call.entered),
         };
-        self.recorder.record(Some(flight.request), event);
+        self.recorder.record(Some(call.request), event);
         Ok(())
     }
 
     pub(super) fn finish(
         &mut self,
-        key: FlightKey,
-        end: FlightEnd,
-        reply: oneshot::Sender<Departure>,
+        key: InFlightKey,
+        end: Completion,
+        reply: oneshot::Sender<CompletionReply>,
     ) {
-        let Some(flight) = self.end(key, end) else {
+        let Some(call) = self.end(key, end) else {
             return;
         };
-        let departure = Departure {
-            allowance_left: flight.allowance.left(),
-            report: self.report(&flight.operation),
+        let completion = CompletionReply {
+            allowance_left: call.allowance.left(),
+            report: self.report(&call.operation),
         };
-        let _ = reply.send(departure);
+        let _ = reply.send(completion);
     }
 
-    pub(super) fn abandon(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(key) else {
+    pub(super) fn abandon(&mut self, key: InFlightKey) {
+        let Some(call) = self.calls.get(key) else {
             return;
         };
-        let end = match flight.phase {
-            FlightPhase::Dispatched => FlightEnd::Lost(ErrorKind::AnswerLost),
-            FlightPhase::Queued | FlightPhase::Admitted => {
-                FlightEnd::Withdrawn(ErrorKind::Cancelled)
+        let end = match call.phase {
+            InFlightPhase::Dispatched => Completion::Lost(ErrorKind::AnswerLost),
+            InFlightPhase::Queued | InFlightPhase::Admitted => {
+                Completion::Withdrawn(ErrorKind::Cancelled)
             }
         };
-        let elapsed_us = micros(self.clock.now(), flight.entered);
+        let elapsed_us = micros(self.clock.now(), call.entered);
         self.recorder
-            .record(Some(flight.request), Event::Cancelled { elapsed_us });
+            .record(Some(call.request), Event::Cancelled { elapsed_us });
         self.end(key, end);
     }
 
     /// Takes a call out of every table that knows it.
-    fn end(&mut self, key: FlightKey, end: FlightEnd) -> Option<Flight> {
-        let flight = self.flights.remove(key)?;
+    fn end(&mut self, key: InFlightKey, end: Completion) -> Option<InFlightCall> {
+        let call = self.calls.remove(key)?;
         let now = self.clock.now();
-        self.by_call.remove(&flight.call);
-        match flight.phase {
-            FlightPhase::Dispatched => self.lifecycle.finished(),
-            FlightPhase::Queued | FlightPhase::Admitted => self.lifecycle.withdrawn(),
+        self.by_admission_key.remove(&call.admission_key);
+        match call.phase {
+            InFlightPhase::Dispatched => self.lifecycle.finished(),
+            InFlightPhase::Queued | InFlightPhase::Admitted => self.lifecycle.withdrawn(),
         }
-        let waited = flight.below.total(now);
-        self.admission.record_downstream_wait(flight.call, waited);
-        let finish = admission_end(&end, flight.below.may_have_failed());
-        self.admission.finish(flight.call, finish, now);
-        if let Some(record) = flight.record {
+        let waited = call.below.total(now);
+        self.admission
+            .record_downstream_wait(call.admission_key, waited);
+        let finish = admission_end(&end, call.below.may_have_failed());
+        self.admission.finish(call.admission_key, finish, now);
+        if let Some(record) = call.record {
             self.end_record(record, end, now);
         }
-        Some(flight)
+        Some(call)
     }
 
-    pub(super) fn end_record(&mut self, record: RecordKey, end: FlightEnd, now: Instant) {
+    pub(super) fn end_record(&mut self, record: RecordKey, end: Completion, now: Instant) {
         self.by_record.remove(&record);
         let joined = self.joined.remove(&record).unwrap_or_default();
         match end {
-            FlightEnd::Answered(answer) => {
+            Completion::Answered(answer) => {
                 self.once.answered(record, Arc::clone(&answer), now);
                 for reply in joined {
                     let _ = reply.send(AdmissionDecision::Replayed(Arc::clone(&answer)));
                 }
             }
-            FlightEnd::Lost(kind) => {
+            Completion::Lost(kind) => {
                 self.once.lost(record, now);
                 self.refuse_joined(joined, kind);
             }
-            FlightEnd::Withdrawn(kind) => {
+            Completion::Withdrawn(kind) => {
                 self.once.withdrawn(record, now);
                 self.refuse_joined(joined, kind);
             }
@@ -120,15 +123,15 @@
     }
 }
 
-fn admission_end(end: &FlightEnd, below: bool) -> Finish {
+fn admission_end(end: &Completion, below: bool) -> Finish {
     match end {
-        FlightEnd::Answered(answer) if answer.status.is_server_error() && below => {
+        Completion::Answered(answer) if answer.status.is_server_error() && below => {
             Finish::FailedDownstream
         }
-        FlightEnd::Lost(_) if below => Finish::FailedDownstream,
-        FlightEnd::Answered(answer) if answer.status.is_server_error() => Finish::Failed,
-        FlightEnd::Answered(_) => Finish::Served,
-        FlightEnd::Lost(_) => Finish::Failed,
-        FlightEnd::Withdrawn(_) => Finish::Cancelled,
+        Completion::Lost(_) if below => Finish::FailedDownstream,
+        Completion::Answered(answer) if answer.status.is_server_error() => Finish::Failed,
+        Completion::Answered(_) => Finish::Served,
+        Completion::Lost(_) => Finish::Failed,
+        Completion::Withdrawn(_) => Finish::Cancelled,
     }
 }
--- a/crates/node/src/gate/entering.rs
+++ b/crates/node/src/gate/entering.rs
@@ -11,7 +11,9 @@
 use coltsfootport_core::timeline::Event;
 use tokio::sync::oneshot;
 
-use super::{AdmissionDecision, AdmissionRequest, Below, Flight, FlightPhase, Gate, OwnCalls};
+use super::{
+    AdmissionDecision, AdmissionRequest, Below, Gate, InFlightCall, InFlightPhase, OwnCalls,
+};
 use crate::data::Answer;
 
 impl Gate {
@@ -96,9 +98,9 @@
             deadline: request.deadline,
         };
         self.drop_left();
-        let call = self.admission.offer(offer, now);
+        let admission_key = self.admission.offer(offer, now);
         self.lifecycle.accepted();
-        let flight = Flight {
+        let call = InFlightCall {
             request: request.request,
             class: request.class,
             class_name: request.class_name,
@@ -108,15 +110,15 @@
             sending: request.sending,
             entered: now,
             allowance: Allowance::new(request.allowance),
-            call,
+            admission_key,
             record,
-            phase: FlightPhase::Queued,
+            phase: InFlightPhase::Queued,
             reply: Some(reply),
             own_calls: OwnCalls::default(),
             below: Below::default(),
         };
-        let key = self.flights.insert(flight);
-        self.by_call.insert(call, key);
+        let key = self.calls.insert(call);
+        self.by_admission_key.insert(admission_key, key);
         if let Some(record) = record {
             self.by_record.insert(record, key);
         }
@@ -131,9 +133,9 @@
         reply: oneshot::Sender<AdmissionDecision>,
     ) {
         self.joined.entry(record).or_default().push(reply);
-        let flight = self.by_record.get(&record);
-        if let Some(flight) = flight.and_then(|key| self.flights.get_mut(*key)) {
-            flight.deadline = flight.deadline.max(deadline);
+        let call = self.by_record.get(&record);
+        if let Some(call) = call.and_then(|key| self.calls.get_mut(*key)) {
+            call.deadline = call.deadline.max(deadline);
         }
     }
 
@@ -172,13 +174,13 @@
     fn drop_left(&mut self) {
         let waiting = std::mem::take(&mut self.waiting);
         for key in waiting {
-            let Some(flight) = self.flights.get(key) else {
+            let Some(call) = self.calls.get(key) else {
                 continue;
             };
-            if flight.phase != FlightPhase::Queued {
+            if call.phase != InFlightPhase::Queued {
                 continue;
             }
-            if self.is_left(flight) {
+            if self.is_left(call) {
                 self.abandon(key);
             } else {
                 self.waiting.push(key);
@@ -186,32 +188,28 @@
         }
     }
 
-    fn is_left(&self, flight: &Flight) -> bool {
-        let joined = flight
+    fn is_left(&self, call: &InFlightCall) -> bool {
+        let joined = call
             .record
             .is_some_and(|record| self.joined.contains_key(&record));
-        !joined
-            && flight
-                .reply
-                .as_ref()
-                .is_some_and(oneshot::Sender::is_closed)
+        !joined && call.reply.as_ref().is_some_and(oneshot::Sender::is_closed)
     }
 
     pub(super) fn note_queued(&mut self) {
         let Some(key) = self.entering.take() else {
             return;
         };
-        let Some(flight) = self.flights.get(key) else {
+        let Some(call) = self.calls.get(key) else {
             return;
         };
-        if flight.phase != FlightPhase::Queued {
+        if call.phase != InFlightPhase::Queued {
             return;
         }
         let event = Event::Queued {
-            class: flight.class,
+            class: call.class,
             ahead: self.admission.queued().saturating_sub(1) as u32,
         };
         self.waiting.push(key);
-        self.recorder.record(Some(flight.request), event);
+        self.recorder.record(Some(call.request), event);
     }
 }
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
-    AdmissionDecision, AdmissionRequest, BelowGuard, ContextHandle, Departure, FlightEnd,
-    FlightKey, GateMessage, GateStatus, OwnCall, Parent,
+    AdmissionDecision, AdmissionRequest, BelowGuard, Completion, CompletionReply, ContextHandle,
+    GateMessage, GateStatus, InFlightKey, OwnCall, Parent,
 };
 use crate::data::{Answer, HostReport, Refused};
 
@@ -39,16 +39,15 @@
     }
 
     /// The last check right before the first byte goes to the target.
-    pub async fn dispatch(&self, flight: FlightKey) -> Result<(), ErrorKind> {
-        self.ask(|reply| GateMessage::Dispatch(flight, reply))
+    pub async fn dispatch(&self, key: InFlightKey) -> Result<(), ErrorKind> {
+        self.ask(|reply| GateMessage::Dispatch(key, reply))
             .await
             .unwrap_or(Err(ErrorKind::NotReady))
     }
 
     /// Reports the end of a call in flight.
-    pub async fn finish(&self, flight: FlightKey, end: FlightEnd) -> Option<Departure> {
-        self.ask(|reply| GateMessage::Finish(flight, end, reply))
-            .await
+    pub async fn finish(&self, key: InFlightKey, end: Completion) -> Option<CompletionReply> {
+        self.ask(|reply| GateMessage::Finish(key, end, reply)).await
     }
 
     /// State for a reply about a call that never was in flight.
@@ -65,42 +64,38 @@
     }
 
     /// A part of the allowance for one attempt of a target's own call.
-    pub async fn grant(&self, flight: FlightKey) -> u16 {
-        self.ask(|reply| GateMessage::Grant(flight, reply))
+    pub async fn grant(&self, key: InFlightKey) -> u16 {
+        self.ask(|reply| GateMessage::Grant(key, reply))
             .await
             .unwrap_or(0)
     }
 
     /// Returns what an attempt left of its part.
-    pub fn give_back(&self, flight: FlightKey, granted: u16, left: u16) {
-        let _ = self.tx.send(GateMessage::GiveBack {
-            flight,
-            granted,
-            left,
-        });
+    pub fn give_back(&self, key: InFlightKey, granted: u16, left: u16) {
+        let _ = self.tx.send(GateMessage::GiveBack { key, granted, left });
     }
 
     /// Takes one retry out of the allowance.
-    pub async fn spend(&self, flight: FlightKey) -> bool {
-        self.ask(|reply| GateMessage::Spend(flight, reply))
+    pub async fn spend(&self, key: InFlightKey) -> bool {
+        self.ask(|reply| GateMessage::Spend(key, reply))
             .await
             .unwrap_or(false)
     }
 
     /// Waits until no other call of the target asks for the same thing; `None` where the call in flight has ended.
-    pub async fn own_call(&self, flight: FlightKey, fingerprint: u64) -> Option<OwnCall> {
-        self.ask(|reply| GateMessage::OwnCall(flight, fingerprint, reply))
+    pub async fn own_call(&self, key: InFlightKey, fingerprint: u64) -> Option<OwnCall> {
+        self.ask(|reply| GateMessage::OwnCall(key, fingerprint, reply))
             .await
     }
 
     /// Notes that a target's own call began, and with the guard's end that it ended.
-    pub fn below(&self, flight: FlightKey) -> BelowGuard {
-        BelowGuard::new(flight, self.tx.clone())
+    pub fn below(&self, key: InFlightKey) -> BelowGuard {
+        BelowGuard::new(key, self.tx.clone())
     }
 
     /// Notes the admission level heard below an operation of this target.
-    pub fn level_below(&self, flight: FlightKey, level: Level) {
-        let _ = self.tx.send(GateMessage::LevelBelow(flight, level));
+    pub fn level_below(&self, key: InFlightKey, level: Level) {
+        let _ = self.tx.send(GateMessage::LevelBelow(key, level));
     }
 
     /// Refuses all tries of a token up to a number for good.
--- a/crates/node/src/gate/flight.rs
+++ b/crates/node/src/gate/in_flight_call.rs
@@ -15,12 +15,12 @@
 
 new_key_type! {
     /// Key of a call in flight.
-    pub struct FlightKey;
+    pub struct InFlightKey;
 }
 
 /// How far a call in flight has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FlightPhase {
+pub enum InFlightPhase {
     /// It waits for admission.
     Queued,
     /// It may go to the target.
@@ -31,7 +31,7 @@
 
 /// A call that is in flight at this node.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlightCall {
     /// Request on whose behalf it runs.
     pub request: RequestId,
     /// Its class.
@@ -51,11 +51,11 @@
     /// Retries that its subtree may still make.
     pub allowance: Allowance,
     /// Its place in admission.
-    pub call: CallKey,
+    pub admission_key: CallKey,
     /// Its record, where it runs at most once.
     pub record: Option<RecordKey>,
     /// How far it has come.
-    pub phase: FlightPhase,
+    pub phase: InFlightPhase,
     /// Where its admission is awaited, until it is decided.
     pub reply: Option<oneshot::Sender<AdmissionDecision>>,
     /// Its target's own calls; a repeat of a failed one is a retry.
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{ContextHandle, FlightGuard, FlightKey, OwnCall};
+use super::{ContextHandle, InFlightGuard, InFlightKey, OwnCall};
 use crate::data::{Answer, Call, HostReport, OnceCall, Refused};
 
 /// What the gate needs to know of a call that asks to run here.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub enum AdmissionDecision {
     /// It may go to the target after a last check.
-    Admitted(FlightGuard),
+    Admitted(InFlightGuard),
     /// An earlier try has run; this is its answer.
     Replayed(Arc<Answer>),
     /// It does not run.
@@ -53,7 +53,7 @@
 
 /// How a call in flight ended.
 #[derive(Clone, Debug)]
-pub enum FlightEnd {
+pub enum Completion {
     /// The target answered.
     Answered(Arc<Answer>),
     /// It was dispatched and no whole answer came.
@@ -64,7 +64,7 @@
 
 /// What a host says with a reply.
 #[derive(Clone, Debug)]
-pub struct Departure {
+pub struct CompletionReply {
     /// Retry allowance that the subtree did not use.
     pub allowance_left: u16,
     /// State of the host.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct Parent {
     /// The call in flight.
-    pub flight: FlightKey,
+    pub key: InFlightKey,
     /// Request on whose behalf it runs.
     pub request: RequestId,
     /// Its class.
@@ -111,50 +111,50 @@
     /// A call asks to run.
     Admit(Box<AdmissionRequest>, oneshot::Sender<AdmissionDecision>),
     /// Last check right before the first byte goes to the target.
-    Dispatch(FlightKey, oneshot::Sender<Result<(), ErrorKind>>),
+    Dispatch(InFlightKey, oneshot::Sender<Result<(), ErrorKind>>),
     /// A call in flight ended.
-    Finish(FlightKey, FlightEnd, oneshot::Sender<Departure>),
+    Finish(InFlightKey, Completion, oneshot::Sender<CompletionReply>),
     /// A call in flight was dropped by its owner.
-    Abandon(FlightKey),
+    Abandon(InFlightKey),
     /// State for a reply about a call that never was in flight.
     Report(SmolStr, oneshot::Sender<HostReport>),
     /// The call that a target's own call serves.
     Parent(ContextHandle, oneshot::Sender<Option<Parent>>),
     /// A part of the allowance for one attempt of a target's own call.
-    Grant(FlightKey, oneshot::Sender<u16>),
+    Grant(InFlightKey, oneshot::Sender<u16>),
     /// What an attempt left of its part.
     GiveBack {
         /// The call in flight.
-        flight: FlightKey,
+        key: InFlightKey,
         /// What was granted.
         granted: u16,
         /// What is left of it.
         left: u16,
     },
     /// One retry out of the allowance.
-    Spend(FlightKey, oneshot::Sender<bool>),
+    Spend(InFlightKey, oneshot::Sender<bool>),
     /// A target's own call, with its fingerprint, wants to begin.
-    OwnCall(FlightKey, u64, oneshot::Sender<OwnCall>),
+    OwnCall(InFlightKey, u64, oneshot::Sender<OwnCall>),
     /// A target's own call ended.
     OwnCallEnded {
         /// The call in flight that it served.
-        flight: FlightKey,
+        key: InFlightKey,
         /// What it asked for.
         fingerprint: u64,
         /// Whether the target got it.
         succeeded: bool,
     },
     /// A target's own call arrived.
-    BelowBegan(FlightKey),
+    BelowBegan(InFlightKey),
     /// A target's own call was answered or given up.
     BelowEnded {
         /// The call in flight that it served.
-        flight: FlightKey,
+        key: InFlightKey,
         /// Whether it was answered with success.
         succeeded: bool,
     },
     /// Admission level heard below an operation of this target.
-    LevelBelow(FlightKey, Level),
+    LevelBelow(InFlightKey, Level),
     /// Refuses all tries of a token up to a number for good.
     Refuse(Box<Token>, Try, oneshot::Sender<Refusal<Arc<Answer>>>),
     /// The node becomes ready to take work.
--- a/crates/node/src/gate/own_call.rs
+++ b/crates/node/src/gate/own_call.rs
@@ -5,7 +5,7 @@
 use coltsfootport_core::collections::Map;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{FlightKey, GateMessage};
+use super::{GateMessage, InFlightKey};
 
 /// The right to make one call of a target's own; dropped without success it counts as failed.
 ///
@@ -13,7 +13,7 @@
 /// failures noted that are answered, the target's next try would pass as a new call and cost nothing.
 #[derive(Debug)]
 pub struct OwnCall {
-    flight: FlightKey,
+    key: InFlightKey,
     fingerprint: u64,
     repeats: bool,
     succeeded: bool,
@@ -48,7 +48,7 @@
 impl Drop for OwnCall {
     fn drop(&mut self) {
         let _ = self.tx.send(GateMessage::OwnCallEnded {
-            flight: self.flight,
+            key: self.key,
             fingerprint: self.fingerprint,
             succeeded: self.succeeded,
         });
@@ -63,7 +63,7 @@
     /// until then.
     pub fn begin(
         &mut self,
-        flight: FlightKey,
+        key: InFlightKey,
         fingerprint: u64,
         reply: oneshot::Sender<OwnCall>,
         tx: &mpsc::UnboundedSender<GateMessage>,
@@ -71,14 +71,14 @@
         let state = self.states.entry(fingerprint).or_default();
         state.waiting.push_back(reply);
         if !state.running {
-            state.start_next(flight, fingerprint, tx);
+            state.start_next(key, fingerprint, tx);
         }
     }
 
     /// Takes the end of a call that had begun.
     pub fn ended(
         &mut self,
-        flight: FlightKey,
+        key: InFlightKey,
         fingerprint: u64,
         succeeded: bool,
         tx: &mpsc::UnboundedSender<GateMessage>,
@@ -88,7 +88,7 @@
         };
         state.running = false;
         state.failed = !succeeded;
-        state.start_next(flight, fingerprint, tx);
+        state.start_next(key, fingerprint, tx);
         if !state.running && !state.failed {
             self.states.remove(&fingerprint);
         }
@@ -98,7 +98,7 @@
 impl State {
     fn start_next(
         &mut self,
-        flight: FlightKey,
+        key: InFlightKey,
         fingerprint: u64,
         tx: &mpsc::UnboundedSender<GateMessage>,
     ) {
@@ -108,7 +108,7 @@
             }
             self.running = true;
             let call = OwnCall {
-                flight,
+                key,
                 fingerprint,
                 repeats: self.failed,
                 succeeded: false,
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -15,7 +15,7 @@
 use slotmap::SlotMap;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{AdmissionDecision, Flight, FlightKey, GateHandle, GateMessage};
+use super::{AdmissionDecision, GateHandle, GateMessage, InFlightCall, InFlightKey};
 use crate::clock::SharedClock;
 use crate::data::Answer;
 use crate::recorder::Recorder;
@@ -59,19 +59,19 @@
     pub(super) admission: Admission,
     pub(super) once: OnceTable<Arc<Answer>>,
     pub(super) lifecycle: Lifecycle,
-    pub(super) flights: SlotMap<FlightKey, Flight>,
-    pub(super) by_call: Map<CallKey, FlightKey>,
-    pub(super) by_record: Map<RecordKey, FlightKey>,
+    pub(super) calls: SlotMap<InFlightKey, InFlightCall>,
+    pub(super) by_admission_key: Map<CallKey, InFlightKey>,
+    pub(super) by_record: Map<RecordKey, InFlightKey>,
     pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
     pub(super) below: DownstreamLevels,
     /// A call that asked to run by the message at hand.
-    pub(super) entering: Option<FlightKey>,
+    pub(super) entering: Option<InFlightKey>,
     pub(super) actions: Vec<Action>,
     pub(super) drained: Vec<oneshot::Sender<()>>,
     pub(super) rng: SmallRng,
     pub(super) published: watch::Receiver<Arc<Published>>,
     /// Calls that wait, for those whose callers leave.
-    pub(super) waiting: Vec<FlightKey>,
+    pub(super) waiting: Vec<InFlightKey>,
     /// When records of expired tokens are dropped next.
     pub(super) expire_at: Instant,
     pub(super) tx: mpsc::UnboundedSender<GateMessage>,
@@ -87,8 +87,8 @@
             admission: Admission::new(setup.admission, now),
             once: OnceTable::new(setup.once, setup.incarnation, setup.started),
             lifecycle: Lifecycle::new(setup.lifecycle),
-            flights: SlotMap::with_key(),
-            by_call: Map::default(),
+            calls: SlotMap::with_key(),
+            by_admission_key: Map::default(),
             by_record: Map::default(),
             joined: Map::default(),
             below: DownstreamLevels::new(DownstreamLevelsConfig::default()),
@@ -165,49 +165,37 @@
                 let _ = reply.send(self.parent(handle));
             }
             GateMessage::Grant(key, reply) => self.grant(key, reply),
-            GateMessage::GiveBack {
-                flight,
-                granted,
-                left,
-            } => {
-                self.give_back(flight, granted, left);
+            GateMessage::GiveBack { key, granted, left } => {
+                self.give_back(key, granted, left);
             }
             GateMessage::Spend(key, reply) => {
-                let spent = self
-                    .flights
-                    .get_mut(key)
-                    .is_some_and(|f| f.allowance.spend());
+                let spent = self.calls.get_mut(key).is_some_and(|f| f.allowance.spend());
                 let _ = reply.send(spent);
             }
             GateMessage::OwnCall(key, fingerprint, reply) => {
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.own_calls.begin(key, fingerprint, reply, &self.tx);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.own_calls.begin(key, fingerprint, reply, &self.tx);
                 }
             }
             GateMessage::OwnCallEnded {
-                flight: key,
+                key,
                 fingerprint,
                 succeeded,
             } => {
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight
-                        .own_calls
-                        .ended(key, fingerprint, succeeded, &self.tx);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.own_calls.ended(key, fingerprint, succeeded, &self.tx);
                 }
             }
             GateMessage::BelowBegan(key) => {
                 let now = self.clock.now();
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.below.began(now);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.below.began(now);
                 }
             }
-            GateMessage::BelowEnded {
-                flight: key,
-                succeeded,
-            } => {
+            GateMessage::BelowEnded { key, succeeded } => {
                 let now = self.clock.now();
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.below.ended(succeeded, now);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.below.ended(succeeded, now);
                 }
             }
             GateMessage::LevelBelow(key, level) => self.level_below(key, level),
--- a/crates/node/src/host/runner.rs
+++ b/crates/node/src/host/runner.rs
@@ -13,8 +13,8 @@
 use crate::clock::SharedClock;
 use crate::data::{Answer, AttemptId, Call, HostReport, Refused, Reply, Verdict};
 use crate::gate::{
-    AdmissionDecision, AdmissionRequest, ContextHandle, Departure, FlightEnd, FlightGuard,
-    GateHandle,
+    AdmissionDecision, AdmissionRequest, Completion, CompletionReply, ContextHandle, GateHandle,
+    InFlightGuard,
 };
 use crate::metrics::Metrics;
 use crate::recorder::Recorder;
@@ -114,7 +114,7 @@
     }
 
     /// Runs a call in a task of its own, so that its answer is kept even where its caller goes.
-    async fn run_detached(&self, call: Call, guard: FlightGuard) -> Option<Reply> {
+    async fn run_detached(&self, call: Call, guard: InFlightGuard) -> Option<Reply> {
         let (reply, replied) = oneshot::channel();
         let host = self.clone();
         let attempt = call.attempt;
@@ -129,7 +129,7 @@
     async fn execute(
         &self,
         call: Call,
-        guard: FlightGuard,
+        guard: InFlightGuard,
         patience: Instant,
         caller: Option<&oneshot::Sender<Option<Executed>>>,
     ) -> Option<Executed> {
@@ -168,34 +168,34 @@
         self.setup.metrics.calls.added(added);
     }
 
-    async fn answered(&self, guard: FlightGuard, answer: Arc<Answer>) -> Option<Executed> {
-        let end = FlightEnd::Answered(Arc::clone(&answer));
-        let departure = self.setup.gate.finish(guard.release(), end).await?;
+    async fn answered(&self, guard: InFlightGuard, answer: Arc<Answer>) -> Option<Executed> {
+        let end = Completion::Answered(Arc::clone(&answer));
+        let completion = self.setup.gate.finish(guard.release(), end).await?;
         Some(Executed {
             verdict: Verdict::Answered((*answer).clone()),
-            departure,
+            completion,
         })
     }
 
-    async fn lose(&self, guard: FlightGuard, kind: ErrorKind) -> Option<Executed> {
-        let departure = self
+    async fn lose(&self, guard: InFlightGuard, kind: ErrorKind) -> Option<Executed> {
+        let completion = self
             .setup
             .gate
-            .finish(guard.release(), FlightEnd::Lost(kind))
+            .finish(guard.release(), Completion::Lost(kind))
             .await?;
         Some(Executed {
             verdict: Verdict::Refused(Refused::from(kind)),
-            departure,
+            completion,
         })
     }
 
-    async fn withdraw(&self, guard: FlightGuard, kind: ErrorKind) -> Option<Executed> {
-        let end = FlightEnd::Withdrawn(kind);
-        let departure = self.setup.gate.finish(guard.release(), end).await?;
+    async fn withdraw(&self, guard: InFlightGuard, kind: ErrorKind) -> Option<Executed> {
+        let end = Completion::Withdrawn(kind);
+        let completion = self.setup.gate.finish(guard.release(), end).await?;
         let refused = Refused::new(kind, WITHDRAWN_RETRY_AFTER);
         Some(Executed {
             verdict: Verdict::Refused(refused),
-            departure,
+            completion,
         })
     }
 }
@@ -209,16 +209,16 @@
 #[derive(Debug)]
 struct Executed {
     verdict: Verdict,
-    departure: Departure,
+    completion: CompletionReply,
 }
 
 impl Executed {
     fn into_reply(self, attempt: AttemptId) -> Reply {
         Reply {
             attempt,
-            allowance_left: self.departure.allowance_left,
+            allowance_left: self.completion.allowance_left,
             verdict: self.verdict,
-            report: self.departure.report,
+            report: self.completion.report,
         }
     }
 }
--- a/crates/node/tests/own_calls.rs
+++ b/crates/node/tests/own_calls.rs
@@ -1,6 +1,6 @@
 //! Which calls of a target's own count as repeats of a failed one.
 
-use coltsfootport::gate::{FlightKey, GateMessage, OwnCall, OwnCalls};
+use coltsfootport::gate::{GateMessage, InFlightKey, OwnCall, OwnCalls};
 use tokio::sync::{mpsc, oneshot};
 
 /// What the target does; numbers are calls in the order in which they were sent.
@@ -75,7 +75,7 @@
         match step {
             Send => {
                 let (reply, begun) = oneshot::channel();
-                self.calls.begin(FlightKey::default(), 1, reply, tx);
+                self.calls.begin(InFlightKey::default(), 1, reply, tx);
                 self.waiting.push(Some(begun));
                 self.running.push(None);
                 self.repeats.push(None);
@@ -111,14 +111,14 @@
             calls.take(*step, &tx);
             while let Ok(message) = rx.try_recv() {
                 let GateMessage::OwnCallEnded {
-                    flight,
+                    key,
                     fingerprint,
                     succeeded,
                 } = message
                 else {
                     panic!("{}: {message:?}", case.name);
                 };
-                calls.calls.ended(flight, fingerprint, succeeded, &tx);
+                calls.calls.ended(key, fingerprint, succeeded, &tx);
             }
             calls.note_begun();
         }
