--- a/crates/node/src/entry/budget.rs
+++ b/crates/node/src/entry/budget.rs
@@ -41,7 +41,7 @@
     /// Notes the admission level below the call, for callers of the operation that it serves.
     pub fn level_below(&self, level: Level) {
         if let Self::Flight(gate, key) = self {
-            gate.level_below(*key, level);
+            gate.record_downstream_level(*key, level);
         }
     }
 
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -201,7 +201,7 @@
         };
         self.recorder.record(Some(request), event);
         let below = match &origin {
-            Origin::Flight(parent) => Some(self.gate.below(parent.key)),
+            Origin::Flight(parent) => Some(self.gate.downstream_started(parent.key)),
             _ => None,
         };
         let outgoing = match self.own_call(&origin, &inbound, &mut prepared).await {
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -1,9 +1,9 @@
 //! The gate: one task that decides which calls its target runs, and keeps every call in flight here.
 
-mod below;
-mod below_guard;
 mod context;
 mod deciding;
+mod downstream_calls;
+mod downstream_guard;
 mod ending;
 mod entering;
 mod figures;
@@ -16,9 +16,9 @@
 mod serving;
 mod task;
 
-pub use below::Below;
-pub use below_guard::BelowGuard;
 pub use context::ContextHandle;
+pub use downstream_calls::DownstreamCalls;
+pub use downstream_guard::DownstreamGuard;
 pub use handle::GateHandle;
 pub use in_flight_call::{InFlightCall, InFlightKey, InFlightPhase};
 pub use in_flight_guard::InFlightGuard;
--- a/crates/node/src/gate/below_guard.rs
+++ b/crates/node/src/gate/downstream_guard.rs
@@ -8,16 +8,16 @@
 ///
 /// Without it a cancelled call would count as under way for ever, and its parent as waiting below.
 #[derive(Debug)]
-pub struct BelowGuard {
+pub struct DownstreamGuard {
     key: InFlightKey,
     tx: mpsc::UnboundedSender<GateMessage>,
     succeeded: bool,
 }
 
-impl BelowGuard {
+impl DownstreamGuard {
     /// Notes that a call on behalf of this call in flight began.
     pub fn new(key: InFlightKey, tx: mpsc::UnboundedSender<GateMessage>) -> Self {
-        let _ = tx.send(GateMessage::BelowBegan(key));
+        let _ = tx.send(GateMessage::DownstreamStarted(key));
         Self {
             key,
             tx,
@@ -31,9 +31,9 @@
     }
 }
 
-impl Drop for BelowGuard {
+impl Drop for DownstreamGuard {
     fn drop(&mut self) {
-        let _ = self.tx.send(GateMessage::BelowEnded {
+        let _ = self.tx.send(GateMessage::DownstreamEnded {
             key: self.key,
             succeeded: self.succeeded,
         });
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -84,10 +84,10 @@
             InFlightPhase::Dispatched => self.lifecycle.finished(),
             InFlightPhase::Queued | InFlightPhase::Admitted => self.lifecycle.withdrawn(),
         }
-        let waited = call.below.total(now);
+        let waited = call.downstream.total(now);
         self.admission
             .record_downstream_wait(call.admission_key, waited);
-        let finish = admission_end(&end, call.below.may_have_failed());
+        let finish = admission_end(&end, call.downstream.may_have_failed());
         self.admission.finish(call.admission_key, finish, now);
         if let Some(record) = call.record {
             self.end_record(record, end, now);
@@ -123,12 +123,14 @@
     }
 }
 
-fn admission_end(end: &Completion, below: bool) -> Finish {
+fn admission_end(end: &Completion, downstream_may_have_failed: bool) -> Finish {
     match end {
-        Completion::Answered(answer) if answer.status.is_server_error() && below => {
+        Completion::Answered(answer)
+            if answer.status.is_server_error() && downstream_may_have_failed =>
+        {
             Finish::FailedDownstream
         }
-        Completion::Lost(_) if below => Finish::FailedDownstream,
+        Completion::Lost(_) if downstream_may_have_failed => Finish::FailedDownstream,
         Completion::Answered(answer) if answer.status.is_server_error() => Finish::Failed,
         Completion::Answered(_) => Finish::Served,
         Completion::Lost(_) => Finish::Failed,
--- a/crates/node/src/gate/entering.rs
+++ b/crates/node/src/gate/entering.rs
@@ -12,7 +12,8 @@
 use tokio::sync::oneshot;
 
 use super::{
-    AdmissionDecision, AdmissionRequest, Below, Gate, InFlightCall, InFlightPhase, OwnCalls,
+    AdmissionDecision, AdmissionRequest, DownstreamCalls, Gate, InFlightCall, InFlightPhase,
+    OwnCalls,
 };
 use crate::data::Answer;
 
@@ -115,7 +116,7 @@
             phase: InFlightPhase::Queued,
             reply: Some(reply),
             own_calls: OwnCalls::default(),
-            below: Below::default(),
+            downstream: DownstreamCalls::default(),
         };
         let key = self.calls.insert(call);
         self.by_admission_key.insert(admission_key, key);
--- a/crates/node/src/gate/figures.rs
+++ b/crates/node/src/gate/figures.rs
@@ -16,7 +16,9 @@
 impl Gate {
     pub(super) fn report(&mut self, operation: &SmolStr) -> HostReport {
         let now = self.clock.now();
-        let below = self.below.level(&ServiceName(operation.clone()), now);
+        let downstream = self
+            .downstream_levels
+            .level(&ServiceName(operation.clone()), now);
         HostReport {
             node: self.node.clone(),
             incarnation: self.incarnation,
@@ -25,7 +27,7 @@
             in_flight: self.admission.in_flight(),
             queued: self.admission.queued() as u32,
             limit: self.admission.limit(),
-            level: self.admission.level().min(below),
+            level: self.admission.level().min(downstream),
             revision: self.published.borrow().revision,
         }
     }
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
-    AdmissionDecision, AdmissionRequest, BelowGuard, Completion, CompletionReply, ContextHandle,
-    GateMessage, GateStatus, InFlightKey, OwnCall, Parent,
+    AdmissionDecision, AdmissionRequest, Completion, CompletionReply, ContextHandle,
+    DownstreamGuard, GateMessage, GateStatus, InFlightKey, OwnCall, Parent,
 };
 use crate::data::{Answer, HostReport, Refused};
 
@@ -89,13 +89,13 @@
     }
 
     /// Notes that a target's own call began, and with the guard's end that it ended.
-    pub fn below(&self, key: InFlightKey) -> BelowGuard {
-        BelowGuard::new(key, self.tx.clone())
+    pub fn downstream_started(&self, key: InFlightKey) -> DownstreamGuard {
+        DownstreamGuard::new(key, self.tx.clone())
     }
 
     /// Notes the admission level heard below an operation of this target.
-    pub fn level_below(&self, key: InFlightKey, level: Level) {
-        let _ = self.tx.send(GateMessage::LevelBelow(key, level));
+    pub fn record_downstream_level(&self, key: InFlightKey, level: Level) {
+        let _ = self.tx.send(GateMessage::DownstreamLevel(key, level));
     }
 
     /// Refuses all tries of a token up to a number for good.
--- a/crates/node/src/gate/in_flight_call.rs
+++ b/crates/node/src/gate/in_flight_call.rs
@@ -11,7 +11,7 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{AdmissionDecision, Below, OwnCalls};
+use super::{AdmissionDecision, DownstreamCalls, OwnCalls};
 
 new_key_type! {
     /// Key of a call in flight.
@@ -61,5 +61,5 @@
     /// Its target's own calls; a repeat of a failed one is a retry.
     pub own_calls: OwnCalls,
     /// Time that its target spends on its own calls.
-    pub below: Below,
+    pub downstream: DownstreamCalls,
 }
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -145,16 +145,16 @@
         succeeded: bool,
     },
     /// A target's own call arrived.
-    BelowBegan(InFlightKey),
+    DownstreamStarted(InFlightKey),
     /// A target's own call was answered or given up.
-    BelowEnded {
+    DownstreamEnded {
         /// The call in flight that it served.
         key: InFlightKey,
         /// Whether it was answered with success.
         succeeded: bool,
     },
     /// Admission level heard below an operation of this target.
-    LevelBelow(InFlightKey, Level),
+    DownstreamLevel(InFlightKey, Level),
     /// Refuses all tries of a token up to a number for good.
     Refuse(Box<Token>, Try, oneshot::Sender<Refusal<Arc<Answer>>>),
     /// The node becomes ready to take work.
--- a/crates/node/src/gate/serving.rs
+++ b/crates/node/src/gate/serving.rs
@@ -42,11 +42,12 @@
         }
     }
 
-    pub(super) fn level_below(&mut self, key: InFlightKey, level: Level) {
+    pub(super) fn record_downstream_level(&mut self, key: InFlightKey, level: Level) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
         let operation = ServiceName(call.operation.clone());
-        self.below.record(&operation, level, self.clock.now());
+        self.downstream_levels
+            .record(&operation, level, self.clock.now());
     }
 }
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -63,7 +63,7 @@
     pub(super) by_admission_key: Map<CallKey, InFlightKey>,
     pub(super) by_record: Map<RecordKey, InFlightKey>,
     pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
-    pub(super) below: DownstreamLevels,
+    pub(super) downstream_levels: DownstreamLevels,
     /// A call that asked to run by the message at hand.
     pub(super) entering: Option<InFlightKey>,
     pub(super) actions: Vec<Action>,
@@ -91,7 +91,7 @@
             by_admission_key: Map::default(),
             by_record: Map::default(),
             joined: Map::default(),
-            below: DownstreamLevels::new(DownstreamLevelsConfig::default()),
+            downstream_levels: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             actions: Vec::new(),
             drained: Vec::new(),
             rng: SmallRng::from_os_rng(),
@@ -186,19 +186,19 @@
                     call.own_calls.ended(key, fingerprint, succeeded, &self.tx);
                 }
             }
-            GateMessage::BelowBegan(key) => {
+            GateMessage::DownstreamStarted(key) => {
                 let now = self.clock.now();
                 if let Some(call) = self.calls.get_mut(key) {
-                    call.below.began(now);
+                    call.downstream.started(now);
                 }
             }
-            GateMessage::BelowEnded { key, succeeded } => {
+            GateMessage::DownstreamEnded { key, succeeded } => {
                 let now = self.clock.now();
                 if let Some(call) = self.calls.get_mut(key) {
-                    call.below.ended(succeeded, now);
+                    call.downstream.ended(succeeded, now);
                 }
             }
-            GateMessage::LevelBelow(key, level) => self.level_below(key, level),
+            GateMessage::DownstreamLevel(key, level) => self.record_downstream_level(key, level),
             GateMessage::Refuse(token, up_to, reply) => {
                 let _ = reply.send(self.refuse(&token, up_to));
             }
