--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -19,7 +19,7 @@
 use super::{Dispatcher, Inbound, Origin, Outgoing};
 use crate::clock::{SharedClock, micros};
 use crate::data::{Refused, Verdict};
-use crate::gate::{ContextHandle, GateHandle, OwnCall};
+use crate::gate::{ContextHandle, DownstreamPermit, GateHandle};
 use crate::http::{BodyError, CallerConnection, HttpAnswer, names, read_whole};
 use crate::metrics::{Listener, Metrics, Rejected};
 use crate::recorder::Recorder;
@@ -253,19 +253,21 @@
         origin: &Origin,
         inbound: &Inbound,
         prepared: &mut Prepared,
-    ) -> Result<Option<OwnCall>, ErrorKind> {
+    ) -> Result<Option<DownstreamPermit>, ErrorKind> {
         let Origin::Flight(parent) = origin else {
             return Ok(None);
         };
         if !self.limits.allowance_enabled {
             return Ok(None);
         }
-        let begun = self.gate.own_call(parent.key, inbound.fingerprint());
+        let begun = self
+            .gate
+            .downstream_permit(parent.key, inbound.fingerprint());
         let own = tokio::time::timeout_at(prepared.call.deadline.into(), begun)
             .await
             .map_err(|_| ErrorKind::ExpiredBeforeDispatch)?
             .ok_or(ErrorKind::UnknownContext)?;
-        if own.repeats() && !prepared.budget.spend().await {
+        if own.is_repeat() && !prepared.budget.spend().await {
             return Err(ErrorKind::Shed);
         }
         Ok(Some(own))
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -12,7 +12,7 @@
 mod in_flight_guard;
 mod life;
 mod message;
-mod own_call;
+mod repeat_detector;
 mod serving;
 mod task;
 
@@ -26,5 +26,5 @@
     AdmissionDecision, AdmissionRequest, Completion, CompletionReply, GateMessage, GateStatus,
     Parent,
 };
-pub use own_call::{OwnCall, OwnCalls};
+pub use repeat_detector::{DownstreamPermit, RepeatDetector};
 pub use task::{Gate, GateSetup};
--- a/crates/node/src/gate/entering.rs
+++ b/crates/node/src/gate/entering.rs
@@ -13,7 +13,7 @@
 
 use super::{
     AdmissionDecision, AdmissionRequest, DownstreamCalls, Gate, InFlightCall, InFlightPhase,
-    OwnCalls,
+    RepeatDetector,
 };
 use crate::data::Answer;
 
@@ -115,7 +115,7 @@
             record,
             phase: InFlightPhase::Queued,
             reply: Some(reply),
-            own_calls: OwnCalls::default(),
+            repeat_detector: RepeatDetector::default(),
             downstream: DownstreamCalls::default(),
         };
         let key = self.calls.insert(call);
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -10,7 +10,7 @@
 
 use super::{
     AdmissionDecision, AdmissionRequest, Completion, CompletionReply, ContextHandle,
-    DownstreamGuard, GateMessage, GateStatus, InFlightKey, OwnCall, Parent,
+    DownstreamGuard, DownstreamPermit, GateMessage, GateStatus, InFlightKey, Parent,
 };
 use crate::data::{Answer, HostReport, Refused};
 
@@ -83,8 +83,12 @@
     }
 
     /// Waits until no other call of the target asks for the same thing; `None` where the call in flight has ended.
-    pub async fn own_call(&self, key: InFlightKey, fingerprint: u64) -> Option<OwnCall> {
-        self.ask(|reply| GateMessage::OwnCall(key, fingerprint, reply))
+    pub async fn downstream_permit(
+        &self,
+        key: InFlightKey,
+        fingerprint: u64,
+    ) -> Option<DownstreamPermit> {
+        self.ask(|reply| GateMessage::AcquirePermit(key, fingerprint, reply))
             .await
     }
 
--- a/crates/node/src/gate/in_flight_call.rs
+++ b/crates/node/src/gate/in_flight_call.rs
@@ -11,7 +11,7 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{AdmissionDecision, DownstreamCalls, OwnCalls};
+use super::{AdmissionDecision, DownstreamCalls, RepeatDetector};
 
 new_key_type! {
     /// Key of a call in flight.
@@ -59,7 +59,7 @@
     /// Where its admission is awaited, until it is decided.
     pub reply: Option<oneshot::Sender<AdmissionDecision>>,
     /// Its target's own calls; a repeat of a failed one is a retry.
-    pub own_calls: OwnCalls,
+    pub repeat_detector: RepeatDetector,
     /// Time that its target spends on its own calls.
     pub downstream: DownstreamCalls,
 }
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{ContextHandle, InFlightGuard, InFlightKey, OwnCall};
+use super::{ContextHandle, DownstreamPermit, InFlightGuard, InFlightKey};
 use crate::data::{Answer, Call, HostReport, OnceCall, Refused};
 
 /// What the gate needs to know of a call that asks to run here.
@@ -134,9 +134,9 @@
     /// One retry out of the allowance.
     Spend(InFlightKey, oneshot::Sender<bool>),
     /// A target's own call, with its fingerprint, wants to begin.
-    OwnCall(InFlightKey, u64, oneshot::Sender<OwnCall>),
+    AcquirePermit(InFlightKey, u64, oneshot::Sender<DownstreamPermit>),
     /// A target's own call ended.
-    OwnCallEnded {
+    ReleasePermit {
         /// The call in flight that it served.
         key: InFlightKey,
         /// What it asked for.
--- a/crates/node/src/gate/own_call.rs
+++ b/crates/node/src/gate/repeat_detector.rs
@@ -12,17 +12,17 @@
 /// A target that gives a call up closes its connection, which drops the future that serves the call at any await. Were only
 /// failures noted that are answered, the target's next try would pass as a new call and cost nothing.
 #[derive(Debug)]
-pub struct OwnCall {
+pub struct DownstreamPermit {
     key: InFlightKey,
     fingerprint: u64,
-    repeats: bool,
+    is_repeat: bool,
     succeeded: bool,
     tx: mpsc::UnboundedSender<GateMessage>,
 }
 
 /// The own calls of one call in flight, by what they ask for; those that succeeded are not kept.
 #[derive(Debug, Default)]
-pub struct OwnCalls {
+pub struct RepeatDetector {
     states: Map<u64, State>,
 }
 
@@ -30,13 +30,13 @@
 struct State {
     running: bool,
     failed: bool,
-    waiting: VecDeque<oneshot::Sender<OwnCall>>,
+    waiting: VecDeque<oneshot::Sender<DownstreamPermit>>,
 }
 
-impl OwnCall {
+impl DownstreamPermit {
     /// Whether the call asks again for what failed before.
-    pub fn repeats(&self) -> bool {
-        self.repeats
+    pub fn is_repeat(&self) -> bool {
+        self.is_repeat
     }
 
     /// The target got what it asked for.
@@ -45,9 +45,9 @@
     }
 }
 
-impl Drop for OwnCall {
+impl Drop for DownstreamPermit {
     fn drop(&mut self) {
-        let _ = self.tx.send(GateMessage::OwnCallEnded {
+        let _ = self.tx.send(GateMessage::ReleasePermit {
             key: self.key,
             fingerprint: self.fingerprint,
             succeeded: self.succeeded,
@@ -55,17 +55,17 @@
     }
 }
 
-impl OwnCalls {
+impl RepeatDetector {
     /// Takes a call that wants to begin; `tx` is where its end is told.
     ///
     /// Calls that ask for the same thing go one after the other. A target that gives up a call and sends it again may be
     /// heard with the second before the first is known to have ended, and whether the second is a retry is not known
     /// until then.
-    pub fn begin(
+    pub fn acquire(
         &mut self,
         key: InFlightKey,
         fingerprint: u64,
-        reply: oneshot::Sender<OwnCall>,
+        reply: oneshot::Sender<DownstreamPermit>,
         tx: &mpsc::UnboundedSender<GateMessage>,
     ) {
         let state = self.states.entry(fingerprint).or_default();
@@ -76,7 +76,7 @@
     }
 
     /// Takes the end of a call that had begun.
-    pub fn ended(
+    pub fn release(
         &mut self,
         key: InFlightKey,
         fingerprint: u64,
@@ -107,15 +107,15 @@
                 continue;
             }
             self.running = true;
-            let call = OwnCall {
+            let permit = DownstreamPermit {
                 key,
                 fingerprint,
-                repeats: self.failed,
+                is_repeat: self.failed,
                 succeeded: false,
                 tx: tx.clone(),
             };
             // A receiver that has gone drops the call inside the message, which tells its end.
-            let _ = next.send(call);
+            let _ = next.send(permit);
             return;
         }
     }
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -172,18 +172,20 @@
                 let spent = self.calls.get_mut(key).is_some_and(|f| f.allowance.spend());
                 let _ = reply.send(spent);
             }
-            GateMessage::OwnCall(key, fingerprint, reply) => {
+            GateMessage::AcquirePermit(key, fingerprint, reply) => {
                 if let Some(call) = self.calls.get_mut(key) {
-                    call.own_calls.begin(key, fingerprint, reply, &self.tx);
+                    call.repeat_detector
+                        .acquire(key, fingerprint, reply, &self.tx);
                 }
             }
-            GateMessage::OwnCallEnded {
+            GateMessage::ReleasePermit {
                 key,
                 fingerprint,
                 succeeded,
             } => {
                 if let Some(call) = self.calls.get_mut(key) {
-                    call.own_calls.ended(key, fingerprint, succeeded, &self.tx);
+                    call.repeat_detector
+                        .release(key, fingerprint, succeeded, &self.tx);
                 }
             }
             GateMessage::DownstreamStarted(key) => {
--- a/crates/node/tests/own_calls.rs
+++ b/crates/node/tests/own_calls.rs
@@ -1,6 +1,6 @@
 //! Which calls of a target's own count as repeats of a failed one.
 
-use coltsfootport::gate::{GateMessage, InFlightKey, OwnCall, OwnCalls};
+use coltsfootport::gate::{DownstreamPermit, GateMessage, InFlightKey, RepeatDetector};
 use tokio::sync::{mpsc, oneshot};
 
 /// What the target does; numbers are calls in the order in which they were sent.
@@ -64,9 +64,9 @@
 /// A target's calls as its connections hold them.
 #[derive(Default)]
 struct Calls {
-    calls: OwnCalls,
-    waiting: Vec<Option<oneshot::Receiver<OwnCall>>>,
-    running: Vec<Option<OwnCall>>,
+    detector: RepeatDetector,
+    waiting: Vec<Option<oneshot::Receiver<DownstreamPermit>>>,
+    running: Vec<Option<DownstreamPermit>>,
     repeats: Vec<Option<bool>>,
 }
 
@@ -75,7 +75,7 @@
         match step {
             Send => {
                 let (reply, begun) = oneshot::channel();
-                self.calls.begin(InFlightKey::default(), 1, reply, tx);
+                self.detector.acquire(InFlightKey::default(), 1, reply, tx);
                 self.waiting.push(Some(begun));
                 self.running.push(None);
                 self.repeats.push(None);
@@ -90,9 +90,9 @@
 
     fn note_begun(&mut self) {
         for (n, waiting) in self.waiting.iter_mut().enumerate() {
-            if let Some(call) = waiting.as_mut().and_then(|begun| begun.try_recv().ok()) {
-                self.repeats[n] = Some(call.repeats());
-                self.running[n] = Some(call);
+            if let Some(permit) = waiting.as_mut().and_then(|begun| begun.try_recv().ok()) {
+                self.repeats[n] = Some(permit.is_repeat());
+                self.running[n] = Some(permit);
                 *waiting = None;
             }
         }
@@ -110,7 +110,7 @@
         for step in case.steps {
             calls.take(*step, &tx);
             while let Ok(message) = rx.try_recv() {
-                let GateMessage::OwnCallEnded {
+                let GateMessage::ReleasePermit {
                     key,
                     fingerprint,
                     succeeded,
@@ -118,7 +118,7 @@
                 else {
                     panic!("{}: {message:?}", case.name);
                 };
-                calls.calls.ended(key, fingerprint, succeeded, &tx);
+                calls.detector.release(key, fingerprint, succeeded, &tx);
             }
             calls.note_begun();
         }
