--- a/crates/node/src/entry/budget.rs
+++ b/crates/node/src/entry/budget.rs
@@ -23,7 +23,7 @@
     pub async fn grant(&mut self) -> u16 {
         match self {
             Self::Own(allowance) => allowance.grant(),
-            Self::Flight(gate, key) => gate.grant(*key).await,
+            Self::Flight(gate, key) => gate.grant_allowance(*key).await,
         }
     }
 
@@ -32,7 +32,7 @@
         match self {
             Self::Own(allowance) => allowance.reclaim(granted, left),
             Self::Flight(gate, key) => {
-                gate.give_back(*key, granted, left);
+                gate.reclaim_allowance(*key, granted, left);
                 Ok(())
             }
         }
@@ -49,7 +49,7 @@
     pub async fn spend(&mut self) -> bool {
         match self {
             Self::Own(allowance) => allowance.spend(),
-            Self::Flight(gate, key) => gate.spend(*key).await,
+            Self::Flight(gate, key) => gate.spend_retry(*key).await,
         }
     }
 }
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -64,20 +64,22 @@
     }
 
     /// A part of the allowance for one attempt of a target's own call.
-    pub async fn grant(&self, key: InFlightKey) -> u16 {
-        self.ask(|reply| GateMessage::Grant(key, reply))
+    pub async fn grant_allowance(&self, key: InFlightKey) -> u16 {
+        self.ask(|reply| GateMessage::GrantAllowance(key, reply))
             .await
             .unwrap_or(0)
     }
 
     /// Returns what an attempt left of its part.
-    pub fn give_back(&self, key: InFlightKey, granted: u16, left: u16) {
-        let _ = self.tx.send(GateMessage::GiveBack { key, granted, left });
+    pub fn reclaim_allowance(&self, key: InFlightKey, granted: u16, left: u16) {
+        let _ = self
+            .tx
+            .send(GateMessage::ReclaimAllowance { key, granted, left });
     }
 
     /// Takes one retry out of the allowance.
-    pub async fn spend(&self, key: InFlightKey) -> bool {
-        self.ask(|reply| GateMessage::Spend(key, reply))
+    pub async fn spend_retry(&self, key: InFlightKey) -> bool {
+        self.ask(|reply| GateMessage::SpendRetry(key, reply))
             .await
             .unwrap_or(false)
     }
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -121,9 +121,9 @@
     /// The call that a target's own call serves.
     Parent(ContextHandle, oneshot::Sender<Option<Parent>>),
     /// A part of the allowance for one attempt of a target's own call.
-    Grant(InFlightKey, oneshot::Sender<u16>),
+    GrantAllowance(InFlightKey, oneshot::Sender<u16>),
     /// What an attempt left of its part.
-    GiveBack {
+    ReclaimAllowance {
         /// The call in flight.
         key: InFlightKey,
         /// What was granted.
@@ -132,7 +132,7 @@
         left: u16,
     },
     /// One retry out of the allowance.
-    Spend(InFlightKey, oneshot::Sender<bool>),
+    SpendRetry(InFlightKey, oneshot::Sender<bool>),
     /// A target's own call, with its fingerprint, wants to begin.
     AcquirePermit(InFlightKey, u64, oneshot::Sender<DownstreamPermit>),
     /// A target's own call ended.
--- a/crates/node/src/gate/serving.rs
+++ b/crates/node/src/gate/serving.rs
@@ -22,7 +22,7 @@
         })
     }
 
-    pub(super) fn grant(&mut self, key: InFlightKey, reply: oneshot::Sender<u16>) {
+    pub(super) fn grant_allowance(&mut self, key: InFlightKey, reply: oneshot::Sender<u16>) {
         let Some(call) = self.calls.get_mut(key) else {
             let _ = reply.send(0);
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn give_back(&mut self, key: InFlightKey, granted: u16, left: u16) {
+    pub(super) fn reclaim_allowance(&mut self, key: InFlightKey, granted: u16, left: u16) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -164,11 +164,11 @@
             GateMessage::Parent(handle, reply) => {
                 let _ = reply.send(self.parent(handle));
             }
-            GateMessage::Grant(key, reply) => self.grant(key, reply),
-            GateMessage::GiveBack { key, granted, left } => {
-                self.give_back(key, granted, left);
+            GateMessage::GrantAllowance(key, reply) => self.grant_allowance(key, reply),
+            GateMessage::ReclaimAllowance { key, granted, left } => {
+                self.reclaim_allowance(key, granted, left);
             }
-            GateMessage::Spend(key, reply) => {
+            GateMessage::SpendRetry(key, reply) => {
                 let spent = self.calls.get_mut(key).is_some_and(|f| f.allowance.spend());
                 let _ = reply.send(spent);
             }
