--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -1,19 +1,19 @@
 //! The gate: one task that decides which calls its target runs, and keeps every call in flight here.
 
+mod admit;
+mod completion;
 mod context;
-mod deciding;
+mod decisions;
 mod downstream_calls;
 mod downstream_guard;
-mod ending;
-mod entering;
-mod figures;
 mod handle;
 mod in_flight_call;
 mod in_flight_guard;
-mod life;
+mod lifecycle;
 mod message;
+mod parent;
 mod repeat_detector;
-mod serving;
+mod reports;
 mod task;
 
 pub use context::ContextHandle;
--- a/crates/node/src/gate/entering.rs
+++ b/crates/node/src/gate/admit.rs
@@ -34,24 +34,24 @@
             None => None,
             Some(Arrival::Run(record)) => Some(record),
             Some(Arrival::Join(record)) => {
-                self.note_token(&request, |attempt| Event::TokenJoined { attempt });
+                self.record_token_event(&request, |attempt| Event::TokenJoined { attempt });
                 self.join(record, request.deadline, reply);
                 return;
             }
             Some(Arrival::Replay(answer)) => {
-                self.note_token(&request, |attempt| Event::TokenReplayed { attempt });
+                self.record_token_event(&request, |attempt| Event::TokenReplayed { attempt });
                 let _ = reply.send(AdmissionDecision::Replayed(answer));
                 return;
             }
             Some(Arrival::Refused(kind)) => {
-                self.refuse_entry(&request, reply, kind);
+                self.refuse_call(&request, reply, kind);
                 return;
             }
         };
         self.offer(request, record, reply, now);
     }
 
-    fn note_token<E>(&self, request: &AdmissionRequest, event: E)
+    fn record_token_event<E>(&self, request: &AdmissionRequest, event: E)
     where
         E: FnOnce(u16) -> Event,
     {
@@ -78,10 +78,10 @@
             Refusal::Ran(answer) => {
                 let _ = reply.send(AdmissionDecision::Replayed(answer));
             }
-            Refusal::RefusedForGood => self.refuse_entry(request, reply, self.closed_kind()),
-            Refusal::AnswerGone => self.refuse_entry(request, reply, ErrorKind::AnswerGone),
+            Refusal::RefusedForGood => self.refuse_call(request, reply, self.closed_error_kind()),
+            Refusal::AnswerGone => self.refuse_call(request, reply, ErrorKind::AnswerGone),
             Refusal::Running | Refusal::Unknown => {
-                self.refuse_entry(request, reply, ErrorKind::HomeLost);
+                self.refuse_call(request, reply, ErrorKind::HomeLost);
             }
         }
     }
@@ -98,7 +98,7 @@
             bucket: request.bucket,
             deadline: request.deadline,
         };
-        self.drop_left();
+        self.abandon_disconnected();
         let admission_key = self.admission.offer(offer, now);
         self.lifecycle.accepted();
         let call = InFlightCall {
@@ -109,7 +109,7 @@
             deadline: request.deadline,
             depth: request.depth,
             sending: request.sending,
-            entered: now,
+            arrived_at: now,
             allowance: Allowance::new(request.allowance),
             admission_key,
             record,
@@ -123,7 +123,7 @@
         if let Some(record) = record {
             self.by_record.insert(record, key);
         }
-        self.entering = Some(key);
+        self.last_offered = Some(key);
     }
 
     /// Lets a further try of a token wait for the first, and the call last as long as the most patient of them.
@@ -145,7 +145,7 @@
         Some(self.once.arrive(&once.token, once.number, now))
     }
 
-    fn refuse_entry(
+    fn refuse_call(
         &mut self,
         request: &AdmissionRequest,
         reply: oneshot::Sender<AdmissionDecision>,
@@ -158,10 +158,10 @@
                 elapsed_us: 0,
             },
         );
-        let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
+        let _ = reply.send(AdmissionDecision::Refused(self.refusal(kind)));
     }
 
-    fn closed_kind(&self) -> ErrorKind {
+    fn closed_error_kind(&self) -> ErrorKind {
         match self.lifecycle.phase() {
             Phase::Starting | Phase::Serving => ErrorKind::NotReady,
             Phase::Leaving | Phase::Stopped => ErrorKind::Leaving,
@@ -172,32 +172,32 @@
     ///
     /// Clients that give up and try again would otherwise fill the queue with calls that nobody waits for, and the living ones
     /// are refused.
-    fn drop_left(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for key in waiting {
+    fn abandon_disconnected(&mut self) {
+        let queued = std::mem::take(&mut self.queued_calls);
+        for key in queued {
             let Some(call) = self.calls.get(key) else {
                 continue;
             };
             if call.phase != InFlightPhase::Queued {
                 continue;
             }
-            if self.is_left(call) {
+            if self.is_disconnected(call) {
                 self.abandon(key);
             } else {
-                self.waiting.push(key);
+                self.queued_calls.push(key);
             }
         }
     }
 
-    fn is_left(&self, call: &InFlightCall) -> bool {
+    fn is_disconnected(&self, call: &InFlightCall) -> bool {
         let joined = call
             .record
             .is_some_and(|record| self.joined.contains_key(&record));
         !joined && call.reply.as_ref().is_some_and(oneshot::Sender::is_closed)
     }
 
-    pub(super) fn note_queued(&mut self) {
-        let Some(key) = self.entering.take() else {
+    pub(super) fn record_queued(&mut self) {
+        let Some(key) = self.last_offered.take() else {
             return;
         };
         let Some(call) = self.calls.get(key) else {
@@ -210,7 +210,7 @@
             class: call.class,
             ahead: self.admission.queued().saturating_sub(1) as u32,
         };
-        self.waiting.push(key);
+        self.queued_calls.push(key);
         self.recorder.record(Some(call.request), event);
     }
 }
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/completion.rs
@@ -37,7 +37,7 @@
         call.phase = InFlightPhase::Dispatched;
         let event = Event::Dispatched {
             attempt: call.sending,
-            elapsed_us: micros(now, call.entered),
+            elapsed_us: micros(now, call.arrived_at),
         };
         self.recorder.record(Some(call.request), event);
         Ok(())
@@ -46,37 +46,37 @@
     pub(super) fn finish(
         &mut self,
         key: InFlightKey,
-        end: Completion,
+        completion: Completion,
         reply: oneshot::Sender<CompletionReply>,
     ) {
-        let Some(call) = self.end(key, end) else {
+        let Some(call) = self.remove(key, completion) else {
             return;
         };
-        let completion = CompletionReply {
+        let completed = CompletionReply {
             allowance_left: call.allowance.left(),
             report: self.report(&call.operation),
         };
-        let _ = reply.send(completion);
+        let _ = reply.send(completed);
     }
 
     pub(super) fn abandon(&mut self, key: InFlightKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        let end = match call.phase {
+        let completion = match call.phase {
             InFlightPhase::Dispatched => Completion::Lost(ErrorKind::AnswerLost),
             InFlightPhase::Queued | InFlightPhase::Admitted => {
                 Completion::Withdrawn(ErrorKind::Cancelled)
             }
         };
-        let elapsed_us = micros(self.clock.now(), call.entered);
+        let elapsed_us = micros(self.clock.now(), call.arrived_at);
         self.recorder
             .record(Some(call.request), Event::Cancelled { elapsed_us });
-        self.end(key, end);
+        self.remove(key, completion);
     }
 
     /// Takes a call out of every table that knows it.
-    fn end(&mut self, key: InFlightKey, end: Completion) -> Option<InFlightCall> {
+    fn remove(&mut self, key: InFlightKey, completion: Completion) -> Option<InFlightCall> {
         let call = self.calls.remove(key)?;
         let now = self.clock.now();
         self.by_admission_key.remove(&call.admission_key);
@@ -84,21 +84,26 @@
             InFlightPhase::Dispatched => self.lifecycle.finished(),
             InFlightPhase::Queued | InFlightPhase::Admitted => self.lifecycle.withdrawn(),
         }
-        let waited = call.downstream.total(now);
+        let downstream_wait = call.downstream.total(now);
         self.admission
-            .record_downstream_wait(call.admission_key, waited);
-        let finish = admission_end(&end, call.downstream.may_have_failed());
+            .record_downstream_wait(call.admission_key, downstream_wait);
+        let finish = admission_finish(&completion, call.downstream.may_have_failed());
         self.admission.finish(call.admission_key, finish, now);
         if let Some(record) = call.record {
-            self.end_record(record, end, now);
+            self.complete_record(record, completion, now);
         }
         Some(call)
     }
 
-    pub(super) fn end_record(&mut self, record: RecordKey, end: Completion, now: Instant) {
+    pub(super) fn complete_record(
+        &mut self,
+        record: RecordKey,
+        completion: Completion,
+        now: Instant,
+    ) {
         self.by_record.remove(&record);
         let joined = self.joined.remove(&record).unwrap_or_default();
-        match end {
+        match completion {
             Completion::Answered(answer) => {
                 self.once.answered(record, Arc::clone(&answer), now);
                 for reply in joined {
@@ -118,13 +123,13 @@
 
     fn refuse_joined(&mut self, joined: Vec<oneshot::Sender<AdmissionDecision>>, kind: ErrorKind) {
         for reply in joined {
-            let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
+            let _ = reply.send(AdmissionDecision::Refused(self.refusal(kind)));
         }
     }
 }
 
-fn admission_end(end: &Completion, downstream_may_have_failed: bool) -> Finish {
-    match end {
+fn admission_finish(completion: &Completion, downstream_may_have_failed: bool) -> Finish {
+    match completion {
         Completion::Answered(answer)
             if answer.status.is_server_error() && downstream_may_have_failed =>
         {
--- a/crates/node/src/gate/deciding.rs
+++ b/crates/node/src/gate/decisions.rs
@@ -9,7 +9,7 @@
 
 impl Gate {
     /// Carries out what admission and the lifecycle decided since the last message.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn apply_decisions(&mut self) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
         self.admission.poll(now, &mut actions);
@@ -23,9 +23,9 @@
             self.admission.poll(now, &mut actions);
         }
         self.actions = actions;
-        self.note_queued();
-        self.check();
-        self.poll_life(now);
+        self.record_queued();
+        self.check_invariants();
+        self.poll_lifecycle(now);
     }
 
     fn start(&mut self, admission_key: CallKey) {
@@ -38,7 +38,7 @@
         call.phase = InFlightPhase::Admitted;
         let event = Event::Admitted {
             class: call.class,
-            elapsed_us: micros(self.clock.now(), call.entered),
+            elapsed_us: micros(self.clock.now(), call.arrived_at),
         };
         self.recorder.record(Some(call.request), event);
         let Some(reply) = call.reply.take() else {
@@ -46,20 +46,20 @@
         };
         let record = call.record;
         let joined = record.and_then(|record| self.joined.remove(&record));
-        let mut waiting = std::iter::once(reply).chain(joined.unwrap_or_default());
+        let mut replies = std::iter::once(reply).chain(joined.unwrap_or_default());
         let mut guard = InFlightGuard::new(key, self.tx.clone());
         // The first caller may have left while a later try of its token waits; that one then runs the call. Where nobody is
         // left, dropping the guard abandons it.
-        for reply in waiting.by_ref() {
+        for reply in replies.by_ref() {
             match reply.send(AdmissionDecision::Admitted(guard)) {
                 Ok(()) => break,
                 Err(AdmissionDecision::Admitted(unsent)) => guard = unsent,
                 Err(_) => return,
             }
         }
-        let left: Vec<_> = waiting.collect();
-        if let Some(record) = record.filter(|_| !left.is_empty()) {
-            self.joined.insert(record, left);
+        let unsent: Vec<_> = replies.collect();
+        if let Some(record) = record.filter(|_| !unsent.is_empty()) {
+            self.joined.insert(record, unsent);
         }
     }
 
@@ -78,14 +78,14 @@
         };
         self.recorder.record(Some(call.request), event);
         if let Some(record) = call.record {
-            self.end_record(record, Completion::Withdrawn(kind), self.clock.now());
+            self.complete_record(record, Completion::Withdrawn(kind), self.clock.now());
         }
         if let Some(reply) = call.reply {
-            let _ = reply.send(AdmissionDecision::Refused(self.refused(kind)));
+            let _ = reply.send(AdmissionDecision::Refused(self.refusal(kind)));
         }
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         if let Err(breach) = self.admission.check() {
             self.recorder.breach(breach);
         }
--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -29,13 +29,13 @@
     /// Asks to run a call; waits while it is queued.
     pub async fn admit(&self, request: AdmissionRequest) -> AdmissionDecision {
         // The table of tokens has ended with the gate, so nothing is known of an earlier try any more.
-        let without_gate = match request.once {
+        let closed_error = match request.once {
             Some(_) => ErrorKind::HomeLost,
             None => ErrorKind::NotReady,
         };
         self.ask(|reply| GateMessage::Admit(Box::new(request), reply))
             .await
-            .unwrap_or(AdmissionDecision::Refused(Refused::from(without_gate)))
+            .unwrap_or(AdmissionDecision::Refused(Refused::from(closed_error)))
     }
 
     /// The last check right before the first byte goes to the target.
@@ -46,8 +46,13 @@
     }
 
     /// Reports the end of a call in flight.
-    pub async fn finish(&self, key: InFlightKey, end: Completion) -> Option<CompletionReply> {
-        self.ask(|reply| GateMessage::Finish(key, end, reply)).await
+    pub async fn finish(
+        &self,
+        key: InFlightKey,
+        completion: Completion,
+    ) -> Option<CompletionReply> {
+        self.ask(|reply| GateMessage::Finish(key, completion, reply))
+            .await
     }
 
     /// State for a reply about a call that never was in flight.
--- a/crates/node/src/gate/in_flight_call.rs
+++ b/crates/node/src/gate/in_flight_call.rs
@@ -47,7 +47,7 @@
     /// Number of the sending by its entry.
     pub sending: u16,
     /// When it asked to run.
-    pub entered: Instant,
+    pub arrived_at: Instant,
     /// Retries that its subtree may still make.
     pub allowance: Allowance,
     /// Its place in admission.
--- a/crates/node/src/gate/life.rs
+++ b/crates/node/src/gate/lifecycle.rs
@@ -22,7 +22,7 @@
     }
 
     pub(super) fn leave(&mut self, reply: oneshot::Sender<()>) {
-        self.drained.push(reply);
+        self.drain_waiters.push(reply);
         if self.lifecycle.leave(self.clock.now()) {
             self.recorder.record(
                 None,
@@ -33,14 +33,14 @@
         }
     }
 
-    pub(super) fn poll_life(&mut self, now: Instant) {
+    pub(super) fn poll_lifecycle(&mut self, now: Instant) {
         while let Some(event) = self.lifecycle.poll(now) {
             if matches!(event, LifecycleEvent::Drained) {
-                for reply in self.drained.drain(..) {
+                for reply in self.drain_waiters.drain(..) {
                     let _ = reply.send(());
                 }
             }
-            let _ = self.life.send(event);
+            let _ = self.lifecycle_events.send(event);
         }
     }
 }
--- a/crates/node/src/gate/figures.rs
+++ b/crates/node/src/gate/reports.rs
@@ -46,16 +46,16 @@
     /// A refusal that tells the caller honestly when a place is likely to be free again.
     ///
     /// The time is the wait of the calls already queued plus a random part, so that refused callers don't return together.
-    pub(super) fn refused(&mut self, kind: ErrorKind) -> Refused {
+    pub(super) fn refusal(&mut self, kind: ErrorKind) -> Refused {
         let now = self.clock.now();
         let turns = self.admission.queued() as f64 / f64::from(self.admission.limit().max(1));
         let wait = self
             .admission
             .service_time(now)
             .mul_f64(turns + 1.0)
-            .max(LEAST_RETRY_AFTER);
-        let retry_after = wait.mul_f64(self.rng.random_range(1.0..RETRY_AFTER_SPREAD));
-        Refused::new(kind, retry_after.min(MOST_RETRY_AFTER))
+            .max(MIN_RETRY_AFTER);
+        let retry_after = wait.mul_f64(self.rng.random_range(1.0..RETRY_AFTER_JITTER));
+        Refused::new(kind, retry_after.min(MAX_RETRY_AFTER))
     }
 
     pub(super) fn refuse(&mut self, token: &Token, up_to: Try) -> Refusal<Arc<Answer>> {
@@ -69,6 +69,6 @@
     }
 }
 
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(10);
-const RETRY_AFTER_SPREAD: f64 = 3.0;
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+const RETRY_AFTER_JITTER: f64 = 3.0;
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -43,7 +43,7 @@
     /// Where events are recorded.
     pub recorder: Recorder,
     /// Where the phases of the node's life are told.
-    pub life: mpsc::UnboundedSender<LifecycleEvent>,
+    pub lifecycle_events: mpsc::UnboundedSender<LifecycleEvent>,
     /// What is published, for the revision that others hear of.
     pub published: watch::Receiver<Arc<Published>>,
 }
@@ -55,7 +55,7 @@
     pub(super) incarnation: Incarnation,
     pub(super) clock: SharedClock,
     pub(super) recorder: Recorder,
-    pub(super) life: mpsc::UnboundedSender<LifecycleEvent>,
+    pub(super) lifecycle_events: mpsc::UnboundedSender<LifecycleEvent>,
     pub(super) admission: Admission,
     pub(super) once: OnceTable<Arc<Answer>>,
     pub(super) lifecycle: Lifecycle,
@@ -65,13 +65,13 @@
     pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
     pub(super) downstream_levels: DownstreamLevels,
     /// A call that asked to run by the message at hand.
-    pub(super) entering: Option<InFlightKey>,
+    pub(super) last_offered: Option<InFlightKey>,
     pub(super) actions: Vec<Action>,
-    pub(super) drained: Vec<oneshot::Sender<()>>,
+    pub(super) drain_waiters: Vec<oneshot::Sender<()>>,
     pub(super) rng: SmallRng,
     pub(super) published: watch::Receiver<Arc<Published>>,
     /// Calls that wait, for those whose callers leave.
-    pub(super) waiting: Vec<InFlightKey>,
+    pub(super) queued_calls: Vec<InFlightKey>,
     /// When records of expired tokens are dropped next.
     pub(super) expire_at: Instant,
     pub(super) tx: mpsc::UnboundedSender<GateMessage>,
@@ -93,18 +93,18 @@
             joined: Map::default(),
             downstream_levels: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             actions: Vec::new(),
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
             rng: SmallRng::from_os_rng(),
             published: setup.published,
-            waiting: Vec::new(),
-            expire_at: now + LONGEST_SLEEP,
+            queued_calls: Vec::new(),
+            expire_at: now + MAX_SLEEP,
             node: setup.node,
             service: setup.service,
-            entering: None,
+            last_offered: None,
             incarnation: setup.incarnation,
             clock: setup.clock,
             recorder: setup.recorder,
-            life: setup.life,
+            lifecycle_events: setup.lifecycle_events,
             tx: tx.clone(),
             rx,
         };
@@ -125,7 +125,7 @@
                 _ = tokio::time::sleep_until(wake_at.into()) => {}
             }
             self.expire();
-            self.settle();
+            self.apply_decisions();
         }
     }
 
@@ -135,19 +135,19 @@
         let now = self.clock.now();
         if now >= self.expire_at {
             self.once.expire(now);
-            self.expire_at = now + LONGEST_SLEEP;
+            self.expire_at = now + MAX_SLEEP;
         }
     }
 
     fn wake_at(&self, now: Instant) -> Instant {
         let admission = self.admission.next_wakeup();
-        let life = self.lifecycle.wake_at();
+        let lifecycle = self.lifecycle.wake_at();
         let due = admission
             .into_iter()
-            .chain(life)
+            .chain(lifecycle)
             .min()
-            .unwrap_or(now + LONGEST_SLEEP);
-        due.clamp(now + SHORTEST_SLEEP, now + LONGEST_SLEEP)
+            .unwrap_or(now + MAX_SLEEP);
+        due.clamp(now + MIN_SLEEP, now + MAX_SLEEP)
     }
 
     fn handle(&mut self, message: GateMessage) {
@@ -156,7 +156,7 @@
             GateMessage::Dispatch(key, reply) => {
                 let _ = reply.send(self.dispatch(key));
             }
-            GateMessage::Finish(key, end, reply) => self.finish(key, end, reply),
+            GateMessage::Finish(key, completion, reply) => self.finish(key, completion, reply),
             GateMessage::Abandon(key) => self.abandon(key),
             GateMessage::Report(operation, reply) => {
                 let _ = reply.send(self.report(&operation));
@@ -169,7 +169,10 @@
                 self.reclaim_allowance(key, granted, left);
             }
             GateMessage::SpendRetry(key, reply) => {
-                let spent = self.calls.get_mut(key).is_some_and(|f| f.allowance.spend());
+                let spent = self
+                    .calls
+                    .get_mut(key)
+                    .is_some_and(|call| call.allowance.spend());
                 let _ = reply.send(spent);
             }
             GateMessage::AcquirePermit(key, fingerprint, reply) => {
@@ -213,5 +216,5 @@
     }
 }
 
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/base.rs
@@ -110,7 +110,7 @@
             clock: Arc::clone(&self.clock),
             recorder: self.recorder.clone(),
             published: self.published.clone(),
-            life: life_tx,
+            lifecycle_events: life_tx,
         });
         let task = tokio::spawn(task.run());
         RunningGate { handle, task, life }
