--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,9 +1,9 @@
 //! Starts the tasks of a node and runs until it is stopped.
 
-mod base;
-mod desk;
-mod life;
-mod meter;
+mod builder;
+mod gauges;
+mod lifecycle;
+mod operator_queries;
 mod start;
 
 pub use start::{NodeError, run};
--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/builder.rs
@@ -33,7 +33,7 @@
 };
 
 /// What all parts of a node are built with; each method starts the tasks of one part.
-pub(super) struct Base {
+pub(super) struct NodeBuilder {
     pub(super) settings: Settings,
     pub(super) incarnation: Incarnation,
     pub(super) metrics: Metrics,
@@ -48,11 +48,11 @@
 pub(super) struct RunningGate {
     pub(super) handle: GateHandle,
     pub(super) task: JoinHandle<()>,
-    pub(super) life: mpsc::UnboundedReceiver<LifecycleEvent>,
+    pub(super) lifecycle_events: mpsc::UnboundedReceiver<LifecycleEvent>,
 }
 
 /// The side of a node towards its peers.
-pub(super) struct Peers {
+pub(super) struct PeerTransport {
     pub(super) endpoint: quinn::Endpoint,
     pub(super) hub: HubHandle,
     pub(super) streams: Arc<Semaphore>,
@@ -66,7 +66,7 @@
     pub(super) rx: mpsc::UnboundedReceiver<SpreadMessage>,
 }
 
-impl Base {
+impl NodeBuilder {
     /// Starts the time line; `published` is what the spread task will publish.
     pub(super) fn new(
         settings: Settings,
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn gate(&self) -> RunningGate {
-        let (life_tx, life) = mpsc::unbounded_channel();
+        let (lifecycle_tx, lifecycle_events) = mpsc::unbounded_channel();
         let (task, handle) = Gate::new(GateSetup {
             node: self.settings.node.name.clone(),
             service: self.settings.node.service.clone(),
@@ -110,10 +110,14 @@
             clock: Arc::clone(&self.clock),
             recorder: self.recorder.clone(),
             published: self.published.clone(),
-            lifecycle_events: life_tx,
+            lifecycle_events: lifecycle_tx,
         });
         let task = tokio::spawn(task.run());
-        RunningGate { handle, task, life }
+        RunningGate {
+            handle,
+            task,
+            lifecycle_events,
+        }
     }
 
     pub(super) fn routes(&self, words: mpsc::UnboundedSender<Word>) -> RoutesHandle {
@@ -157,13 +161,13 @@
         gate: &GateHandle,
         routes: &RoutesHandle,
         spread: &SpreadHandle,
-    ) -> Result<Peers, NodeError> {
+    ) -> Result<PeerTransport, NodeError> {
         let limits = &self.settings.limits;
         let tls = &self.settings.tls;
         let tls = TlsMaterial::parse(&tls.ca_pem, &tls.cert_pem, tls.key_pem.expose())?;
         let address = self.settings.listen.peers;
         let endpoint = bind(address, &tls, limits.peer_streams, limits.idle_timeout)?;
-        let streams = Arc::new(Semaphore::new(MOST_STREAMS));
+        let streams = Arc::new(Semaphore::new(MAX_PEER_STREAMS));
         let services = PeerServices {
             streams: Arc::clone(&streams),
             host: host.clone(),
@@ -174,7 +178,7 @@
             recorder: self.recorder.clone(),
             metrics: self.metrics.clone(),
             limits: FrameLimits {
-                head: HEAD_ALLOWANCE + limits.header_bytes as usize,
+                head: FRAME_HEAD_OVERHEAD + limits.header_bytes as usize,
                 body: limits.body_bytes as usize,
             },
             frame_time: limits.header_timeout,
@@ -182,7 +186,7 @@
         let (hub_task, hub) = Hub::new(endpoint.clone(), services.clone(), limits.idle_timeout);
         tokio::spawn(hub_task.run());
         tokio::spawn(PeerServer::new(endpoint.clone(), services, hub.clone()).run());
-        Ok(Peers {
+        Ok(PeerTransport {
             endpoint,
             hub,
             streams,
@@ -240,7 +244,7 @@
             tokens,
             gate: gate.clone(),
             published: self.published.clone(),
-            places: self.places(),
+            places: self.call_permits(),
             limits: EntryLimits {
                 body_bytes: limits.body_bytes as usize,
                 body_time: limits.header_timeout,
@@ -254,7 +258,7 @@
     }
 
     /// Places for calls of one listener at a time.
-    pub(super) fn places(&self) -> Arc<Semaphore> {
+    pub(super) fn call_permits(&self) -> Arc<Semaphore> {
         Arc::new(Semaphore::new(self.settings.limits.in_flight as usize))
     }
 
@@ -270,7 +274,7 @@
 }
 
 /// Bytes of a frame's head beyond the HTTP headers.
-const HEAD_ALLOWANCE: usize = 32 * 1024;
+const FRAME_HEAD_OVERHEAD: usize = 32 * 1024;
 
 /// Streams of peers that are served at a time.
-pub(super) const MOST_STREAMS: usize = 16_384;
+pub(super) const MAX_PEER_STREAMS: usize = 16_384;
--- a/crates/node/src/node/meter.rs
+++ b/crates/node/src/node/gauges.rs
@@ -7,8 +7,13 @@
 use crate::routes::{PeerLoad, RoutesHandle};
 
 /// Sets the gauges once a second until the node's tasks are gone.
-pub async fn meter(gate: GateHandle, routes: RoutesHandle, metrics: Metrics, capacity: usize) {
-    let mut tick = tokio::time::interval(INTERVAL);
+pub async fn update_gauges(
+    gate: GateHandle,
+    routes: RoutesHandle,
+    metrics: Metrics,
+    capacity: usize,
+) {
+    let mut tick = tokio::time::interval(UPDATE_INTERVAL);
     loop {
         tick.tick().await;
         let Some(status) = gate.status().await else {
@@ -27,7 +32,7 @@
     }
 }
 
-const INTERVAL: Duration = Duration::from_secs(1);
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 fn set_peers(metrics: &Metrics, peers: &[PeerLoad]) {
     let leaving = peers.iter().filter(|peer| peer.leaving).count();
--- a/crates/node/src/node/life.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -18,7 +18,7 @@
 use crate::wire::{ControlRequest, HelloFrame};
 
 /// Starts and stops the node's work.
-pub struct Life {
+pub struct NodeLifecycle {
     /// Takes and refuses work.
     pub gate: GateHandle,
     /// Knows the node's own state.
@@ -41,17 +41,17 @@
     pub log: Logger,
 }
 
-impl Life {
+impl NodeLifecycle {
     /// Runs until the node has drained after a stop was asked for.
     pub async fn run(mut self) {
-        let mut terminate = stop_signal(SignalKind::terminate());
-        let mut interrupt = stop_signal(SignalKind::interrupt());
+        let mut terminate = signal_stream(SignalKind::terminate());
+        let mut interrupt = signal_stream(SignalKind::interrupt());
         let mut ready = false;
         loop {
             tokio::select! {
                 _ = self.published.changed(), if !ready => {}
-                _ = received(&mut terminate) => break,
-                _ = received(&mut interrupt) => break,
+                _ = recv_signal(&mut terminate) => break,
+                _ = recv_signal(&mut interrupt) => break,
                 _ = self.stopping.wait_for(|stopping| *stopping) => break,
             }
             if !ready && self.try_ready() {
@@ -109,17 +109,17 @@
         };
         let hello = HelloFrame::new(&report, self.recorder.stamp());
         self.hub
-            .tell_all(ControlRequest::Announce(hello), ANNOUNCE_PATIENCE);
+            .tell_all(ControlRequest::Announce(hello), ANNOUNCE_TIMEOUT);
     }
 }
 
-const ANNOUNCE_PATIENCE: Duration = Duration::from_millis(500);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn stop_signal(kind: SignalKind) -> Option<Signal> {
+fn signal_stream(kind: SignalKind) -> Option<Signal> {
     signal(kind).ok()
 }
 
-async fn received(signal: &mut Option<Signal>) {
+async fn recv_signal(signal: &mut Option<Signal>) {
     match signal {
         Some(signal) => {
             signal.recv().await;
--- a/crates/node/src/node/desk.rs
+++ b/crates/node/src/node/operator_queries.rs
@@ -20,7 +20,7 @@
 use crate::spread::{Published, SpreadHandle};
 
 /// What the desk is made of.
-pub struct DeskSetup {
+pub struct QueryHandlerSetup {
     /// Settings of the node.
     pub settings: Settings,
     /// This run of the node.
@@ -44,13 +44,13 @@
 }
 
 /// The task that answers operators.
-pub struct Desk {
-    setup: DeskSetup,
+pub struct QueryHandler {
+    setup: QueryHandlerSetup,
 }
 
-impl Desk {
+impl QueryHandler {
     /// The task.
-    pub fn new(setup: DeskSetup) -> Self {
+    pub fn new(setup: QueryHandlerSetup) -> Self {
         Self { setup }
     }
 
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -13,10 +13,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::base::{Base, MOST_STREAMS, Peers, SpreadChannels};
-use super::desk::{Desk, DeskSetup};
-use super::life::Life;
-use super::meter::meter;
+use super::builder::{MAX_PEER_STREAMS, NodeBuilder, PeerTransport, SpreadChannels};
+use super::gauges::update_gauges;
+use super::lifecycle::NodeLifecycle;
+use super::operator_queries::{QueryHandler, QueryHandlerSetup};
 use crate::config::Settings;
 use crate::entry::EntryService;
 use crate::gate::GateHandle;
@@ -53,57 +53,57 @@
 /// Runs a node until it has been stopped and its last call has ended.
 pub async fn run(settings: Settings, warnings: Vec<Fault>, log: Logger) -> Result<(), NodeError> {
     let (published_tx, published) = watch::channel(Arc::new(Published::default()));
-    let base = Base::new(settings, warnings, published, log)?;
+    let builder = NodeBuilder::new(settings, warnings, published, log)?;
     let (words_tx, words) = mpsc::unbounded_channel();
     let (spread_tx, spread_rx) = mpsc::unbounded_channel();
     let spread = SpreadHandle::new(spread_tx.clone());
-    let gate = base.gate();
-    let routes = base.routes(words_tx);
-    let host = base.host(&gate.handle);
-    let peers = base.peers(&host, &gate.handle, &routes, &spread)?;
+    let gate = builder.gate();
+    let routes = builder.routes(words_tx);
+    let host = builder.host(&gate.handle);
+    let peers = builder.peers(&host, &gate.handle, &routes, &spread)?;
     let channels = SpreadChannels {
         published: published_tx,
         words,
         tx: spread_tx,
         rx: spread_rx,
     };
-    base.spread(channels, &peers.hub);
-    let entry = base.entry(&host, &gate.handle, &routes, &peers.hub)?;
+    builder.spread(channels, &peers.hub);
+    let entry = builder.entry(&host, &gate.handle, &routes, &peers.hub)?;
     let (listeners, stage) = watch::channel(ListenerStage::Open);
-    let callers = serve_http(&base, entry, stage).await?;
-    let stopping = serve_operators(&base, &gate.handle, routes, &spread).await?;
-    info!(base.log, "node started"; "incarnation" => base.incarnation.to_string());
-    let life = Life {
+    let callers = serve_http(&builder, entry, stage).await?;
+    let stopping = serve_operators(&builder, &gate.handle, routes, &spread).await?;
+    info!(builder.log, "node started"; "incarnation" => builder.incarnation.to_string());
+    let lifecycle = NodeLifecycle {
         gate: gate.handle,
         host,
         hub: peers.hub.clone(),
         spread,
-        recorder: base.recorder.clone(),
-        published: base.published.clone(),
+        recorder: builder.recorder.clone(),
+        published: builder.published.clone(),
         stopping,
         listeners,
-        events: gate.life,
-        log: base.log.clone(),
+        events: gate.lifecycle_events,
+        log: builder.log.clone(),
     };
     tokio::select! {
-        () = life.run() => {}
+        () = lifecycle.run() => {}
         // Without its gate a node can decide nothing; ending is the one safe thing.
         _ = gate.task => {}
     }
     // Requests that this node still carries to other hosts are answered before it ends.
-    let _ = timeout(base.settings.shutdown.drain, callers).await;
-    end(peers).await;
+    let _ = timeout(builder.settings.shutdown.drain, callers).await;
+    close_peers(peers).await;
     Ok(())
 }
 
 /// Opens the listeners of callers and of the target; the task of the first ends when its last connection has.
 async fn serve_http(
-    base: &Base,
+    builder: &NodeBuilder,
     entry: EntryService,
     stage: watch::Receiver<ListenerStage>,
 ) -> Result<JoinHandle<()>, NodeError> {
-    let listen = &base.settings.listen;
-    let limits = base.listener_limits();
+    let listen = &builder.settings.listen;
+    let limits = builder.listener_limits();
     let callers = Listener::new(
         bind("callers", listen.callers).await?,
         limits,
@@ -112,7 +112,7 @@
     let egress = Listener::new(bind("egress", listen.egress).await?, limits, stage);
     // Calls of the target have places of their own: were all taken by callers, none of these could ever end.
     let for_target = EntryService {
-        places: base.places(),
+        places: builder.call_permits(),
         ..entry.clone()
     };
     tokio::spawn(
@@ -125,44 +125,53 @@
 
 /// Opens the listener of operators; what is returned turns true when one of them asks the node to drain.
 async fn serve_operators(
-    base: &Base,
+    builder: &NodeBuilder,
     gate: &GateHandle,
     routes: RoutesHandle,
     spread: &SpreadHandle,
 ) -> Result<watch::Receiver<bool>, NodeError> {
-    let socket = bind("operators", base.settings.listen.operators).await?;
+    let socket = bind("operators", builder.settings.listen.operators).await?;
     let (queries_tx, queries) = mpsc::channel(QUERY_QUEUE);
     let (stop, stopping) = watch::channel(false);
-    let desk = Desk::new(DeskSetup {
-        settings: base.settings.clone(),
-        incarnation: base.incarnation,
+    let handler = QueryHandler::new(QueryHandlerSetup {
+        settings: builder.settings.clone(),
+        incarnation: builder.incarnation,
         gate: gate.clone(),
         routes: routes.clone(),
         spread: spread.clone(),
-        recorder: base.recorder.clone(),
-        metrics: base.metrics.clone(),
-        published: base.published.clone(),
+        recorder: builder.recorder.clone(),
+        metrics: builder.metrics.clone(),
+        published: builder.published.clone(),
         stop,
         queries,
     });
-    tokio::spawn(desk.run());
-    let capacity = base.settings.once.capacity as usize;
-    tokio::spawn(meter(gate.clone(), routes, base.metrics.clone(), capacity));
-    tokio::spawn(operators::serve(socket, queries_tx, base.metrics.clone()));
+    tokio::spawn(handler.run());
+    let capacity = builder.settings.once.capacity as usize;
+    tokio::spawn(update_gauges(
+        gate.clone(),
+        routes,
+        builder.metrics.clone(),
+        capacity,
+    ));
+    tokio::spawn(operators::serve(
+        socket,
+        queries_tx,
+        builder.metrics.clone(),
+    ));
     Ok(stopping)
 }
 
 /// Closes the connections to peers once the last answers have reached them.
-async fn end(peers: Peers) {
-    let _ = timeout(LAST_ANSWERS, all_free(&peers.streams)).await;
+async fn close_peers(peers: PeerTransport) {
+    let _ = timeout(FINAL_ANSWER_TIMEOUT, streams_finished(&peers.streams)).await;
     peers.endpoint.close(quinn::VarInt::from_u32(0), b"stopped");
-    let _ = timeout(CLOSE_PATIENCE, peers.endpoint.wait_idle()).await;
+    let _ = timeout(CLOSE_TIMEOUT, peers.endpoint.wait_idle()).await;
 }
 
 /// Waits until no stream is served; streams that come meanwhile are still answered, by refusals.
-async fn all_free(streams: &Semaphore) {
-    while streams.available_permits() < MOST_STREAMS {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+async fn streams_finished(streams: &Semaphore) {
+    while streams.available_permits() < MAX_PEER_STREAMS {
+        tokio::time::sleep(STREAM_POLL_INTERVAL).await;
     }
 }
 
@@ -176,10 +185,10 @@
 }
 
 /// How long the last answers to peers may take once nothing is in flight.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long peers are given to take in that connections are closed.
-const CLOSE_PATIENCE: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the streams of a node that ends.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const STREAM_POLL_INTERVAL: Duration = Duration::from_millis(5);
