--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: one task that decides which calls its target runs, and keeps every call in flight here.
+//! The admission gate: a single task that decides which calls the target runs and tracks every call in flight.
 
 mod admit;
 mod completion;
--- a/crates/node/src/gate/parent.rs
+++ b/crates/node/src/gate/parent.rs
@@ -8,7 +8,7 @@
 
 impl Gate {
     pub(super) fn parent(&self, handle: ContextHandle) -> Option<Parent> {
-        if !handle.is_of(self.incarnation) {
+        if !handle.is_issued_by(self.incarnation) {
             return None;
         }
         let call = self.calls.get(handle.key)?;
