--- a/crates/node/src/gate/downstream_calls.rs
+++ b/crates/node/src/gate/downstream_calls.rs
@@ -1,8 +1,8 @@
-//! Time that a call in flight spends on calls of its target to further services.
+//! Downstream calls made by the target while it processes a call in flight, and the time spent on them.
 
 use std::time::{Duration, Instant};
 
-/// Counts the target's own calls of one call in flight and the time in which any of them was under way.
+/// Counts the active downstream calls of one call in flight and the time during which at least one was active.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DownstreamCalls {
     active: u32,
@@ -12,13 +12,13 @@
 }
 
 impl DownstreamCalls {
-    /// A call to a further service began.
+    /// Records the start of a downstream call.
     pub fn started(&mut self, now: Instant) {
         self.active += 1;
         self.active_since.get_or_insert(now);
     }
 
-    /// A call to a further service ended.
+    /// Records the end of a downstream call.
     pub fn ended(&mut self, succeeded: bool, now: Instant) {
         self.failed |= !succeeded;
         self.active = self.active.saturating_sub(1);
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether a failure may come from a further service: a call there failed or is still under way.
+    /// Whether a failure of the call may originate downstream: a downstream call has failed or is still active.
     pub fn may_have_failed(&self) -> bool {
         self.failed || self.active > 0
     }
 
-    /// Time so far; calls side by side count once.
+    /// Time with at least one active downstream call up to `now`. Concurrent calls are counted once.
     pub fn total(&self, now: Instant) -> Duration {
         let running = self
             .active_since
