--- a/crates/node/src/gate/downstream_guard.rs
+++ b/crates/node/src/gate/downstream_guard.rs
@@ -1,12 +1,12 @@
-//! Ownership of a target's own call.
+//! Guard that tracks a downstream call until it ends.
 
 use tokio::sync::mpsc;
 
 use super::{GateMessage, InFlightKey};
 
-/// Tells the gate when a target's own call ends, also where it is given up at any await.
+/// Reports the start and end of a downstream call to the gate, even if its future is dropped at an await point.
 ///
-/// Without it a cancelled call would count as under way for ever, and its parent as waiting below.
+/// Without the guard, a cancelled downstream call would stay active forever and its parent would count as waiting for it.
 #[derive(Debug)]
 pub struct DownstreamGuard {
     key: InFlightKey,
@@ -15,7 +15,7 @@
 }
 
 impl DownstreamGuard {
-    /// Notes that a call on behalf of this call in flight began.
+    /// Reports the start of a downstream call made on behalf of the call in flight `key`.
     pub fn new(key: InFlightKey, tx: mpsc::UnboundedSender<GateMessage>) -> Self {
         let _ = tx.send(GateMessage::DownstreamStarted(key));
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Notes that the call was answered with success, and ends it.
+    /// Marks the downstream call as successful and reports its end.
     pub fn succeeded(mut self) {
         self.succeeded = true;
     }
