--- a/crates/node/src/gate/context.rs
+++ b/crates/node/src/gate/context.rs
@@ -1,4 +1,4 @@
-//! The handle by which a target's own calls name the call that they serve.
+//! Opaque handle that links a target's downstream calls to the call in flight that caused them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,35 +8,35 @@
 
 use super::InFlightKey;
 
-/// Names a call in flight at one incarnation of a node.
+/// Identifies a call in flight at one incarnation of a node.
 ///
-/// A target copies it into its own calls. It carries no rights of its own: deadline, class and retry allowance stay in the
-/// node's memory, so that a copy to many calls does not multiply the allowance. It names the incarnation because a target
-/// that outlives its node would otherwise name a later, unrelated call.
+/// The target copies it into its downstream calls. Deadline, class and retry allowance stay in the node's memory, so
+/// copying the handle to many calls does not multiply the allowance. It includes the incarnation because the handle held
+/// by a target that outlives its node could otherwise refer to a later, unrelated call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContextHandle {
     incarnation: u64,
-    /// The call in flight.
+    /// Key of the call in flight.
     pub key: InFlightKey,
 }
 
-/// A text is not a context handle.
+/// The text is not a valid context handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed context")]
 pub struct ParseContextError;
 
 impl ContextHandle {
-    /// The handle of a call in flight at `incarnation`.
+    /// Creates the handle of a call in flight at `incarnation`.
     pub fn new(incarnation: Incarnation, key: InFlightKey) -> Self {
         Self {
-            incarnation: fold(incarnation),
+            incarnation: fold_to_u64(incarnation),
             key,
         }
     }
 
-    /// Whether the handle was given out by `incarnation`.
-    pub fn is_of(&self, incarnation: Incarnation) -> bool {
-        self.incarnation == fold(incarnation)
+    /// Whether the handle was issued by `incarnation`.
+    pub fn is_issued_by(&self, incarnation: Incarnation) -> bool {
+        self.incarnation == fold_to_u64(incarnation)
     }
 }
 
@@ -65,6 +65,6 @@
     }
 }
 
-fn fold(incarnation: Incarnation) -> u64 {
+fn fold_to_u64(incarnation: Incarnation) -> u64 {
     (incarnation.0 ^ (incarnation.0 >> 64)) as u64
 }
