--- a/crates/node/src/gate/decisions.rs
+++ b/crates/node/src/gate/decisions.rs
@@ -1,4 +1,4 @@
-//! What admission decided since the last message.
+//! Applies the decisions of admission and of the lifecycle.
 
 use coltsfootport_core::admission::{Action, CallKey};
 use coltsfootport_core::error_kind::ErrorKind;
@@ -8,7 +8,7 @@
 use crate::clock::micros;
 
 impl Gate {
-    /// Carries out what admission and the lifecycle decided since the last message.
+    /// Applies what admission and the lifecycle have decided since the last message.
     pub(super) fn apply_decisions(&mut self) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
@@ -48,8 +48,8 @@
         let joined = record.and_then(|record| self.joined.remove(&record));
         let mut replies = std::iter::once(reply).chain(joined.unwrap_or_default());
         let mut guard = InFlightGuard::new(key, self.tx.clone());
-        // The first caller may have left while a later try of its token waits; that one then runs the call. Where nobody is
-        // left, dropping the guard abandons it.
+        // The first caller may have disconnected while a later try of its token is waiting; that try then runs the call.
+        // If no caller remains, dropping the guard abandons the call.
         for reply in replies.by_ref() {
             match reply.send(AdmissionDecision::Admitted(guard)) {
                 Ok(()) => break,
