--- a/crates/node/src/gate/completion.rs
+++ b/crates/node/src/gate/completion.rs
@@ -1,4 +1,4 @@
-//! Calls that go to the target, and their ends.
+//! Dispatch of calls to the target, and their completion.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -20,7 +20,7 @@
         let Some(call) = self.calls.get_mut(key) else {
             return Err(ErrorKind::Cancelled);
         };
-        // A process that was paused between admission and here would otherwise run a call whose caller has gone.
+        // If the process was paused after admission, the deadline may have passed and the caller may be gone.
         if now >= call.deadline {
             return Err(ErrorKind::ExpiredBeforeDispatch);
         }
@@ -75,7 +75,7 @@
         self.remove(key, completion);
     }
 
-    /// Takes a call out of every table that knows it.
+    /// Removes a call from every table and reports its completion to admission, the lifecycle and its record.
     fn remove(&mut self, key: InFlightKey, completion: Completion) -> Option<InFlightCall> {
         let call = self.calls.remove(key)?;
         let now = self.clock.now();
