--- a/crates/node/src/gate/admit.rs
+++ b/crates/node/src/gate/admit.rs
@@ -1,4 +1,4 @@
-//! Calls that ask to run.
+//! Arrival of calls: token lookup, admission queue and early refusals.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -60,10 +60,10 @@
         self.recorder.record(Some(request.request), event(number));
     }
 
-    /// Answers a call while no new work is taken.
+    /// Answers a call while the node accepts no new work.
     ///
-    /// A token's try is refused for good before its caller hears "not run": while the node is still starting, an older try
-    /// could otherwise arrive after it became ready, and run. An answer kept from before is still given.
+    /// A try of a token is refused permanently before its caller is told `not-run`. Otherwise an older try could arrive
+    /// once a starting node has become ready, and run. An answer that is already stored is still replayed.
     fn refuse_while_closed(
         &mut self,
         request: &AdmissionRequest,
@@ -126,7 +126,7 @@
         self.last_offered = Some(key);
     }
 
-    /// Lets a further try of a token wait for the first, and the call last as long as the most patient of them.
+    /// Makes a further try of a token wait for the call of the first, and extends that call to the latest deadline.
     fn join(
         &mut self,
         record: RecordKey,
@@ -168,10 +168,10 @@
         }
     }
 
-    /// Takes calls out of the queue whose callers have left.
+    /// Removes queued calls whose callers have disconnected.
     ///
-    /// Clients that give up and try again would otherwise fill the queue with calls that nobody waits for, and the living ones
-    /// are refused.
+    /// Otherwise clients that time out and retry would fill the queue with calls that nobody waits for, and calls with a
+    /// connected caller would be refused.
     fn abandon_disconnected(&mut self) {
         let queued = std::mem::take(&mut self.queued_calls);
         for key in queued {
