--- a/crates/node/src/gate/reports.rs
+++ b/crates/node/src/gate/reports.rs
@@ -1,4 +1,4 @@
-//! What the gate tells of its state.
+//! State that the gate reports to callers, peers and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,9 +43,9 @@
         }
     }
 
-    /// A refusal that tells the caller honestly when a place is likely to be free again.
+    /// Creates a refusal with an estimate of when capacity will be available again.
     ///
-    /// The time is the wait of the calls already queued plus a random part, so that refused callers don't return together.
+    /// The estimate is the time to serve the queued calls, with random jitter so that refused callers don't retry at once.
     pub(super) fn refusal(&mut self, kind: ErrorKind) -> Refused {
         let now = self.clock.now();
         let turns = self.admission.queued() as f64 / f64::from(self.admission.limit().max(1));
@@ -54,7 +54,7 @@
             .service_time(now)
             .mul_f64(turns + 1.0)
             .max(MIN_RETRY_AFTER);
-        let retry_after = wait.mul_f64(self.rng.random_range(1.0..RETRY_AFTER_JITTER));
+        let retry_after = wait.mul_f64(self.rng.random_range(1.0..MAX_JITTER_FACTOR));
         Refused::new(kind, retry_after.min(MAX_RETRY_AFTER))
     }
 
@@ -71,4 +71,5 @@
 
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
-const RETRY_AFTER_JITTER: f64 = 3.0;
+/// Upper bound of the random factor applied to the estimated wait.
+const MAX_JITTER_FACTOR: f64 = 3.0;
