--- a/crates/node/src/gate/in_flight_call.rs
+++ b/crates/node/src/gate/in_flight_call.rs
@@ -1,4 +1,4 @@
-//! A call that is in flight at this node.
+//! Calls in flight at this node.
 
 use std::time::Instant;
 
@@ -18,48 +18,48 @@
     pub struct InFlightKey;
 }
 
-/// How far a call in flight has come.
+/// Progress of a call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InFlightPhase {
-    /// It waits for admission.
+    /// Waiting for admission.
     Queued,
-    /// It may go to the target.
+    /// Admitted, but not yet dispatched to the target.
     Admitted,
-    /// Its first byte may have reached the target.
+    /// Dispatched: its first byte may have reached the target.
     Dispatched,
 }
 
-/// A call that is in flight at this node.
+/// A call in flight at this node, from admission queue to completion.
 #[derive(Debug)]
 pub struct InFlightCall {
-    /// Request on whose behalf it runs.
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Name of its class.
+    /// Name of the priority class.
     pub class_name: SmolStr,
-    /// Its operation.
+    /// Operation that is called.
     pub operation: SmolStr,
-    /// When its answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
-    /// Hops above it.
+    /// Number of hops between the entry and this call.
     pub depth: u8,
-    /// Number of the sending by its entry.
+    /// Number of the attempt, as counted by its entry.
     pub sending: u16,
-    /// When it asked to run.
+    /// When the call arrived at the gate.
     pub arrived_at: Instant,
-    /// Retries that its subtree may still make.
+    /// Retries that the call and its downstream calls may still use.
     pub allowance: Allowance,
-    /// Its place in admission.
+    /// Key of the call in the admission controller.
     pub admission_key: CallKey,
-    /// Its record, where it runs at most once.
+    /// Token record, if the call runs at most once.
     pub record: Option<RecordKey>,
-    /// How far it has come.
+    /// Progress of the call.
     pub phase: InFlightPhase,
-    /// Where its admission is awaited, until it is decided.
+    /// Channel for the admission decision; taken once the decision is sent.
     pub reply: Option<oneshot::Sender<AdmissionDecision>>,
-    /// Its target's own calls; a repeat of a failed one is a retry.
+    /// Detects downstream calls that repeat a failed one; these are charged as retries.
     pub repeat_detector: RepeatDetector,
-    /// Time that its target spends on its own calls.
+    /// Active downstream calls and the time spent on them.
     pub downstream: DownstreamCalls,
 }
