--- a/crates/node/src/gate/in_flight_guard.rs
+++ b/crates/node/src/gate/in_flight_guard.rs
@@ -1,13 +1,13 @@
-//! Ownership of a call in flight.
+//! Guard that owns a call in flight.
 
 use tokio::sync::mpsc;
 
 use super::{GateMessage, InFlightKey};
 
-/// Owns a call in flight; dropped without an end it tells the gate that the call was abandoned.
+/// Owns a call in flight and reports it to the gate as abandoned if dropped before being released.
 ///
-/// A caller that leaves drops the future that serves it at any await. Without the guard the call would keep its place in the
-/// concurrency limit for ever, which shows as a limit that fills up while the target idles.
+/// When a caller disconnects, the future that serves it is dropped at an await point. Without the guard, the call would
+/// occupy the concurrency limit forever: the limit would fill up while the target is idle.
 #[derive(Debug)]
 pub struct InFlightGuard {
     key: InFlightKey,
@@ -15,17 +15,17 @@
 }
 
 impl InFlightGuard {
-    /// A guard for a call in flight.
+    /// Creates the guard of a call in flight.
     pub fn new(key: InFlightKey, tx: mpsc::UnboundedSender<GateMessage>) -> Self {
         Self { key, tx: Some(tx) }
     }
 
-    /// The call.
+    /// Key of the call.
     pub fn key(&self) -> InFlightKey {
         self.key
     }
 
-    /// Gives the call up to somebody who will report its end.
+    /// Disarms the guard; the caller becomes responsible for reporting the end of the call.
     pub fn release(mut self) -> InFlightKey {
         self.tx = None;
         self.key
