--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -1,4 +1,4 @@
-//! Sends messages to the gate.
+//! Client side of the gate task.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
 };
 use crate::data::{Answer, HostReport, Refused};
 
-/// Handle to the gate; every method waits for the gate's word.
+/// Handle to the gate task. Async methods wait for its reply; the others only send a message.
 #[derive(Clone, Debug)]
 pub struct GateHandle {
     tx: mpsc::UnboundedSender<GateMessage>,
 }
 
 impl GateHandle {
-    /// A handle that sends into `tx`.
+    /// Creates a handle that sends its messages to `tx`.
     pub fn new(tx: mpsc::UnboundedSender<GateMessage>) -> Self {
         Self { tx }
     }
 
-    /// Asks to run a call; waits while it is queued.
+    /// Requests admission of a call and waits for the decision while the call is queued.
     pub async fn admit(&self, request: AdmissionRequest) -> AdmissionDecision {
-        // The table of tokens has ended with the gate, so nothing is known of an earlier try any more.
+        // The token table has ended with the gate, so it is unknown whether an earlier try has run.
         let closed_error = match request.once {
             Some(_) => ErrorKind::HomeLost,
             None => ErrorKind::NotReady,
@@ -38,14 +38,14 @@
             .unwrap_or(AdmissionDecision::Refused(Refused::from(closed_error)))
     }
 
-    /// The last check right before the first byte goes to the target.
+    /// Performs the final check just before the first byte is sent to the target.
     pub async fn dispatch(&self, key: InFlightKey) -> Result<(), ErrorKind> {
         self.ask(|reply| GateMessage::Dispatch(key, reply))
             .await
             .unwrap_or(Err(ErrorKind::NotReady))
     }
 
-    /// Reports the end of a call in flight.
+    /// Reports the completion of a call in flight.
     pub async fn finish(
         &self,
         key: InFlightKey,
@@ -55,41 +55,41 @@
             .await
     }
 
-    /// State for a reply about a call that never was in flight.
+    /// Host state to attach to the reply for a call that was never in flight.
     pub async fn report(&self, operation: SmolStr) -> Option<HostReport> {
         self.ask(|reply| GateMessage::Report(operation, reply))
             .await
     }
 
-    /// The call in flight that a context handle names.
+    /// Looks up the call in flight that a context handle refers to.
     pub async fn parent(&self, handle: ContextHandle) -> Option<Parent> {
         self.ask(|reply| GateMessage::Parent(handle, reply))
             .await
             .flatten()
     }
 
-    /// A part of the allowance for one attempt of a target's own call.
+    /// Grants part of the retry allowance to one attempt of a downstream call.
     pub async fn grant_allowance(&self, key: InFlightKey) -> u16 {
         self.ask(|reply| GateMessage::GrantAllowance(key, reply))
             .await
             .unwrap_or(0)
     }
 
-    /// Returns what an attempt left of its part.
+    /// Returns the unused part of a grant.
     pub fn reclaim_allowance(&self, key: InFlightKey, granted: u16, left: u16) {
         let _ = self
             .tx
             .send(GateMessage::ReclaimAllowance { key, granted, left });
     }
 
-    /// Takes one retry out of the allowance.
+    /// Deducts one retry from the allowance. Returns false if none is left or the call has ended.
     pub async fn spend_retry(&self, key: InFlightKey) -> bool {
         self.ask(|reply| GateMessage::SpendRetry(key, reply))
             .await
             .unwrap_or(false)
     }
 
-    /// Waits until no other call of the target asks for the same thing; `None` where the call in flight has ended.
+    /// Waits for identical downstream calls to end. Returns `None` if the call in flight has ended.
     pub async fn downstream_permit(
         &self,
         key: InFlightKey,
@@ -99,34 +99,34 @@
             .await
     }
 
-    /// Notes that a target's own call began, and with the guard's end that it ended.
+    /// Reports the start of a downstream call; the returned guard reports its end.
     pub fn downstream_started(&self, key: InFlightKey) -> DownstreamGuard {
         DownstreamGuard::new(key, self.tx.clone())
     }
 
-    /// Notes the admission level heard below an operation of this target.
+    /// Records the admission level reported by a downstream service for an operation of this target.
     pub fn record_downstream_level(&self, key: InFlightKey, level: Level) {
         let _ = self.tx.send(GateMessage::DownstreamLevel(key, level));
     }
 
-    /// Refuses all tries of a token up to a number for good.
+    /// Permanently refuses all tries of a token up to and including `up_to`.
     pub async fn refuse(&self, token: Token, up_to: Try) -> Refusal<Arc<Answer>> {
         self.ask(|reply| GateMessage::Refuse(Box::new(token), up_to, reply))
             .await
             .unwrap_or(Refusal::Unknown)
     }
 
-    /// Lets the node take work.
+    /// Starts accepting work.
     pub fn ready(&self) {
         let _ = self.tx.send(GateMessage::Ready);
     }
 
-    /// Begins to leave and waits until nothing is in flight.
+    /// Starts leaving and waits until no call is in flight.
     pub async fn leave(&self) {
         self.ask(GateMessage::Leave).await;
     }
 
-    /// Figures for people and metrics.
+    /// State for the `status` command and for metrics. `None` if the gate has stopped.
     pub async fn status(&self) -> Option<GateStatus> {
         self.ask(GateMessage::Status).await
     }
