--- a/crates/node/src/gate/lifecycle.rs
+++ b/crates/node/src/gate/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Beginning to serve and to leave.
+//! Lifecycle transitions of the gate: ready, leaving and drained.
 
 use std::time::Instant;
 
