--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -1,4 +1,4 @@
-//! What is said to the gate.
+//! Messages to the gate and their replies.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,39 +15,39 @@
 use super::{ContextHandle, DownstreamPermit, InFlightGuard, InFlightKey};
 use crate::data::{Answer, Call, HostReport, OnceCall, Refused};
 
-/// What the gate needs to know of a call that asks to run here.
+/// A call that requests admission at this node.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Request on whose behalf the call is made.
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Name of its class.
+    /// Name of the priority class.
     pub class_name: SmolStr,
-    /// Its operation.
+    /// Operation that is called.
     pub operation: SmolStr,
-    /// Position of the request among those of its class.
+    /// Shedding bucket of the request within its class.
     pub bucket: u8,
-    /// When the answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
-    /// Hops above it.
+    /// Number of hops between the entry and this call.
     pub depth: u8,
-    /// Number of the sending by its entry.
+    /// Number of the attempt, as counted by its entry.
     pub sending: u16,
-    /// Retries granted to its subtree.
+    /// Retries granted to the call and its downstream calls.
     pub allowance: u16,
-    /// Token that binds it to one run.
+    /// Token and try number, if the call runs at most once.
     pub once: Option<OnceCall>,
 }
 
-/// What the gate says to a call that asked to run.
+/// The gate's reply to an [`AdmissionRequest`].
 #[derive(Debug)]
 pub enum AdmissionDecision {
-    /// It may go to the target after a last check.
+    /// The call may be sent to the target after a final check with [`GateMessage::Dispatch`].
     Admitted(InFlightGuard),
-    /// An earlier try has run; this is its answer.
+    /// An earlier try of the token has run; contains its stored answer.
     Replayed(Arc<Answer>),
-    /// It does not run.
+    /// The call is not run.
     Refused(Refused),
 }
 
@@ -56,112 +56,112 @@
 pub enum Completion {
     /// The target answered.
     Answered(Arc<Answer>),
-    /// It was dispatched and no whole answer came.
+    /// The call was dispatched, but no complete answer was received.
     Lost(ErrorKind),
-    /// It was not dispatched.
+    /// The call was not dispatched.
     Withdrawn(ErrorKind),
 }
 
-/// What a host says with a reply.
+/// The gate's reply to [`GateMessage::Finish`].
 #[derive(Clone, Debug)]
 pub struct CompletionReply {
-    /// Retry allowance that the subtree did not use.
+    /// Retry allowance that the call and its downstream calls did not use.
     pub allowance_left: u16,
     /// State of the host.
     pub report: HostReport,
 }
 
-/// The call in flight that a target's own call serves.
+/// The call in flight that a downstream call belongs to.
 #[derive(Clone, Debug)]
 pub struct Parent {
-    /// The call in flight.
+    /// Key of the call in flight.
     pub key: InFlightKey,
-    /// Request on whose behalf it runs.
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Name of its class.
+    /// Name of the priority class.
     pub class_name: SmolStr,
-    /// When its answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
-    /// Hops above the target's own calls.
+    /// Number of hops between the entry and the downstream calls.
     pub depth: u8,
 }
 
-/// Figures of the gate for `status` and metrics.
+/// State of the gate for the `status` command and for metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct GateStatus {
-    /// Calls at the target.
+    /// Calls in flight at the target.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls waiting for admission.
     pub queued: u32,
     /// Concurrency limit.
     pub limit: u32,
     /// Admission level.
     pub level: Level,
-    /// Phase of the node.
+    /// Lifecycle phase of the node.
     pub phase: Phase,
-    /// Records of tokens.
+    /// Number of records in the token table.
     pub records: usize,
 }
 
-/// Everything that is said to the gate.
+/// A message to the gate task.
 #[derive(Debug)]
 pub enum GateMessage {
-    /// A call asks to run.
+    /// Requests admission of a call.
     Admit(Box<AdmissionRequest>, oneshot::Sender<AdmissionDecision>),
-    /// Last check right before the first byte goes to the target.
+    /// Performs the final check just before the first byte is sent to the target.
     Dispatch(InFlightKey, oneshot::Sender<Result<(), ErrorKind>>),
-    /// A call in flight ended.
+    /// Reports the completion of a call in flight.
     Finish(InFlightKey, Completion, oneshot::Sender<CompletionReply>),
-    /// A call in flight was dropped by its owner.
+    /// Reports that the owner of a call in flight was dropped without completing it.
     Abandon(InFlightKey),
-    /// State for a reply about a call that never was in flight.
+    /// Requests the host state to attach to the reply for a call that was never in flight.
     Report(SmolStr, oneshot::Sender<HostReport>),
-    /// The call that a target's own call serves.
+    /// Looks up the call in flight that a downstream call belongs to.
     Parent(ContextHandle, oneshot::Sender<Option<Parent>>),
-    /// A part of the allowance for one attempt of a target's own call.
+    /// Grants part of the retry allowance to one attempt of a downstream call.
     GrantAllowance(InFlightKey, oneshot::Sender<u16>),
-    /// What an attempt left of its part.
+    /// Returns the unused part of a grant.
     ReclaimAllowance {
-        /// The call in flight.
+        /// Key of the call in flight.
         key: InFlightKey,
-        /// What was granted.
+        /// Number of retries granted.
         granted: u16,
-        /// What is left of it.
+        /// Number of granted retries that were not used.
         left: u16,
     },
-    /// One retry out of the allowance.
+    /// Deducts one retry from the allowance.
     SpendRetry(InFlightKey, oneshot::Sender<bool>),
-    /// A target's own call, with its fingerprint, wants to begin.
+    /// Requests the permit for a downstream call with the given fingerprint.
     AcquirePermit(InFlightKey, u64, oneshot::Sender<DownstreamPermit>),
-    /// A target's own call ended.
+    /// Reports that a permit was dropped.
     ReleasePermit {
-        /// The call in flight that it served.
+        /// Key of the call in flight that the downstream call belongs to.
         key: InFlightKey,
-        /// What it asked for.
+        /// Fingerprint of the downstream call.
         fingerprint: u64,
-        /// Whether the target got it.
+        /// Whether the target received a successful answer.
         succeeded: bool,
     },
-    /// A target's own call arrived.
+    /// Reports the start of a downstream call.
     DownstreamStarted(InFlightKey),
-    /// A target's own call was answered or given up.
+    /// Reports that a downstream call was answered or cancelled.
     DownstreamEnded {
-        /// The call in flight that it served.
+        /// Key of the call in flight that the downstream call belongs to.
         key: InFlightKey,
-        /// Whether it was answered with success.
+        /// Whether the downstream call was answered successfully.
         succeeded: bool,
     },
-    /// Admission level heard below an operation of this target.
+    /// Records the admission level reported by a downstream service for an operation of this target.
     DownstreamLevel(InFlightKey, Level),
-    /// Refuses all tries of a token up to a number for good.
+    /// Permanently refuses all tries of a token up to and including a number.
     Refuse(Box<Token>, Try, oneshot::Sender<Refusal<Arc<Answer>>>),
-    /// The node becomes ready to take work.
+    /// Starts accepting work.
     Ready,
-    /// The node begins to leave; the reply comes when nothing is in flight.
+    /// Starts leaving; the reply is sent once no call is in flight.
     Leave(oneshot::Sender<()>),
-    /// Figures for people and metrics.
+    /// Requests the state for the `status` command and for metrics.
     Status(oneshot::Sender<GateStatus>),
 }
 
