--- a/crates/node/src/gate/repeat_detector.rs
+++ b/crates/node/src/gate/repeat_detector.rs
@@ -1,4 +1,4 @@
-//! Calls that a target makes by itself on behalf of a call in flight.
+//! Detects downstream calls that a target repeats after a failure.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 
 use super::{GateMessage, InFlightKey};
 
-/// The right to make one call of a target's own; dropped without success it counts as failed.
+/// Permit for one downstream call; the call counts as failed unless it is marked as successful before the drop.
 ///
-/// A target that gives a call up closes its connection, which drops the future that serves the call at any await. Were only
-/// failures noted that are answered, the target's next try would pass as a new call and cost nothing.
+/// A target that gives up on a call closes its connection, which drops the future that serves the call at an await
+/// point. If only answered failures were recorded, the target's next try would count as a new call and be free.
 #[derive(Debug)]
 pub struct DownstreamPermit {
     key: InFlightKey,
@@ -20,26 +20,26 @@
     tx: mpsc::UnboundedSender<GateMessage>,
 }
 
-/// The own calls of one call in flight, by what they ask for; those that succeeded are not kept.
+/// Downstream calls of one call in flight by fingerprint; a fingerprint is removed after its call has succeeded.
 #[derive(Debug, Default)]
 pub struct RepeatDetector {
-    states: Map<u64, State>,
+    states: Map<u64, CallState>,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct CallState {
     running: bool,
     failed: bool,
     waiting: VecDeque<oneshot::Sender<DownstreamPermit>>,
 }
 
 impl DownstreamPermit {
-    /// Whether the call asks again for what failed before.
+    /// Whether the previous call with the same fingerprint failed.
     pub fn is_repeat(&self) -> bool {
         self.is_repeat
     }
 
-    /// The target got what it asked for.
+    /// Marks the call as successful: the target has received its answer.
     pub fn succeeded(mut self) {
         self.succeeded = true;
     }
@@ -56,11 +56,10 @@
 }
 
 impl RepeatDetector {
-    /// Takes a call that wants to begin; `tx` is where its end is told.
+    /// Queues a request for a permit, which is sent to `reply`; the permit reports its release to `tx`.
     ///
-    /// Calls that ask for the same thing go one after the other. A target that gives up a call and sends it again may be
-    /// heard with the second before the first is known to have ended, and whether the second is a retry is not known
-    /// until then.
+    /// Calls with the same fingerprint run one at a time. If a target gives up on a call and sends it again, the second
+    /// call may be received before the end of the first, and only that end decides whether the second is a retry.
     pub fn acquire(
         &mut self,
         key: InFlightKey,
@@ -71,11 +70,11 @@
         let state = self.states.entry(fingerprint).or_default();
         state.waiting.push_back(reply);
         if !state.running {
-            state.start_next(key, fingerprint, tx);
+            state.grant_next(key, fingerprint, tx);
         }
     }
 
-    /// Takes the end of a call that had begun.
+    /// Records the end of the running call and grants the permit to the next waiting one.
     pub fn release(
         &mut self,
         key: InFlightKey,
@@ -88,15 +87,15 @@
         };
         state.running = false;
         state.failed = !succeeded;
-        state.start_next(key, fingerprint, tx);
+        state.grant_next(key, fingerprint, tx);
         if !state.running && !state.failed {
             self.states.remove(&fingerprint);
         }
     }
 }
 
-impl State {
-    fn start_next(
+impl CallState {
+    fn grant_next(
         &mut self,
         key: InFlightKey,
         fingerprint: u64,
@@ -114,7 +113,7 @@
                 succeeded: false,
                 tx: tx.clone(),
             };
-            // A receiver that has gone drops the call inside the message, which tells its end.
+            // If the receiver is gone, the permit is dropped with the unsent message and reports its release.
             let _ = next.send(permit);
             return;
         }
