--- a/crates/node/src/gate/parent.rs
+++ b/crates/node/src/gate/parent.rs
@@ -1,4 +1,4 @@
-//! What a target's own calls draw from the call that they serve.
+//! Context and retry allowance that downstream calls take from the call in flight that caused them.
 
 use coltsfootport_core::admission::Level;
 use coltsfootport_core::id::ServiceName;
