--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns admission, the table of tokens, the lifecycle and the calls in flight.
+//! The task that owns admission, the token table, the lifecycle and the calls in flight.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,30 +21,30 @@
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
-/// What the gate is made of.
+/// Dependencies and configuration of the gate.
 #[derive(Clone)]
 pub struct GateSetup {
     /// Name of the node.
     pub node: NodeName,
-    /// Service of its target.
+    /// Service that the target provides.
     pub service: ServiceName,
-    /// This run of the node.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// When this run began.
+    /// When this incarnation started.
     pub started: Instant,
-    /// Settings of admission.
+    /// Admission configuration.
     pub admission: AdmissionConfig,
-    /// Settings of the table of tokens.
+    /// Token table configuration.
     pub once: OnceConfig,
-    /// Settings of the shutdown.
+    /// Shutdown configuration.
     pub lifecycle: LifecycleConfig,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Recorder of timeline events.
     pub recorder: Recorder,
-    /// Where the phases of the node's life are told.
+    /// Receives the lifecycle events of the node.
     pub lifecycle_events: mpsc::UnboundedSender<LifecycleEvent>,
-    /// What is published, for the revision that others hear of.
+    /// Published snapshot, whose revision is included in host reports.
     pub published: watch::Receiver<Arc<Published>>,
 }
 
@@ -64,22 +64,22 @@
     pub(super) by_record: Map<RecordKey, InFlightKey>,
     pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
     pub(super) downstream_levels: DownstreamLevels,
-    /// A call that asked to run by the message at hand.
+    /// Call offered to admission by the current message.
     pub(super) last_offered: Option<InFlightKey>,
     pub(super) actions: Vec<Action>,
     pub(super) drain_waiters: Vec<oneshot::Sender<()>>,
     pub(super) rng: SmallRng,
     pub(super) published: watch::Receiver<Arc<Published>>,
-    /// Calls that wait, for those whose callers leave.
+    /// Queued calls, checked for disconnected callers.
     pub(super) queued_calls: Vec<InFlightKey>,
-    /// When records of expired tokens are dropped next.
+    /// When the records of expired tokens are removed next.
     pub(super) expire_at: Instant,
     pub(super) tx: mpsc::UnboundedSender<GateMessage>,
     pub(super) rx: mpsc::UnboundedReceiver<GateMessage>,
 }
 
 impl Gate {
-    /// A gate and the handle to it.
+    /// Creates a gate and its handle.
     pub fn new(setup: GateSetup) -> (Self, GateHandle) {
         let (tx, rx) = mpsc::unbounded_channel();
         let now = setup.clock.now();
@@ -129,8 +129,10 @@
         }
     }
 
-    /// Drops what is due at its own times: a gate with a message every second never sleeps long enough to wake for it, and
-    /// its expired records would fill the table.
+    /// Removes the records of expired tokens once every [`MAX_SLEEP`].
+    ///
+    /// Independent of the wake-up timer, which never fires if messages keep arriving more often than once a second.
+    /// Expired records would then fill the table.
     fn expire(&mut self) {
         let now = self.clock.now();
         if now >= self.expire_at {
@@ -216,5 +218,6 @@
     }
 }
 
+/// Longest time between two wake-ups, and interval at which expired token records are removed.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 const MIN_SLEEP: Duration = Duration::from_millis(1);
