--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a node and runs until it is stopped.
+//! Starts the tasks of a node and runs them until it is stopped.
 
 mod builder;
 mod gauges;
