--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node are built with.
+//! Builds the components of a node and starts their tasks.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -32,7 +32,7 @@
     PlatformClient, Published, Spread, SpreadHandle, SpreadMessage, SpreadSetup, Word,
 };
 
-/// What all parts of a node are built with; each method starts the tasks of one part.
+/// State shared by the components of a node; each method builds one component and starts its tasks.
 pub(super) struct NodeBuilder {
     pub(super) settings: Settings,
     pub(super) incarnation: Incarnation,
@@ -44,21 +44,21 @@
     started: Instant,
 }
 
-/// The gate's task and what belongs to it.
+/// The running gate task, its handle and its lifecycle events.
 pub(super) struct RunningGate {
     pub(super) handle: GateHandle,
     pub(super) task: JoinHandle<()>,
     pub(super) lifecycle_events: mpsc::UnboundedReceiver<LifecycleEvent>,
 }
 
-/// The side of a node towards its peers.
+/// QUIC endpoint of a node and the connections and streams to its peers.
 pub(super) struct PeerTransport {
     pub(super) endpoint: quinn::Endpoint,
     pub(super) hub: HubHandle,
     pub(super) streams: Arc<Semaphore>,
 }
 
-/// The channels of the spread task, which others send to before it is started.
+/// Channels of the spread task, created before the task because other tasks send to them.
 pub(super) struct SpreadChannels {
     pub(super) published: watch::Sender<Arc<Published>>,
     pub(super) words: mpsc::UnboundedReceiver<Word>,
@@ -67,7 +67,7 @@
 }
 
 impl NodeBuilder {
-    /// Starts the time line; `published` is what the spread task will publish.
+    /// Starts the timeline recorder. `published` receives the snapshots of the spread task.
     pub(super) fn new(
         settings: Settings,
         warnings: Vec<Fault>,
@@ -257,7 +257,7 @@
         })
     }
 
-    /// Places for calls of one listener at a time.
+    /// Creates the semaphore that limits the concurrent calls of one listener.
     pub(super) fn call_permits(&self) -> Arc<Semaphore> {
         Arc::new(Semaphore::new(self.settings.limits.in_flight as usize))
     }
@@ -273,8 +273,8 @@
     }
 }
 
-/// Bytes of a frame's head beyond the HTTP headers.
+/// Maximum size of a frame's head in addition to the HTTP headers, in bytes.
 const FRAME_HEAD_OVERHEAD: usize = 32 * 1024;
 
-/// Streams of peers that are served at a time.
+/// Maximum number of concurrently served streams from peers.
 pub(super) const MAX_PEER_STREAMS: usize = 16_384;
