--- a/crates/node/src/node/operator_queries.rs
+++ b/crates/node/src/node/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Answers operators out of the state of the node's tasks.
+//! Answers operator queries from the state of the node's tasks.
 
 use std::sync::Arc;
 
@@ -19,42 +19,42 @@
 use crate::routes::{PeerLoad, RoutesHandle};
 use crate::spread::{Published, SpreadHandle};
 
-/// What the desk is made of.
+/// Dependencies of the query handler.
 pub struct QueryHandlerSetup {
     /// Settings of the node.
     pub settings: Settings,
-    /// This run of the node.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// State of admission and tokens.
+    /// Source of the state of admission and tokens.
     pub gate: GateHandle,
-    /// State of the peers.
+    /// Source of the state of the peers.
     pub routes: RoutesHandle,
-    /// State of documents and platform.
+    /// Source of the state of documents and platform.
     pub spread: SpreadHandle,
-    /// The time line.
+    /// Recorder of timeline events.
     pub recorder: Recorder,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// What is published.
+    /// Published snapshot.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown when set to true.
     pub stop: watch::Sender<bool>,
-    /// Questions of operators.
+    /// Incoming operator queries.
     pub queries: mpsc::Receiver<OperatorQuery>,
 }
 
-/// The task that answers operators.
+/// Task that answers operator queries.
 pub struct QueryHandler {
     setup: QueryHandlerSetup,
 }
 
 impl QueryHandler {
-    /// The task.
+    /// Creates the task.
     pub fn new(setup: QueryHandlerSetup) -> Self {
         Self { setup }
     }
 
-    /// Runs until the operators' listener is gone.
+    /// Runs until the operators' listener has stopped.
     pub async fn run(mut self) {
         while let Some(query) = self.setup.queries.recv().await {
             self.handle(query).await;
