--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node's life as seen from outside: ready when it has documents, stopped gracefully.
+//! Readiness and graceful shutdown of a node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,32 +17,32 @@
 use crate::spread::{Published, SpreadHandle};
 use crate::wire::{ControlRequest, HelloFrame};
 
-/// Starts and stops the node's work.
+/// Makes the node ready once it has documents, and shuts it down gracefully.
 pub struct NodeLifecycle {
-    /// Takes and refuses work.
+    /// Told when to accept work and when to leave.
     pub gate: GateHandle,
-    /// Knows the node's own state.
+    /// Source of the host report in announcements.
     pub host: Host,
-    /// Passes on that this node serves.
+    /// Spreads this node's state to other nodes.
     pub spread: SpreadHandle,
-    /// Connections to tell of the leaving.
+    /// Sends announcements to the connected peers.
     pub hub: HubHandle,
-    /// Stamps announcements.
+    /// Source of the timestamps in announcements.
     pub recorder: Recorder,
-    /// What is published; the first documents make the node ready.
+    /// Published snapshot; the node becomes ready with the first documents.
     pub published: watch::Receiver<Arc<Published>>,
-    /// Turns true when an operator asks the node to drain.
+    /// Set to true when an operator requests a drain.
     pub stopping: watch::Receiver<bool>,
-    /// Winds the listeners up.
+    /// Tells the listeners to leave and to close.
     pub listeners: watch::Sender<ListenerStage>,
-    /// What the lifecycle asks for.
+    /// Lifecycle events from the gate.
     pub events: mpsc::UnboundedReceiver<LifecycleEvent>,
-    /// The node's log.
+    /// Log of the node.
     pub log: Logger,
 }
 
 impl NodeLifecycle {
-    /// Runs until the node has drained after a stop was asked for.
+    /// Runs until a stop is requested and the node has drained.
     pub async fn run(mut self) {
         let mut terminate = signal_stream(SignalKind::terminate());
         let mut interrupt = signal_stream(SignalKind::interrupt());
@@ -68,16 +68,16 @@
         }
         self.gate.ready();
         self.spread.state(NodeState::Serving);
-        info!(self.log, "node serves");
+        info!(self.log, "node is ready");
         true
     }
 
-    /// Announces, lets everything in flight end, then closes the listeners.
+    /// Announces the shutdown, waits until no call is in flight, then closes the listeners.
     ///
-    /// The callers' listener stays open until the node has drained: requests that arrive meanwhile are served by other
-    /// hosts, so that a planned stop cuts off nobody.
+    /// The callers' listener stays open until the node has drained. Requests that arrive in the meantime are run by other
+    /// hosts, so a planned stop interrupts no caller.
     async fn stop(&mut self) {
-        info!(self.log, "node leaves");
+        info!(self.log, "node is draining");
         self.spread.state(NodeState::Leaving);
         let _ = self.listeners.send(ListenerStage::Leaving);
         let gate = self.gate.clone();
@@ -97,7 +97,7 @@
         match event {
             LifecycleEvent::Announce => self.announce().await,
             LifecycleEvent::DrainDeadline { left } => {
-                warn!(self.log, "calls are left at the drain limit"; "left" => left);
+                warn!(self.log, "drain limit reached with unfinished calls"; "left" => left);
             }
             LifecycleEvent::Drained => {}
         }
