--- a/crates/node/src/node/gauges.rs
+++ b/crates/node/src/node/gauges.rs
@@ -1,4 +1,4 @@
-//! Carries the state of the node's tasks into its gauges.
+//! Updates the metric gauges from the state of the node's tasks.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::metrics::{Metrics, PeerState, Stage};
 use crate::routes::{PeerLoad, RoutesHandle};
 
-/// Sets the gauges once a second until the node's tasks are gone.
+/// Updates the gauges once a second until the gate has stopped.
 pub async fn update_gauges(
     gate: GateHandle,
     routes: RoutesHandle,
