--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a node, runs it until it is stopped, and ends it.
+//! Startup, main loop and final shutdown of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,26 +26,26 @@
 use crate::routes::RoutesHandle;
 use crate::spread::{Published, SpreadHandle};
 
-/// Why a node could not start or run on.
+/// Reason why a node could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// A listener could not be bound.
     #[error("{listener} listener on {address}: {source}")]
     Bind {
-        /// Which one.
+        /// Name of the listener.
         listener: &'static str,
-        /// Its address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// Why.
+        /// Underlying error.
         source: io::Error,
     },
-    /// Certificates or the key can't be used.
+    /// The certificates or the private key are invalid.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// The fleet's keys can't be used.
+    /// The fleet's keys are invalid.
     #[error("fleet_keys: {0}")]
     Keys(#[from] KeyRingError),
-    /// The metrics are defined wrongly.
+    /// The metrics could not be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
@@ -87,16 +87,16 @@
     };
     tokio::select! {
         () = lifecycle.run() => {}
-        // Without its gate a node can decide nothing; ending is the one safe thing.
+        // Without its gate, the node cannot decide which calls may run, so it has to shut down.
         _ = gate.task => {}
     }
-    // Requests that this node still carries to other hosts are answered before it ends.
+    // Wait for the requests that this node is still forwarding to other hosts.
     let _ = timeout(builder.settings.shutdown.drain, callers).await;
     close_peers(peers).await;
     Ok(())
 }
 
-/// Opens the listeners of callers and of the target; the task of the first ends when its last connection has.
+/// Opens the callers' and egress listeners. Returns the task of the callers' listener, which ends with its last connection.
 async fn serve_http(
     builder: &NodeBuilder,
     entry: EntryService,
@@ -110,7 +110,8 @@
         stage.clone(),
     );
     let egress = Listener::new(bind("egress", listen.egress).await?, limits, stage);
-    // Calls of the target have places of their own: were all taken by callers, none of these could ever end.
+    // Calls of the target have their own permits. If callers could take them all, their calls would wait forever for
+    // downstream calls that cannot start.
     let for_target = EntryService {
         places: builder.call_permits(),
         ..entry.clone()
@@ -123,7 +124,7 @@
     })))
 }
 
-/// Opens the listener of operators; what is returned turns true when one of them asks the node to drain.
+/// Opens the operators' listener. The returned receiver is set to true when an operator requests a drain.
 async fn serve_operators(
     builder: &NodeBuilder,
     gate: &GateHandle,
@@ -161,14 +162,14 @@
     Ok(stopping)
 }
 
-/// Closes the connections to peers once the last answers have reached them.
+/// Closes the peer connections after the last answers have been delivered or a timeout has passed.
 async fn close_peers(peers: PeerTransport) {
     let _ = timeout(FINAL_ANSWER_TIMEOUT, streams_finished(&peers.streams)).await;
     peers.endpoint.close(quinn::VarInt::from_u32(0), b"stopped");
     let _ = timeout(CLOSE_TIMEOUT, peers.endpoint.wait_idle()).await;
 }
 
-/// Waits until no stream is served; streams that come meanwhile are still answered, by refusals.
+/// Waits until no stream is being served. Streams that arrive in the meantime are answered with refusals.
 async fn streams_finished(streams: &Semaphore) {
     while streams.available_permits() < MAX_PEER_STREAMS {
         tokio::time::sleep(STREAM_POLL_INTERVAL).await;
@@ -184,11 +185,11 @@
     })
 }
 
-/// How long the last answers to peers may take once nothing is in flight.
+/// Time allowed for delivering the last answers to peers once no call is in flight.
 const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long peers are given to take in that connections are closed.
+/// Time allowed for peers to acknowledge that their connections are closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the streams of a node that ends.
+/// Interval at which a stopping node checks for open streams.
 const STREAM_POLL_INTERVAL: Duration = Duration::from_millis(5);
