--- a/crates/node/tests/gate.rs
+++ b/crates/node/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What the handle to the gate says when the gate has ended.
+//! Replies of the gate handle after the gate has stopped.
 
 use std::time::{Duration, Instant};
 
@@ -25,11 +25,10 @@
     }
 }
 
-// Symptom: a bid that ran is told "not run".
-// Sequence: a node that stops has ended its gate and its table with it; the bid's next try arrives at its last moment.
-// Cause: the handle answers for the gate as if the node had not yet started.
+// Guards against reporting a call that ran as `not-run`. When a node stops, its token table ends with the gate. If the
+// next try of a token arrives after that, the handle must not answer as if the node had not started yet.
 #[tokio::test]
-async fn without_its_gate_a_home_does_not_know() {
+async fn tokens_are_unknown_after_the_gate_stopped() {
     let token = Token {
         id: 1,
         service: "bidding".into(),
