--- a/crates/node/tests/own_calls.rs
+++ b/crates/node/tests/own_calls.rs
@@ -1,16 +1,16 @@
-//! Which calls of a target's own count as repeats of a failed one.
+//! Detection of downstream calls that repeat a failed one.
 
 use coltsfootport::gate::{DownstreamPermit, GateMessage, InFlightKey, RepeatDetector};
 use tokio::sync::{mpsc, oneshot};
 
-/// What the target does; numbers are calls in the order in which they were sent.
+/// An action of the target; calls are numbered in the order in which they are sent.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// It sends the call.
+    /// Sends the call.
     Send,
-    /// It gets an answer without error to the call.
+    /// Receives a successful answer to the call.
     Success(usize),
-    /// It gets an error, or gives the call up and closes its connection.
+    /// Receives an error, or gives up on the call and closes its connection.
     Failure(usize),
 }
 
@@ -19,49 +19,49 @@
 struct Case {
     name: &'static str,
     steps: &'static [Step],
-    /// For each call that was sent: whether it is a repeat; none where it still waits or was given up before.
+    /// For each call sent: whether it is a repeat. `None` if it is still waiting or was cancelled while waiting.
     repeats: &'static [Option<bool>],
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "one call",
+        name: "single call",
         steps: &[Send],
         repeats: &[Some(false)],
     },
     Case {
-        name: "the same again after a success",
+        name: "identical call after a success",
         steps: &[Send, Success(0), Send],
         repeats: &[Some(false), Some(false)],
     },
     Case {
-        name: "the same again after a failure, and after the repeat's success",
+        name: "identical calls after a failure and after the repeat's success",
         steps: &[Send, Failure(0), Send, Success(1), Send],
         repeats: &[Some(false), Some(true), Some(false)],
     },
     Case {
-        name: "the same at once waits",
+        name: "identical concurrent calls wait",
         steps: &[Send, Send, Send],
         repeats: &[Some(false), None, None],
     },
     Case {
-        name: "the same at once after a success",
+        name: "waiting identical call after a success",
         steps: &[Send, Send, Success(0)],
         repeats: &[Some(false), Some(false)],
     },
     Case {
-        name: "a second try that is heard before the end of the first",
+        name: "second try received before the end of the first",
         steps: &[Send, Send, Failure(0)],
         repeats: &[Some(false), Some(true)],
     },
     Case {
-        name: "a waiting call that is given up is passed over",
+        name: "cancelled waiting call is skipped",
         steps: &[Send, Send, Send, Failure(1), Success(0)],
         repeats: &[Some(false), None, Some(false)],
     },
 ];
 
-/// A target's calls as its connections hold them.
+/// Downstream calls of a target and the permits that they wait for or hold.
 #[derive(Default)]
 struct Calls {
     detector: RepeatDetector,
@@ -71,16 +71,16 @@
 }
 
 impl Calls {
-    fn take(&mut self, step: Step, tx: &mpsc::UnboundedSender<GateMessage>) {
+    fn apply(&mut self, step: Step, tx: &mpsc::UnboundedSender<GateMessage>) {
         match step {
             Send => {
-                let (reply, begun) = oneshot::channel();
+                let (reply, permit_rx) = oneshot::channel();
                 self.detector.acquire(InFlightKey::default(), 1, reply, tx);
-                self.waiting.push(Some(begun));
+                self.waiting.push(Some(permit_rx));
                 self.running.push(None);
                 self.repeats.push(None);
             }
-            Success(n) => self.running[n].take().expect("a running call").succeeded(),
+            Success(n) => self.running[n].take().expect("call is running").succeeded(),
             Failure(n) => {
                 self.waiting[n] = None;
                 self.running[n] = None;
@@ -88,9 +88,9 @@
         }
     }
 
-    fn note_begun(&mut self) {
+    fn collect_permits(&mut self) {
         for (n, waiting) in self.waiting.iter_mut().enumerate() {
-            if let Some(permit) = waiting.as_mut().and_then(|begun| begun.try_recv().ok()) {
+            if let Some(permit) = waiting.as_mut().and_then(|permit_rx| permit_rx.try_recv().ok()) {
                 self.repeats[n] = Some(permit.is_repeat());
                 self.running[n] = Some(permit);
                 *waiting = None;
@@ -99,16 +99,16 @@
     }
 }
 
-/// Symptom: a target that retries by itself sends more calls than the allowance of its request pays for.
-/// Sequence: it gives a call up and sends it again; its node hears of the second call before it hears that the first ended.
-/// Cause: whether a call repeats a failed one is judged while the other's end is not known.
+/// Guards against a target that retries on its own and thereby exceeds the retry allowance of its request. The target
+/// gives up on a call and sends it again, and the node receives the second call before the end of the first. Deciding
+/// at that point whether the second call is a repeat would miss the retry.
 #[test]
-fn a_repeat_is_known_as_one_in_any_order() {
+fn repeats_are_detected_in_any_order() {
     for case in CASES {
         let (tx, mut rx) = mpsc::unbounded_channel();
         let mut calls = Calls::default();
         for step in case.steps {
-            calls.take(*step, &tx);
+            calls.apply(*step, &tx);
             while let Ok(message) = rx.try_recv() {
                 let GateMessage::ReleasePermit {
                     key,
@@ -120,7 +120,7 @@
                 };
                 calls.detector.release(key, fingerprint, succeeded, &tx);
             }
-            calls.note_begun();
+            calls.collect_permits();
         }
         assert_eq!(calls.repeats, case.repeats, "{}", case.name);
     }
