--- a/crates/node/src/gate/downstream_guard.rs
+++ b/crates/node/src/gate/downstream_guard.rs
@@ -6,7 +6,8 @@
 
 /// Reports the start and end of a downstream call to the gate, even if its future is dropped at an await point.
 ///
-/// Without the guard, a cancelled downstream call would stay active forever and its parent would count as waiting for it.
+/// Without the guard, a cancelled downstream call would stay active forever, and the call in flight would count as
+/// waiting for it.
 #[derive(Debug)]
 pub struct DownstreamGuard {
     key: InFlightKey,
