--- a/crates/node/src/gate/decisions.rs
+++ b/crates/node/src/gate/decisions.rs
@@ -48,8 +48,8 @@
         let joined = record.and_then(|record| self.joined.remove(&record));
         let mut replies = std::iter::once(reply).chain(joined.unwrap_or_default());
         let mut guard = InFlightGuard::new(key, self.tx.clone());
-        // The first caller may have disconnected while a later try of its token is waiting; that try then runs the call.
-        // If no caller remains, dropping the guard abandons the call.
+        // The first caller may have disconnected while a later try of its token is waiting; that try then runs the
+        // call. If no caller remains, dropping the guard abandons the call.
         for reply in replies.by_ref() {
             match reply.send(AdmissionDecision::Admitted(guard)) {
                 Ok(()) => break,
