--- a/crates/node/src/gate/admit.rs
+++ b/crates/node/src/gate/admit.rs
@@ -170,8 +170,8 @@
 
     /// Removes queued calls whose callers have disconnected.
     ///
-    /// Otherwise clients that time out and retry would fill the queue with calls that nobody waits for, and calls with a
-    /// connected caller would be refused.
+    /// Otherwise clients that time out and retry would fill the queue with calls that nobody waits for, and calls with
+    /// a connected caller would be refused.
     fn abandon_disconnected(&mut self) {
         let queued = std::mem::take(&mut self.queued_calls);
         for key in queued {
