--- a/crates/node/src/gate/reports.rs
+++ b/crates/node/src/gate/reports.rs
@@ -45,7 +45,8 @@
 
     /// Creates a refusal with an estimate of when capacity will be available again.
     ///
-    /// The estimate is the time to serve the queued calls, with random jitter so that refused callers don't retry at once.
+    /// The estimate is the time to serve the queued calls, multiplied by a random factor so that refused callers don't
+    /// all retry at the same time.
     pub(super) fn refusal(&mut self, kind: ErrorKind) -> Refused {
         let now = self.clock.now();
         let turns = self.admission.queued() as f64 / f64::from(self.admission.limit().max(1));
