--- a/crates/node/src/gate/handle.rs
+++ b/crates/node/src/gate/handle.rs
@@ -109,7 +109,7 @@
         let _ = self.tx.send(GateMessage::DownstreamLevel(key, level));
     }
 
-    /// Permanently refuses all tries of a token up to and including `up_to`.
+    /// Permanently refuses all tries of a token up to `up_to`, unless the call was sent to the target.
     pub async fn refuse(&self, token: Token, up_to: Try) -> Refusal<Arc<Answer>> {
         self.ask(|reply| GateMessage::Refuse(Box::new(token), up_to, reply))
             .await
