--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -26,7 +26,7 @@
     pub class_name: SmolStr,
     /// Operation that is called.
     pub operation: SmolStr,
-    /// Shedding bucket of the request within its class.
+    /// Bucket of the request within its class; higher buckets are shed first.
     pub bucket: u8,
     /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
@@ -155,7 +155,7 @@
     },
     /// Records the admission level reported by a downstream service for an operation of this target.
     DownstreamLevel(InFlightKey, Level),
-    /// Permanently refuses all tries of a token up to and including a number.
+    /// Permanently refuses all tries of a token up to a number, unless the call was sent to the target.
     Refuse(Box<Token>, Try, oneshot::Sender<Refusal<Arc<Answer>>>),
     /// Starts accepting work.
     Ready,
