--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -74,8 +74,8 @@
 
     /// Announces the shutdown, waits until no call is in flight, then closes the listeners.
     ///
-    /// The callers' listener stays open until the node has drained. Requests that arrive in the meantime are run by other
-    /// hosts, so a planned stop interrupts no caller.
+    /// The callers' listener stays open until the node has drained. Requests that arrive in the meantime are run by
+    /// other hosts, so a planned stop interrupts no caller.
     async fn stop(&mut self) {
         info!(self.log, "node is draining");
         self.spread.state(NodeState::Leaving);
