--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -96,7 +96,9 @@
     Ok(())
 }
 
-/// Opens the callers' and egress listeners. Returns the task of the callers' listener, which ends with its last connection.
+/// Opens the callers' and egress listeners.
+///
+/// Returns the task of the callers' listener, which ends with its last connection.
 async fn serve_http(
     builder: &NodeBuilder,
     entry: EntryService,
