--- a/crates/node/tests/own_calls.rs
+++ b/crates/node/tests/own_calls.rs
@@ -90,7 +90,7 @@
 
     fn collect_permits(&mut self) {
         for (n, waiting) in self.waiting.iter_mut().enumerate() {
-            if let Some(permit) = waiting.as_mut().and_then(|permit_rx| permit_rx.try_recv().ok()) {
+            if let Some(permit) = waiting.as_mut().and_then(|rx| rx.try_recv().ok()) {
                 self.repeats[n] = Some(permit.is_repeat());
                 self.running[n] = Some(permit);
                 *waiting = None;
