--- a/crates/node/src/gate/context.rs
+++ b/crates/node/src/gate/context.rs
@@ -11,8 +11,8 @@
 /// Identifies a call in flight at one incarnation of a node.
 ///
 /// The target copies it into its downstream calls. Deadline, class and retry allowance stay in the node's memory, so
-/// copying the handle to many calls does not multiply the allowance. It includes the incarnation because a handle held by
-/// a target that outlives its node could otherwise refer to a later, unrelated call.
+/// copying the handle to many calls does not multiply the allowance. It includes the incarnation because a handle held
+/// by a target that outlives its node could otherwise refer to a later, unrelated call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContextHandle {
     incarnation: u64,
