--- a/crates/node/src/gate/completion.rs
+++ b/crates/node/src/gate/completion.rs
@@ -20,7 +20,7 @@
         let Some(call) = self.calls.get_mut(key) else {
             return Err(ErrorKind::Cancelled);
         };
-        // If the process was paused after admission, the deadline may have passed and the caller may be gone.
+        // If the process was paused after admission, it would otherwise run a call whose caller is gone.
         if now >= call.deadline {
             return Err(ErrorKind::ExpiredBeforeDispatch);
         }
