--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// A listener could not be bound.
-    #[error("{listener} listener on {address}: {source}")]
+    #[error("cannot bind {listener} listener on {address}: {source}")]
     Bind {
         /// Name of the listener.
         listener: &'static str,
