--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -57,7 +57,7 @@
         };
         let budget = match origin {
             Origin::InFlight(parent) if self.limits.allowance_enabled => {
-                RetryBudget::InFlight(self.gate.clone(), parent.flight)
+                RetryBudget::InFlight(self.gate.clone(), parent.key)
             }
             _ => RetryBudget::Own(Allowance::new(document.retry_allowance)),
         };
--- a/crates/node/src/entry/retry_budget.rs
+++ b/crates/node/src/entry/retry_budget.rs
@@ -4,7 +4,7 @@
 use coltsfootport_core::allowance::Allowance;
 use coltsfootport_core::invariant::Invariant;
 
-use crate::gate::{FlightKey, GateHandle};
+use crate::gate::{GateHandle, InFlightKey};
 
 /// Retry allowance from which the retries of a call are taken.
 ///
@@ -15,7 +15,7 @@
     /// Allowance of a new request.
     Own(Allowance),
     /// Allowance of a call in flight at this node, held by the gate.
-    InFlight(GateHandle, FlightKey),
+    InFlight(GateHandle, InFlightKey),
 }
 
 impl RetryBudget {
@@ -23,7 +23,7 @@
     pub async fn grant(&mut self) -> u16 {
         match self {
             Self::Own(allowance) => allowance.grant(),
-            Self::InFlight(gate, flight) => gate.grant(*flight).await,
+            Self::InFlight(gate, key) => gate.grant_allowance(*key).await,
         }
     }
 
@@ -31,8 +31,8 @@
     pub fn reclaim(&mut self, granted: u16, left: u16) -> Result<(), Invariant> {
         match self {
             Self::Own(allowance) => allowance.reclaim(granted, left),
-            Self::InFlight(gate, flight) => {
-                gate.give_back(*flight, granted, left);
+            Self::InFlight(gate, key) => {
+                gate.reclaim_allowance(*key, granted, left);
                 Ok(())
             }
         }
@@ -40,8 +40,8 @@
 
     /// Records the admission level reported from downstream, to be reported to callers of the operation being served.
     pub fn record_downstream_level(&self, level: Level) {
-        if let Self::InFlight(gate, flight) = self {
-            gate.level_below(*flight, level);
+        if let Self::InFlight(gate, key) = self {
+            gate.record_downstream_level(*key, level);
         }
     }
 
@@ -49,7 +49,7 @@
     pub async fn spend(&mut self) -> bool {
         match self {
             Self::Own(allowance) => allowance.spend(),
-            Self::InFlight(gate, flight) => gate.spend(*flight).await,
+            Self::InFlight(gate, key) => gate.spend_retry(*key).await,
         }
     }
 }
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -1,27 +1,30 @@
-//! The gate: one task that decides which calls its target runs, and keeps every call in flight here.
+//! The admission gate: a single task that decides which calls the target runs and tracks every call in flight.
 
-mod below;
-mod below_guard;
+mod admit;
+mod completion;
 mod context;
-mod deciding;
-mod ending;
-mod entering;
-mod figures;
-mod flight;
-mod guard;
+mod decisions;
+mod downstream_calls;
+mod downstream_guard;
 mod handle;
-mod life;
+mod in_flight_call;
+mod in_flight_guard;
+mod lifecycle;
 mod message;
-mod own_call;
-mod serving;
+mod parent;
+mod repeat_detector;
+mod reports;
 mod task;
 
-pub use below::Below;
-pub use below_guard::BelowGuard;
 pub use context::ContextHandle;
-pub use flight::{Flight, FlightKey, FlightPhase};
-pub use guard::FlightGuard;
+pub use downstream_calls::DownstreamCalls;
+pub use downstream_guard::DownstreamGuard;
 pub use handle::GateHandle;
-pub use message::{Admittance, Departure, Entered, FlightEnd, GateMessage, GateStatus, Parent};
-pub use own_call::{OwnCall, OwnCalls};
+pub use in_flight_call::{InFlightCall, InFlightKey, InFlightPhase};
+pub use in_flight_guard::InFlightGuard;
+pub use message::{
+    AdmissionDecision, AdmissionRequest, Completion, CompletionReply, GateMessage, GateStatus,
+    Parent,
+};
+pub use repeat_detector::{DownstreamPermit, RepeatDetector};
 pub use task::{Gate, GateSetup};
--- a/crates/node/src/gate/context.rs
+++ b/crates/node/src/gate/context.rs
@@ -1,4 +1,4 @@
-//! The handle by which a target's own calls name the call that they serve.
+//! Opaque handle that links a target's downstream calls to the call in flight that caused them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,37 +6,37 @@
 use coltsfootport_core::id::Incarnation;
 use slotmap::{Key, KeyData};
 
-use super::FlightKey;
+use super::InFlightKey;
 
-/// Names a call in flight at one incarnation of a node.
+/// Identifies a call in flight at one incarnation of a node.
 ///
-/// A target copies it into its own calls. It carries no rights of its own: deadline, class and retry allowance stay in the
-/// node's memory, so that a copy to many calls does not multiply the allowance. It names the incarnation because a target
-/// that outlives its node would otherwise name a later, unrelated call.
+/// The target copies it into its downstream calls. Deadline, class and retry allowance stay in the node's memory, so
+/// copying the handle to many calls does not multiply the allowance. It includes the incarnation because a handle held
+/// by a target that outlives its node could otherwise refer to a later, unrelated call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContextHandle {
     incarnation: u64,
-    /// The call in flight.
-    pub flight: FlightKey,
+    /// Key of the call in flight.
+    pub key: InFlightKey,
 }
 
-/// A text is not a context handle.
+/// The text is not a valid context handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed context")]
 pub struct ParseContextError;
 
 impl ContextHandle {
-    /// The handle of a call in flight at `incarnation`.
-    pub fn new(incarnation: Incarnation, flight: FlightKey) -> Self {
+    /// Creates the handle of a call in flight at `incarnation`.
+    pub fn new(incarnation: Incarnation, key: InFlightKey) -> Self {
         Self {
-            incarnation: fold(incarnation),
-            flight,
+            incarnation: fold_to_u64(incarnation),
+            key,
         }
     }
 
-    /// Whether the handle was given out by `incarnation`.
-    pub fn is_of(&self, incarnation: Incarnation) -> bool {
-        self.incarnation == fold(incarnation)
+    /// Whether the handle was issued by `incarnation`.
+    pub fn is_issued_by(&self, incarnation: Incarnation) -> bool {
+        self.incarnation == fold_to_u64(incarnation)
     }
 }
 
@@ -46,7 +46,7 @@
             f,
             "{:016x}-{:016x}",
             self.incarnation,
-            self.flight.data().as_ffi()
+            self.key.data().as_ffi()
         )
     }
 }
@@ -55,16 +55,16 @@
     type Err = ParseContextError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (incarnation, flight) = text.split_once('-').ok_or(ParseContextError)?;
+        let (incarnation, key) = text.split_once('-').ok_or(ParseContextError)?;
         let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| ParseContextError)?;
-        let flight = u64::from_str_radix(flight, 16).map_err(|_| ParseContextError)?;
+        let key = u64::from_str_radix(key, 16).map_err(|_| ParseContextError)?;
         Ok(Self {
             incarnation,
-            flight: FlightKey::from(KeyData::from_ffi(flight)),
+            key: InFlightKey::from(KeyData::from_ffi(key)),
         })
     }
 }
 
-fn fold(incarnation: Incarnation) -> u64 {
+fn fold_to_u64(incarnation: Incarnation) -> u64 {
     (incarnation.0 ^ (incarnation.0 >> 64)) as u64
 }
--- a/crates/node/src/gate/message.rs
+++ b/crates/node/src/gate/message.rs
@@ -1,4 +1,4 @@
-//! What is said to the gate.
+//! Messages to the gate and their replies.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,160 +12,160 @@
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
 
-use super::{ContextHandle, FlightGuard, FlightKey, OwnCall};
+use super::{ContextHandle, DownstreamPermit, InFlightGuard, InFlightKey};
 use crate::data::{Answer, Call, HostReport, OnceCall, Refused};
 
-/// What the gate needs to know of a call that asks to run here.
+/// A call that requests admission at this node.
 #[derive(Clone, Debug)]
-pub struct Admittance {
-    /// Request on whose behalf the call is made.
+pub struct AdmissionRequest {
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Name of its class.
+    /// Name of the priority class.
     pub class_name: SmolStr,
-    /// Its operation.
+    /// Operation that is called.
     pub operation: SmolStr,
-    /// Position of the request among those of its class.
+    /// Bucket of the request within its class; higher buckets are shed first.
     pub bucket: u8,
-    /// When the answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
-    /// Hops above it.
+    /// Number of hops between the entry and this call.
     pub depth: u8,
-    /// Number of the sending by its entry.
+    /// Number of the attempt, as counted by its entry.
     pub sending: u16,
-    /// Retries granted to its subtree.
+    /// Retries granted to the call and its downstream calls.
     pub allowance: u16,
-    /// Token that binds it to one run.
+    /// Token and try number, if the call runs at most once.
     pub once: Option<OnceCall>,
 }
 
-/// What the gate says to a call that asked to run.
+/// The gate's reply to an [`AdmissionRequest`].
 #[derive(Debug)]
-pub enum Entered {
-    /// It may go to the target after a last check.
-    Admitted(FlightGuard),
-    /// An earlier try has run; this is its answer.
+pub enum AdmissionDecision {
+    /// The call may be sent to the target after a final check with [`GateMessage::Dispatch`].
+    Admitted(InFlightGuard),
+    /// An earlier try of the token has run; contains its stored answer.
     Replayed(Arc<Answer>),
-    /// It does not run.
+    /// The call is not run.
     Refused(Refused),
 }
 
 /// How a call in flight ended.
 #[derive(Clone, Debug)]
-pub enum FlightEnd {
+pub enum Completion {
     /// The target answered.
     Answered(Arc<Answer>),
-    /// It was dispatched and no whole answer came.
+    /// The call was dispatched, but no complete answer was received.
     Lost(ErrorKind),
-    /// It was not dispatched.
+    /// The call was not dispatched.
     Withdrawn(ErrorKind),
 }
 
-/// What a host says with a reply.
+/// The gate's reply to [`GateMessage::Finish`].
 #[derive(Clone, Debug)]
-pub struct Departure {
-    /// Retry allowance that the subtree did not use.
+pub struct CompletionReply {
+    /// Retry allowance that the call and its downstream calls did not use.
     pub allowance_left: u16,
     /// State of the host.
     pub report: HostReport,
 }
 
-/// The call in flight that a target's own call serves.
+/// The call in flight that a downstream call belongs to.
 #[derive(Clone, Debug)]
 pub struct Parent {
-    /// The call in flight.
-    pub flight: FlightKey,
-    /// Request on whose behalf it runs.
+    /// Key of the call in flight.
+    pub key: InFlightKey,
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Name of its class.
+    /// Name of the priority class.
     pub class_name: SmolStr,
-    /// When its answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Instant,
-    /// Hops above the target's own calls.
+    /// Number of hops between the entry and the downstream calls.
     pub depth: u8,
 }
 
-/// Figures of the gate for `status` and metrics.
+/// State of the gate for the `status` command and for metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct GateStatus {
-    /// Calls at the target.
+    /// Calls in flight at the target.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls waiting for admission.
     pub queued: u32,
     /// Concurrency limit.
     pub limit: u32,
     /// Admission level.
     pub level: Level,
-    /// Phase of the node.
+    /// Lifecycle phase of the node.
     pub phase: Phase,
-    /// Records of tokens.
+    /// Number of records in the token table.
     pub records: usize,
 }
 
-/// Everything that is said to the gate.
+/// A message to the gate task.
 #[derive(Debug)]
 pub enum GateMessage {
-    /// A call asks to run.
-    Enter(Box<Admittance>, oneshot::Sender<Entered>),
-    /// Last check right before the first byte goes to the target.
-    Dispatch(FlightKey, oneshot::Sender<Result<(), ErrorKind>>),
-    /// A call in flight ended.
-    Finish(FlightKey, FlightEnd, oneshot::Sender<Departure>),
-    /// A call in flight was dropped by its owner.
-    Abandon(FlightKey),
-    /// State for a reply about a call that never was in flight.
+    /// Requests admission of a call.
+    Admit(Box<AdmissionRequest>, oneshot::Sender<AdmissionDecision>),
+    /// Performs the final check just before the first byte is sent to the target.
+    Dispatch(InFlightKey, oneshot::Sender<Result<(), ErrorKind>>),
+    /// Reports the completion of a call in flight.
+    Finish(InFlightKey, Completion, oneshot::Sender<CompletionReply>),
+    /// Reports that the owner of a call in flight was dropped without completing it.
+    Abandon(InFlightKey),
+    /// Requests the host state to attach to the reply for a call that was never in flight.
     Report(SmolStr, oneshot::Sender<HostReport>),
-    /// The call that a target's own call serves.
+    /// Looks up the call in flight that a downstream call belongs to.
     Parent(ContextHandle, oneshot::Sender<Option<Parent>>),
-    /// A part of the allowance for one attempt of a target's own call.
-    Grant(FlightKey, oneshot::Sender<u16>),
-    /// What an attempt left of its part.
-    GiveBack {
-        /// The call in flight.
-        flight: FlightKey,
-        /// What was granted.
+    /// Grants part of the retry allowance to one attempt of a downstream call.
+    GrantAllowance(InFlightKey, oneshot::Sender<u16>),
+    /// Returns the unused part of a grant.
+    ReclaimAllowance {
+        /// Key of the call in flight.
+        key: InFlightKey,
+        /// Number of retries granted.
         granted: u16,
-        /// What is left of it.
+        /// Number of granted retries that were not used.
         left: u16,
     },
-    /// One retry out of the allowance.
-    Spend(FlightKey, oneshot::Sender<bool>),
-    /// A target's own call, with its fingerprint, wants to begin.
-    OwnCall(FlightKey, u64, oneshot::Sender<OwnCall>),
-    /// A target's own call ended.
-    OwnCallEnded {
-        /// The call in flight that it served.
-        flight: FlightKey,
-        /// What it asked for.
+    /// Deducts one retry from the allowance.
+    SpendRetry(InFlightKey, oneshot::Sender<bool>),
+    /// Requests the permit for a downstream call with the given fingerprint.
+    AcquirePermit(InFlightKey, u64, oneshot::Sender<DownstreamPermit>),
+    /// Reports that a permit was dropped.
+    ReleasePermit {
+        /// Key of the call in flight that the downstream call belongs to.
+        key: InFlightKey,
+        /// Fingerprint of the downstream call.
         fingerprint: u64,
-        /// Whether the target got it.
+        /// Whether the target received a successful answer.
         succeeded: bool,
     },
-    /// A target's own call arrived.
-    BelowBegan(FlightKey),
-    /// A target's own call was answered or given up.
-    BelowEnded {
-        /// The call in flight that it served.
-        flight: FlightKey,
-        /// Whether it was answered with success.
+    /// Reports the start of a downstream call.
+    DownstreamStarted(InFlightKey),
+    /// Reports that a downstream call was answered or cancelled.
+    DownstreamEnded {
+        /// Key of the call in flight that the downstream call belongs to.
+        key: InFlightKey,
+        /// Whether the downstream call was answered successfully.
         succeeded: bool,
     },
-    /// Admission level heard below an operation of this target.
-    LevelBelow(FlightKey, Level),
-    /// Refuses all tries of a token up to a number for good.
+    /// Records the admission level reported by a downstream service for an operation of this target.
+    DownstreamLevel(InFlightKey, Level),
+    /// Permanently refuses all tries of a token up to a number, unless the call was sent to the target.
     Refuse(Box<Token>, Try, oneshot::Sender<Refusal<Arc<Answer>>>),
-    /// The node becomes ready to take work.
+    /// Starts accepting work.
     Ready,
-    /// The node begins to leave; the reply comes when nothing is in flight.
+    /// Starts leaving; the reply is sent once no call is in flight.
     Leave(oneshot::Sender<()>),
-    /// Figures for people and metrics.
+    /// Requests the state for the `status` command and for metrics.
     Status(oneshot::Sender<GateStatus>),
 }
 
-impl From<&Call> for Admittance {
+impl From<&Call> for AdmissionRequest {
     fn from(call: &Call) -> Self {
         Self {
             request: call.request,
--- a/crates/node/src/gate/figures.rs
+++ b/crates/node/src/gate/reports.rs
@@ -1,4 +1,4 @@
-//! What the gate tells of its state.
+//! State that the gate reports to callers, peers and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,9 @@
 impl Gate {
     pub(super) fn report(&mut self, operation: &SmolStr) -> HostReport {
         let now = self.clock.now();
-        let below = self.below.level(&ServiceName(operation.clone()), now);
+        let downstream = self
+            .downstream_levels
+            .level(&ServiceName(operation.clone()), now);
         HostReport {
             node: self.node.clone(),
             incarnation: self.incarnation,
@@ -25,7 +27,7 @@
             in_flight: self.admission.in_flight(),
             queued: self.admission.queued() as u32,
             limit: self.admission.limit(),
-            level: self.admission.level().min(below),
+            level: self.admission.level().min(downstream),
             revision: self.published.borrow().revision,
         }
     }
@@ -41,19 +43,20 @@
         }
     }
 
-    /// A refusal that tells the caller honestly when a place is likely to be free again.
+    /// Creates a refusal with an estimate of when capacity will be available again.
     ///
-    /// The time is the wait of the calls already queued plus a random part, so that refused callers don't return together.
-    pub(super) fn refused(&mut self, kind: ErrorKind) -> Refused {
+    /// The estimate is the time to serve the queued calls, multiplied by a random factor so that refused callers don't
+    /// all retry at the same time.
+    pub(super) fn refusal(&mut self, kind: ErrorKind) -> Refused {
         let now = self.clock.now();
         let turns = self.admission.queued() as f64 / f64::from(self.admission.limit().max(1));
         let wait = self
             .admission
             .service_time(now)
             .mul_f64(turns + 1.0)
-            .max(LEAST_RETRY_AFTER);
-        let retry_after = wait.mul_f64(self.rng.random_range(1.0..RETRY_AFTER_SPREAD));
-        Refused::new(kind, retry_after.min(MOST_RETRY_AFTER))
+            .max(MIN_RETRY_AFTER);
+        let retry_after = wait.mul_f64(self.rng.random_range(1.0..MAX_JITTER_FACTOR));
+        Refused::new(kind, retry_after.min(MAX_RETRY_AFTER))
     }
 
     pub(super) fn refuse(&mut self, token: &Token, up_to: Try) -> Refusal<Arc<Answer>> {
@@ -67,6 +70,7 @@
     }
 }
 
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(10);
-const RETRY_AFTER_SPREAD: f64 = 3.0;
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+/// Upper bound of the random factor applied to the estimated wait.
+const MAX_JITTER_FACTOR: f64 = 3.0;
--- a/crates/node/src/gate/task.rs
+++ b/crates/node/src/gate/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns admission, the table of tokens, the lifecycle and the calls in flight.
+//! The task that owns admission, the token table, the lifecycle and the calls in flight.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,36 +15,36 @@
 use slotmap::SlotMap;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{Entered, Flight, FlightKey, GateHandle, GateMessage};
+use super::{AdmissionDecision, GateHandle, GateMessage, InFlightCall, InFlightKey};
 use crate::clock::SharedClock;
 use crate::data::Answer;
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
-/// What the gate is made of.
+/// Dependencies and configuration of the gate.
 #[derive(Clone)]
 pub struct GateSetup {
     /// Name of the node.
     pub node: NodeName,
-    /// Service of its target.
+    /// Service that the target provides.
     pub service: ServiceName,
-    /// This run of the node.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// When this run began.
+    /// When this incarnation started.
     pub started: Instant,
-    /// Settings of admission.
+    /// Admission configuration.
     pub admission: AdmissionConfig,
-    /// Settings of the table of tokens.
+    /// Token table configuration.
     pub once: OnceConfig,
-    /// Settings of the shutdown.
+    /// Shutdown configuration.
     pub lifecycle: LifecycleConfig,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: SharedClock,
-    /// Where events are recorded.
+    /// Recorder of timeline events.
     pub recorder: Recorder,
-    /// Where the phases of the node's life are told.
-    pub life: mpsc::UnboundedSender<LifecycleEvent>,
-    /// What is published, for the revision that others hear of.
+    /// Receives the lifecycle events of the node.
+    pub lifecycle_events: mpsc::UnboundedSender<LifecycleEvent>,
+    /// Published snapshot, whose revision is included in host reports.
     pub published: watch::Receiver<Arc<Published>>,
 }
 
@@ -55,31 +55,31 @@
     pub(super) incarnation: Incarnation,
     pub(super) clock: SharedClock,
     pub(super) recorder: Recorder,
-    pub(super) life: mpsc::UnboundedSender<LifecycleEvent>,
+    pub(super) lifecycle_events: mpsc::UnboundedSender<LifecycleEvent>,
     pub(super) admission: Admission,
     pub(super) once: OnceTable<Arc<Answer>>,
     pub(super) lifecycle: Lifecycle,
-    pub(super) flights: SlotMap<FlightKey, Flight>,
-    pub(super) by_call: Map<CallKey, FlightKey>,
-    pub(super) by_record: Map<RecordKey, FlightKey>,
-    pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<Entered>>>,
-    pub(super) below: DownstreamLevels,
-    /// A call that asked to run by the message at hand.
-    pub(super) entering: Option<FlightKey>,
+    pub(super) calls: SlotMap<InFlightKey, InFlightCall>,
+    pub(super) by_admission_key: Map<CallKey, InFlightKey>,
+    pub(super) by_record: Map<RecordKey, InFlightKey>,
+    pub(super) joined: Map<RecordKey, Vec<oneshot::Sender<AdmissionDecision>>>,
+    pub(super) downstream_levels: DownstreamLevels,
+    /// Call offered to admission by the current message.
+    pub(super) last_offered: Option<InFlightKey>,
     pub(super) actions: Vec<Action>,
-    pub(super) drained: Vec<oneshot::Sender<()>>,
+    pub(super) drain_waiters: Vec<oneshot::Sender<()>>,
     pub(super) rng: SmallRng,
     pub(super) published: watch::Receiver<Arc<Published>>,
-    /// Calls that wait, for those whose callers leave.
-    pub(super) waiting: Vec<FlightKey>,
-    /// When records of expired tokens are dropped next.
+    /// Queued calls, checked for disconnected callers.
+    pub(super) queued_calls: Vec<InFlightKey>,
+    /// When the records of expired tokens are removed next.
     pub(super) expire_at: Instant,
     pub(super) tx: mpsc::UnboundedSender<GateMessage>,
     pub(super) rx: mpsc::UnboundedReceiver<GateMessage>,
 }
 
 impl Gate {
-    /// A gate and the handle to it.
+    /// Creates a gate and its handle.
     pub fn new(setup: GateSetup) -> (Self, GateHandle) {
         let (tx, rx) = mpsc::unbounded_channel();
         let now = setup.clock.now();
@@ -87,24 +87,24 @@
             admission: Admission::new(setup.admission, now),
             once: OnceTable::new(setup.once, setup.incarnation, setup.started),
             lifecycle: Lifecycle::new(setup.lifecycle),
-            flights: SlotMap::with_key(),
-            by_call: Map::default(),
+            calls: SlotMap::with_key(),
+            by_admission_key: Map::default(),
             by_record: Map::default(),
             joined: Map::default(),
-            below: DownstreamLevels::new(DownstreamLevelsConfig::default()),
+            downstream_levels: DownstreamLevels::new(DownstreamLevelsConfig::default()),
             actions: Vec::new(),
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
             rng: SmallRng::from_os_rng(),
             published: setup.published,
-            waiting: Vec::new(),
-            expire_at: now + LONGEST_SLEEP,
+            queued_calls: Vec::new(),
+            expire_at: now + MAX_SLEEP,
             node: setup.node,
             service: setup.service,
-            entering: None,
+            last_offered: None,
             incarnation: setup.incarnation,
             clock: setup.clock,
             recorder: setup.recorder,
-            life: setup.life,
+            lifecycle_events: setup.lifecycle_events,
             tx: tx.clone(),
             rx,
         };
@@ -125,38 +125,40 @@
                 _ = tokio::time::sleep_until(wake_at.into()) => {}
             }
             self.expire();
-            self.settle();
+            self.apply_decisions();
         }
     }
 
-    /// Drops what is due at its own times: a gate with a message every second never sleeps long enough to wake for it, and
-    /// its expired records would fill the table.
+    /// Removes the records of expired tokens once every [`MAX_SLEEP`].
+    ///
+    /// Independent of the wake-up timer, which never fires if messages keep arriving more often than once a second.
+    /// Expired records would then fill the table.
     fn expire(&mut self) {
         let now = self.clock.now();
         if now >= self.expire_at {
             self.once.expire(now);
-            self.expire_at = now + LONGEST_SLEEP;
+            self.expire_at = now + MAX_SLEEP;
         }
     }
 
     fn wake_at(&self, now: Instant) -> Instant {
         let admission = self.admission.next_wakeup();
-        let life = self.lifecycle.wake_at();
+        let lifecycle = self.lifecycle.wake_at();
         let due = admission
             .into_iter()
-            .chain(life)
+            .chain(lifecycle)
             .min()
-            .unwrap_or(now + LONGEST_SLEEP);
-        due.clamp(now + SHORTEST_SLEEP, now + LONGEST_SLEEP)
+            .unwrap_or(now + MAX_SLEEP);
+        due.clamp(now + MIN_SLEEP, now + MAX_SLEEP)
     }
 
     fn handle(&mut self, message: GateMessage) {
         match message {
-            GateMessage::Enter(admittance, reply) => self.enter(*admittance, reply),
+            GateMessage::Admit(request, reply) => self.admit(*request, reply),
             GateMessage::Dispatch(key, reply) => {
                 let _ = reply.send(self.dispatch(key));
             }
-            GateMessage::Finish(key, end, reply) => self.finish(key, end, reply),
+            GateMessage::Finish(key, completion, reply) => self.finish(key, completion, reply),
             GateMessage::Abandon(key) => self.abandon(key),
             GateMessage::Report(operation, reply) => {
                 let _ = reply.send(self.report(&operation));
@@ -164,53 +166,46 @@
             GateMessage::Parent(handle, reply) => {
                 let _ = reply.send(self.parent(handle));
             }
-            GateMessage::Grant(key, reply) => self.grant(key, reply),
-            GateMessage::GiveBack {
-                flight,
-                granted,
-                left,
-            } => {
-                self.give_back(flight, granted, left);
+            GateMessage::GrantAllowance(key, reply) => self.grant_allowance(key, reply),
+            GateMessage::ReclaimAllowance { key, granted, left } => {
+                self.reclaim_allowance(key, granted, left);
             }
-            GateMessage::Spend(key, reply) => {
+            GateMessage::SpendRetry(key, reply) => {
                 let spent = self
-                    .flights
+                    .calls
                     .get_mut(key)
-                    .is_some_and(|f| f.allowance.spend());
+                    .is_some_and(|call| call.allowance.spend());
                 let _ = reply.send(spent);
             }
-            GateMessage::OwnCall(key, fingerprint, reply) => {
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.own_calls.begin(key, fingerprint, reply, &self.tx);
+            GateMessage::AcquirePermit(key, fingerprint, reply) => {
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.repeat_detector
+                        .acquire(key, fingerprint, reply, &self.tx);
                 }
             }
-            GateMessage::OwnCallEnded {
-                flight: key,
+            GateMessage::ReleasePermit {
+                key,
                 fingerprint,
                 succeeded,
             } => {
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight
-                        .own_calls
-                        .ended(key, fingerprint, succeeded, &self.tx);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.repeat_detector
+                        .release(key, fingerprint, succeeded, &self.tx);
                 }
             }
-            GateMessage::BelowBegan(key) => {
+            GateMessage::DownstreamStarted(key) => {
                 let now = self.clock.now();
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.below.began(now);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.downstream.started(now);
                 }
             }
-            GateMessage::BelowEnded {
-                flight: key,
-                succeeded,
-            } => {
+            GateMessage::DownstreamEnded { key, succeeded } => {
                 let now = self.clock.now();
-                if let Some(flight) = self.flights.get_mut(key) {
-                    flight.below.ended(succeeded, now);
+                if let Some(call) = self.calls.get_mut(key) {
+                    call.downstream.ended(succeeded, now);
                 }
             }
-            GateMessage::LevelBelow(key, level) => self.level_below(key, level),
+            GateMessage::DownstreamLevel(key, level) => self.record_downstream_level(key, level),
             GateMessage::Refuse(token, up_to, reply) => {
                 let _ = reply.send(self.refuse(&token, up_to));
             }
@@ -223,5 +218,6 @@
     }
 }
 
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
+/// Longest time between two wake-ups, and interval at which expired token records are removed.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
--- a/crates/node/src/host/runner.rs
+++ b/crates/node/src/host/runner.rs
@@ -13,7 +13,8 @@
 use crate::clock::SharedClock;
 use crate::data::{Answer, AttemptId, Call, HostReport, Refused, Reply, Verdict};
 use crate::gate::{
-    Admittance, ContextHandle, Departure, Entered, FlightEnd, FlightGuard, GateHandle,
+    AdmissionDecision, AdmissionRequest, Completion, CompletionReply, ContextHandle, GateHandle,
+    InFlightGuard,
 };
 use crate::metrics::Metrics;
 use crate::recorder::Recorder;
@@ -68,9 +69,11 @@
                 .reply_without_flight(&call, Verdict::from(ErrorKind::NoTarget))
                 .await;
         }
-        match self.setup.gate.enter(Admittance::from(&call)).await {
-            Entered::Admitted(guard) if call.once.is_some() => self.run_detached(call, guard).await,
-            Entered::Admitted(guard) => {
+        match self.setup.gate.admit(AdmissionRequest::from(&call)).await {
+            AdmissionDecision::Admitted(guard) if call.once.is_some() => {
+                self.run_detached(call, guard).await
+            }
+            AdmissionDecision::Admitted(guard) => {
                 let (attempt, deadline) = (call.attempt, call.deadline);
                 Some(
                     self.execute(call, guard, deadline, None)
@@ -78,7 +81,7 @@
                         .into_reply(attempt),
                 )
             }
-            Entered::Replayed(answer) => {
+            AdmissionDecision::Replayed(answer) => {
                 let answer = Answer {
                     replayed: true,
                     ..(*answer).clone()
@@ -86,7 +89,7 @@
                 self.reply_without_flight(&call, Verdict::Answered(answer))
                     .await
             }
-            Entered::Refused(refused) => {
+            AdmissionDecision::Refused(refused) => {
                 self.reply_without_flight(&call, Verdict::Refused(refused))
                     .await
             }
@@ -115,7 +118,7 @@
     }
 
     /// Runs a call in a separate task, so that its answer is kept even if the caller disconnects.
-    async fn run_detached(&self, call: Call, guard: FlightGuard) -> Option<Reply> {
+    async fn run_detached(&self, call: Call, guard: InFlightGuard) -> Option<Reply> {
         let (tx, rx) = oneshot::channel();
         let host = self.clone();
         let attempt = call.attempt;
@@ -132,7 +135,7 @@
     async fn execute(
         &self,
         call: Call,
-        guard: FlightGuard,
+        guard: InFlightGuard,
         answer_deadline: Instant,
         caller: Option<&oneshot::Sender<Option<FinishedCall>>>,
     ) -> Option<FinishedCall> {
@@ -175,38 +178,42 @@
     /// Ends a flight whose target answered.
     async fn finish_answered(
         &self,
-        guard: FlightGuard,
+        guard: InFlightGuard,
         answer: Arc<Answer>,
     ) -> Option<FinishedCall> {
-        let end = FlightEnd::Answered(Arc::clone(&answer));
-        let departure = self.setup.gate.finish(guard.release(), end).await?;
+        let end = Completion::Answered(Arc::clone(&answer));
+        let completion = self.setup.gate.finish(guard.release(), end).await?;
         Some(FinishedCall {
             verdict: Verdict::Answered((*answer).clone()),
-            departure,
+            completion,
         })
     }
 
     /// Ends a flight that was dispatched but got no complete answer.
-    async fn finish_lost(&self, guard: FlightGuard, kind: ErrorKind) -> Option<FinishedCall> {
-        let departure = self
+    async fn finish_lost(&self, guard: InFlightGuard, kind: ErrorKind) -> Option<FinishedCall> {
+        let completion = self
             .setup
             .gate
-            .finish(guard.release(), FlightEnd::Lost(kind))
+            .finish(guard.release(), Completion::Lost(kind))
             .await?;
         Some(FinishedCall {
             verdict: Verdict::Refused(Refused::from(kind)),
-            departure,
+            completion,
         })
     }
 
     /// Ends a flight that was not dispatched.
-    async fn finish_withdrawn(&self, guard: FlightGuard, kind: ErrorKind) -> Option<FinishedCall> {
-        let end = FlightEnd::Withdrawn(kind);
-        let departure = self.setup.gate.finish(guard.release(), end).await?;
+    async fn finish_withdrawn(
+        &self,
+        guard: InFlightGuard,
+        kind: ErrorKind,
+    ) -> Option<FinishedCall> {
+        let end = Completion::Withdrawn(kind);
+        let completion = self.setup.gate.finish(guard.release(), end).await?;
         let refused = Refused::new(kind, WITHDRAWN_RETRY_AFTER);
         Some(FinishedCall {
             verdict: Verdict::Refused(refused),
-            departure,
+            completion,
         })
     }
 }
@@ -221,16 +228,16 @@
 #[derive(Debug)]
 struct FinishedCall {
     verdict: Verdict,
-    departure: Departure,
+    completion: CompletionReply,
 }
 
 impl FinishedCall {
     fn into_reply(self, attempt: AttemptId) -> Reply {
         Reply {
             attempt,
-            allowance_left: self.departure.allowance_left,
+            allowance_left: self.completion.allowance_left,
             verdict: self.verdict,
-            report: self.departure.report,
+            report: self.completion.report,
         }
     }
 }
--- a/crates/node/src/node/base.rs
+++ b/crates/node/src/node/builder.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node are built with.
+//! Builds the components of a node and starts their tasks.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -32,8 +32,8 @@
     PlatformClient, Published, SpreadHandle, SpreadMessage, SpreadSetup, SpreadTask, StateReport,
 };
 
-/// What all parts of a node are built with; each method starts the tasks of one part.
-pub(super) struct Base {
+/// State shared by the components of a node; each method builds one component and starts its tasks.
+pub(super) struct NodeBuilder {
     pub(super) settings: Settings,
     pub(super) incarnation: Incarnation,
     pub(super) metrics: Metrics,
@@ -44,21 +44,21 @@
     started: Instant,
 }
 
-/// The gate's task and what belongs to it.
+/// The running gate task, its handle and its lifecycle events.
 pub(super) struct RunningGate {
     pub(super) handle: GateHandle,
     pub(super) task: JoinHandle<()>,
-    pub(super) life: mpsc::UnboundedReceiver<LifecycleEvent>,
+    pub(super) lifecycle_events: mpsc::UnboundedReceiver<LifecycleEvent>,
 }
 
-/// The side of a node towards its peers.
-pub(super) struct Peers {
+/// QUIC endpoint of a node and the connections and streams to its peers.
+pub(super) struct PeerTransport {
     pub(super) endpoint: quinn::Endpoint,
     pub(super) hub: HubHandle,
     pub(super) streams: Arc<Semaphore>,
 }
 
-/// The channels of the spread task, which others send to before it is started.
+/// Channels of the spread task, created before the task because other tasks send to them.
 pub(super) struct SpreadChannels {
     pub(super) published: watch::Sender<Arc<Published>>,
     pub(super) words: mpsc::UnboundedReceiver<StateReport>,
@@ -66,8 +66,8 @@
     pub(super) rx: mpsc::UnboundedReceiver<SpreadMessage>,
 }
 
-impl Base {
-    /// Starts the time line; `published` is what the spread task will publish.
+impl NodeBuilder {
+    /// Starts the timeline recorder. `published` receives the snapshots of the spread task.
     pub(super) fn new(
         settings: Settings,
         warnings: Vec<Fault>,
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn gate(&self) -> RunningGate {
-        let (life_tx, life) = mpsc::unbounded_channel();
+        let (lifecycle_tx, lifecycle_events) = mpsc::unbounded_channel();
         let (task, handle) = Gate::new(GateSetup {
             node: self.settings.node.name.clone(),
             service: self.settings.node.service.clone(),
@@ -110,10 +110,14 @@
             clock: Arc::clone(&self.clock),
             recorder: self.recorder.clone(),
             published: self.published.clone(),
-            life: life_tx,
+            lifecycle_events: lifecycle_tx,
         });
         let task = tokio::spawn(task.run());
-        RunningGate { handle, task, life }
+        RunningGate {
+            handle,
+            task,
+            lifecycle_events,
+        }
     }
 
     pub(super) fn routes(&self, words: mpsc::UnboundedSender<StateReport>) -> RoutesHandle {
@@ -157,13 +161,13 @@
         gate: &GateHandle,
         routes: &RoutesHandle,
         spread: &SpreadHandle,
-    ) -> Result<Peers, NodeError> {
+    ) -> Result<PeerTransport, NodeError> {
         let limits = &self.settings.limits;
         let tls = &self.settings.tls;
         let tls = TlsMaterial::parse(&tls.ca_pem, &tls.cert_pem, tls.key_pem.expose())?;
         let address = self.settings.listen.peers;
         let endpoint = bind(address, &tls, limits.peer_streams, limits.idle_timeout)?;
-        let streams = Arc::new(Semaphore::new(MOST_STREAMS));
+        let streams = Arc::new(Semaphore::new(MAX_PEER_STREAMS));
         let services = PeerServices {
             streams: Arc::clone(&streams),
             host: host.clone(),
@@ -174,7 +178,7 @@
             recorder: self.recorder.clone(),
             metrics: self.metrics.clone(),
             limits: FrameLimits {
-                head: HEAD_ALLOWANCE + limits.header_bytes as usize,
+                head: FRAME_HEAD_OVERHEAD + limits.header_bytes as usize,
                 body: limits.body_bytes as usize,
             },
             frame_timeout: limits.header_timeout,
@@ -182,7 +186,7 @@
         let (hub_task, hub) = Hub::new(endpoint.clone(), services.clone(), limits.idle_timeout);
         tokio::spawn(hub_task.run());
         tokio::spawn(PeerServer::new(endpoint.clone(), services, hub.clone()).run());
-        Ok(Peers {
+        Ok(PeerTransport {
             endpoint,
             hub,
             streams,
@@ -240,7 +244,7 @@
             tokens,
             gate: gate.clone(),
             published: self.published.clone(),
-            call_slots: self.places(),
+            call_slots: self.call_permits(),
             limits: EntryLimits {
                 body_bytes: limits.body_bytes as usize,
                 body_timeout: limits.header_timeout,
@@ -253,8 +257,8 @@
         })
     }
 
-    /// Places for calls of one listener at a time.
-    pub(super) fn places(&self) -> Arc<Semaphore> {
+    /// Creates the semaphore that limits the concurrent calls of one listener.
+    pub(super) fn call_permits(&self) -> Arc<Semaphore> {
         Arc::new(Semaphore::new(self.settings.limits.in_flight as usize))
     }
 
@@ -269,8 +273,8 @@
     }
 }
 
-/// Bytes of a frame's head beyond the HTTP headers.
-const HEAD_ALLOWANCE: usize = 32 * 1024;
+/// Maximum size of a frame's head in addition to the HTTP headers, in bytes.
+const FRAME_HEAD_OVERHEAD: usize = 32 * 1024;
 
-/// Streams of peers that are served at a time.
-pub(super) const MOST_STREAMS: usize = 16_384;
+/// Maximum number of concurrently served streams from peers.
+pub(super) const MAX_PEER_STREAMS: usize = 16_384;
--- a/crates/node/tests/gate.rs
+++ b/crates/node/tests/gate.rs
@@ -1,17 +1,17 @@
-//! What the handle to the gate says when the gate has ended.
+//! Replies of the gate handle after the gate has stopped.
 
 use std::time::{Duration, Instant};
 
 use coltsfootport::data::OnceCall;
-use coltsfootport::gate::{Admittance, Entered, GateHandle};
+use coltsfootport::gate::{AdmissionDecision, AdmissionRequest, GateHandle};
 use coltsfootport_core::class::Class;
 use coltsfootport_core::id::{Incarnation, RequestId};
 use coltsfootport_core::once::{Tick, Token, Try};
 use coltsfootport_core::outcome::Outcome;
 use tokio::sync::mpsc;
 
-fn admittance(once: Option<OnceCall>) -> Admittance {
-    Admittance {
+fn request(once: Option<OnceCall>) -> AdmissionRequest {
+    AdmissionRequest {
         request: RequestId::random(),
         class: Class::HIGHEST,
         class_name: "bid".into(),
@@ -25,11 +25,10 @@
     }
 }
 
-// Symptom: a bid that ran is told "not run".
-// Sequence: a node that stops has ended its gate and its table with it; the bid's next try arrives at its last moment.
-// Cause: the handle answers for the gate as if the node had not yet started.
+// Guards against reporting a call that ran as `not-run`. When a node stops, its token table ends with the gate. If the
+// next try of a token arrives after that, the handle must not answer as if the node had not started yet.
 #[tokio::test]
-async fn without_its_gate_a_home_does_not_know() {
+async fn tokens_are_unknown_after_the_gate_stopped() {
     let token = Token {
         id: 1,
         service: "bidding".into(),
@@ -44,9 +43,9 @@
     for (once, outcome) in [(Some(once), Outcome::Unknown), (None, Outcome::NotRun)] {
         let (tx, rx) = mpsc::unbounded_channel();
         drop(rx);
-        let entered = GateHandle::new(tx).enter(admittance(once)).await;
-        let Entered::Refused(refused) = entered else {
-            panic!("{entered:?}");
+        let decision = GateHandle::new(tx).admit(request(once)).await;
+        let AdmissionDecision::Refused(refused) = decision else {
+            panic!("{decision:?}");
         };
         assert_eq!(refused.kind.rule().outcome, outcome, "{refused:?}");
     }
