--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! How published entries reach every node: copies, digests, readers of the platform and gossip between nodes.
+//! Distribution of published entries to every node: platform readers, gossip, pulls, digests and replicas.
 
 mod digest;
 mod entry;
--- a/crates/core/src/dissemination/digest.rs
+++ b/crates/core/src/dissemination/digest.rs
@@ -1,4 +1,4 @@
-//! A short summary of a replica, exchanged between nodes.
+//! Compact summary of a replica that nodes exchange to detect differences.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,31 +9,31 @@
 pub struct Digest {
     /// Highest revision of any entry held.
     pub highest: Revision,
-    /// Revision up to which the copy is known to be whole.
+    /// Revision up to which the replica has no gaps.
     pub complete: Revision,
     /// Number of entries held.
     pub count: u32,
-    /// Sum of hashes over the key and revision of every version held.
+    /// Wrapping sum of the hashes of each key with its revisions.
     pub hash: u64,
 }
 
 impl Digest {
-    /// Whether both summarise the same versions.
+    /// Whether both digests summarize the same versions.
     pub fn same_versions(&self, other: &Self) -> bool {
         self.hash == other.hash && self.count == other.count && self.highest == other.highest
     }
 }
 
-/// How a peer's replica relates to one's own.
+/// Result of comparing a peer's digest with the local one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Comparison {
-    /// Both hold the same versions.
+    /// Both nodes hold the same versions.
     Same,
-    /// The peer holds a higher revision: pull what it has after one's own `complete`.
-    TheyAreNewer,
-    /// This node holds a higher revision: push what it has after the peer's `complete`.
-    WeAreNewer,
-    /// The highest revisions are the same but the versions differ: send `versions` and act on [`Difference`].
+    /// The peer holds a higher revision: pull its entries after the local `complete`.
+    PeerIsNewer,
+    /// The local node holds a higher revision: push its entries after the peer's `complete`.
+    PeerIsOlder,
+    /// The highest revisions are equal but the versions differ: exchange `versions` and resolve the [`Difference`].
     ///
     /// [`Difference`]: super::Difference
     Differ,
--- a/crates/core/src/dissemination/entry.rs
+++ b/crates/core/src/dissemination/entry.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Position of a write in the platform's store; grows by one with each accepted write, 0 is before the first.
+/// Sequence number of a write to the platform's store. Increases by one with each accepted write; 0 precedes the first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -31,7 +31,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision of the write after this one.
+    /// Returns the revision of the next write.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -43,19 +43,19 @@
     }
 }
 
-/// One published entry, as answered by `GET /config`.
+/// A published entry, as returned by `GET /config`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the entry.
     pub key: Key,
-    /// Revision of the write that made it.
+    /// Revision of the write that created this version.
     pub revision: Revision,
-    /// Text of the entry.
+    /// Content of the entry.
     #[serde(with = "shared_text")]
     pub value: Arc<str>,
 }
 
-/// Which versions of an entry a node holds.
+/// The versions of an entry that a node holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyVersion {
     /// Name of the entry.
@@ -66,7 +66,7 @@
     pub in_force: Option<Revision>,
 }
 
-/// Text behind an `Arc`, without the `rc` feature of serde.
+/// Serializes text in an `Arc` without serde's `rc` feature.
 mod shared_text {
     use std::sync::Arc;
 
--- a/crates/core/src/dissemination/replica/compare.rs
+++ b/crates/core/src/dissemination/replica/compare.rs
@@ -49,8 +49,8 @@
             return Comparison::Same;
         }
         match theirs.highest.cmp(&ours.highest) {
-            Ordering::Greater => Comparison::TheyAreNewer,
-            Ordering::Less => Comparison::WeAreNewer,
+            Ordering::Greater => Comparison::PeerIsNewer,
+            Ordering::Less => Comparison::PeerIsOlder,
             Ordering::Equal => Comparison::Differ,
         }
     }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -204,8 +204,8 @@
     );
     take(&mut old, &mut old_in_force, &[entry("k", 3, "!")], Some(3));
     let (mut new, mut in_force) = (Replica::new(), InForce::new());
-    assert_eq!(new.compare(&old.digest()), Comparison::TheyAreNewer);
-    assert_eq!(old.compare(&new.digest()), Comparison::WeAreNewer);
+    assert_eq!(new.compare(&old.digest()), Comparison::PeerIsNewer);
+    assert_eq!(old.compare(&new.digest()), Comparison::PeerIsOlder);
     // The platform gives the faulty one alone.
     take(
         &mut new,
@@ -260,7 +260,7 @@
         &[entry("m", 3, "m")],
         Some(3),
     );
-    assert_eq!(lenient.compare(&strict.digest()), Comparison::TheyAreNewer);
+    assert_eq!(lenient.compare(&strict.digest()), Comparison::PeerIsNewer);
 }
 
 #[test]
--- a/crates/core/tests/dissemination_model.rs
+++ b/crates/core/tests/dissemination_model.rs
@@ -262,8 +262,8 @@
         let digest = self.nodes[from].replica.digest();
         match self.nodes[to].replica.compare(&digest) {
             Comparison::Same => {}
-            Comparison::TheyAreNewer => self.pull(to, from),
-            Comparison::WeAreNewer => self.pull(from, to),
+            Comparison::PeerIsNewer => self.pull(to, from),
+            Comparison::PeerIsOlder => self.pull(from, to),
             Comparison::Differ => {
                 let theirs = self.nodes[from].replica.versions();
                 let difference = self.nodes[to].replica.difference(&digest, &theirs);
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -110,12 +110,12 @@
             self.ask(&node, ControlRequest::PullList(self.view.revision().0));
         }
         match self.replica.compare(&theirs.digest) {
-            Comparison::TheyAreNewer => {
+            Comparison::PeerIsNewer => {
                 self.ask(&node, ControlRequest::PullSince(self.replica.complete().0));
             }
             Comparison::Differ => self.ask_versions(&node, &theirs.digest),
             // The peer sees the same in this node's digest and pulls.
-            Comparison::Same | Comparison::WeAreNewer => {}
+            Comparison::Same | Comparison::PeerIsOlder => {}
         }
     }
 
