--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -13,7 +13,7 @@
 
 pub use digest::{Comparison, Digest};
 pub use entry::{Entry, Key, KeyVersion, Revision};
-pub use gossip::{GossipConfig, GossipPlan, PushForm};
+pub use gossip::{GossipConfig, GossipPlan, PushMode};
 pub use in_force::{InForce, Offer, Rejected, Version};
 pub use pulls::{PullConfig, Pulls, Retry};
 pub use reader::{NextRead, ReaderConfig, ReaderPolicy};
--- a/crates/core/src/dissemination/gossip.rs
+++ b/crates/core/src/dissemination/gossip.rs
@@ -1,4 +1,4 @@
-//! Which nodes this node tells of news, and with which it compares digests.
+//! Selection of the peers that receive pushes of new entries and digests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,118 +13,118 @@
 /// Settings of gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipConfig {
-    /// Peers in the own failure domain: the next node of the domain's ring, and others chosen by hash.
-    pub own_domain: usize,
-    /// Peers in other failure domains, each in another one; the first is in another region where there is one.
-    pub other_domains: usize,
-    /// Mean time between two digests that this node sends.
+    /// Number of peers in the local failure domain: the successor on the domain's ring and others chosen by hash.
+    pub local_peers: usize,
+    /// Number of peers in other failure domains, at most one in each. The first is in another region if there is one.
+    pub remote_peers: usize,
+    /// Mean interval between digests sent by this node.
     pub digest_interval: Duration,
-    /// Every how many digests one goes to any node of the fleet; each costs a new connection.
-    pub wander_every: u32,
-    /// Largest value in bytes that is pushed whole; larger ones are only announced and then pulled.
-    pub whole_up_to: usize,
+    /// Every n-th digest is sent to a random node of the fleet. Each of these needs a new connection.
+    pub random_digest_every: u32,
+    /// Largest value, in bytes, that is pushed in full. Larger values are announced and then pulled.
+    pub max_pushed_bytes: usize,
 }
 
 impl Default for GossipConfig {
     fn default() -> Self {
         Self {
-            own_domain: 4,
-            other_domains: 3,
+            local_peers: 4,
+            remote_peers: 3,
             digest_interval: Duration::from_millis(500),
-            wander_every: 120,
-            whole_up_to: 256,
+            random_digest_every: 120,
+            max_pushed_bytes: 256,
         }
     }
 }
 
 impl GossipConfig {
-    /// The settings for a number of peers, about half of them in other failure domains.
+    /// Default settings with `count` peers, half of them (rounded down) in other failure domains.
     pub fn with_peers(count: usize) -> Self {
-        let other_domains = count / 2;
+        let remote_peers = count / 2;
         Self {
-            own_domain: count - other_domains,
-            other_domains,
+            local_peers: count - remote_peers,
+            remote_peers,
             ..Self::default()
         }
     }
 }
 
-/// How news of an entry is sent on.
+/// How a new version of an entry is pushed to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum PushForm {
-    /// The entry itself.
-    Whole,
-    /// Its key and revision; whoever lacks it pulls it.
+pub enum PushMode {
+    /// Sends the entry with its value.
+    Full,
+    /// Sends only the key and revision. Nodes that lack the version pull it.
     Notice,
 }
 
-/// The fixed small set of peers of one node, taken from its view.
+/// The small, stable set of gossip peers of one node, derived from its membership view.
 ///
-/// The set is fixed because each change of a peer costs a handshake, which is dearer than hundreds of digests. Each
-/// domain's nodes form a ring in the order of a hash, so that within a domain no group of nodes is cut off; the peers
-/// chosen by hash make the paths short and join the domains.
+/// The set is stable because each change of a peer costs a handshake, which is more expensive than hundreds of digests.
+/// The nodes of each failure domain form a ring ordered by hash, so that no group of nodes within a domain is
+/// disconnected. The peers chosen by hash shorten the paths and connect the domains.
 #[derive(Clone, Debug)]
 pub struct GossipPlan {
     cfg: GossipConfig,
     peers: Vec<NodeName>,
-    everybody: Vec<NodeName>,
+    all_nodes: Vec<NodeName>,
     next_digest: Option<Instant>,
-    digests: u32,
+    digest_count: u32,
 }
 
 impl GossipPlan {
-    /// The plan of a node for a view; to be made anew when the view's epoch changes.
+    /// Creates the plan of node `me`. Must be updated when the epoch of the view changes.
     pub fn new(cfg: GossipConfig, me: &NodeName, view: &View) -> Self {
         let mut plan = Self {
             cfg,
             peers: Vec::new(),
-            everybody: Vec::new(),
+            all_nodes: Vec::new(),
             next_digest: None,
-            digests: 0,
+            digest_count: 0,
         };
         plan.update(me, view);
         plan
     }
 
-    /// Takes the peers from a changed view and keeps the time of the next digest.
+    /// Recomputes the peers for a changed view. The next digest stays due at the same time.
     pub fn update(&mut self, me: &NodeName, view: &View) {
         let present: Vec<&InstanceEntry> = view
             .all()
             .filter(|entry| entry.node != *me && view.is_present(&entry.node))
             .collect();
         self.peers = match view.get(me) {
-            Some(own) => choose(&self.cfg, own, &present),
-            // Not listed yet: any peers do until the list has caught up.
+            Some(own) => select_peers(&self.cfg, own, &present),
+            // This node is not listed yet, so any peers serve until the list is up to date.
             None => {
                 let names = present.iter().map(|entry| entry.node.as_str());
-                let count = self.cfg.own_domain + self.cfg.other_domains;
+                let count = self.cfg.local_peers + self.cfg.remote_peers;
                 rendezvous::best(&[b"unlisted", me.as_str().as_bytes()], names, count)
                     .into_iter()
                     .map(NodeName::from)
                     .collect()
             }
         };
-        self.everybody = present
+        self.all_nodes = present
             .into_iter()
             .map(|entry| entry.node.clone())
             .collect();
     }
 
-    /// The nodes to which news is sent.
+    /// The peers that receive pushes of new versions.
     pub fn push_targets(&self) -> &[NodeName] {
         &self.peers
     }
 
-    /// How news of a value of this many bytes is sent.
-    pub fn push_form(&self, value_bytes: usize) -> PushForm {
-        if value_bytes <= self.cfg.whole_up_to {
-            PushForm::Whole
+    /// How a value of this size is pushed.
+    pub fn push_mode(&self, value_bytes: usize) -> PushMode {
+        if value_bytes <= self.cfg.max_pushed_bytes {
+            PushMode::Full
         } else {
-            PushForm::Notice
+            PushMode::Notice
         }
     }
 
-    /// The node to compare digests with now, or none while no digest is due.
+    /// Returns the node to send a digest to and schedules the next digest. `None` if none is due or no node is known.
     pub fn digest_peer<R>(&mut self, now: Instant, rng: &mut R) -> Option<&NodeName>
     where
         R: Rng + ?Sized,
@@ -133,58 +133,66 @@
             return None;
         }
         self.next_digest = Some(now + self.cfg.digest_interval.mul_f64(rng.random_range(0.8..1.2)));
-        self.digests = self.digests.wrapping_add(1);
-        // Views that differ for long can leave the fixed sets without a path between two groups; a digest to any node
-        // now and then joins them again.
-        let wanders = self.digests.is_multiple_of(self.cfg.wander_every.max(1));
-        let from = if wanders || self.peers.is_empty() {
-            &self.everybody
+        self.digest_count = self.digest_count.wrapping_add(1);
+        // If the views of nodes differ for a long time, their peer sets may not connect all groups of nodes. Occasional
+        // digests to random nodes reconnect them.
+        let is_random = self
+            .digest_count
+            .is_multiple_of(self.cfg.random_digest_every.max(1));
+        let candidates = if is_random || self.peers.is_empty() {
+            &self.all_nodes
         } else {
             &self.peers
         };
-        if from.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        from.get(rng.random_range(0..from.len()))
+        candidates.get(rng.random_range(0..candidates.len()))
     }
 
-    /// When the next digest is due, if one was sent before.
+    /// When the next digest is due, or `None` before the first one.
     pub fn next_digest(&self) -> Option<Instant> {
         self.next_digest
     }
 }
 
-fn choose(cfg: &GossipConfig, own: &InstanceEntry, present: &[&InstanceEntry]) -> Vec<NodeName> {
+fn select_peers(
+    cfg: &GossipConfig,
+    own: &InstanceEntry,
+    present: &[&InstanceEntry],
+) -> Vec<NodeName> {
     let mut domains: BTreeMap<&DomainName, Vec<&InstanceEntry>> = BTreeMap::new();
     for entry in present {
         domains.entry(&entry.domain).or_default().push(entry);
     }
-    let mine = domains.remove(&own.domain).unwrap_or_default();
-    let ring = ring_successor(own, &mine).into_iter();
-    let mut peers: Vec<NodeName> = ring.take(cfg.own_domain).collect();
-    let inside = mine.iter().map(|entry| entry.node.as_str());
-    let inside = inside.filter(|name| !peers.iter().any(|peer| peer.as_str() == *name));
-    let inside = best_for(own, inside, cfg.own_domain.saturating_sub(1));
-    peers.extend(inside);
-    for domain in other_domains(cfg, own, &domains) {
+    let local_nodes = domains.remove(&own.domain).unwrap_or_default();
+    let successor = ring_successor(own, &local_nodes).into_iter();
+    let mut peers: Vec<NodeName> = successor.take(cfg.local_peers).collect();
+    let local_names = local_nodes.iter().map(|entry| entry.node.as_str());
+    let others = local_names.filter(|name| !peers.iter().any(|peer| peer.as_str() == *name));
+    let others = top_ranked_for(own, others, cfg.local_peers.saturating_sub(1));
+    peers.extend(others);
+    for domain in select_remote_domains(cfg, own, &domains) {
         let names = domains[domain].iter().map(|entry| entry.node.as_str());
-        peers.extend(best_for(own, names, 1));
+        peers.extend(top_ranked_for(own, names, 1));
     }
     peers
 }
 
-/// The node after this one in the order of a hash.
-fn ring_successor(own: &InstanceEntry, mine: &[&InstanceEntry]) -> Option<NodeName> {
-    let place =
+/// Returns the next node on the ring of the failure domain, which is ordered by hash.
+fn ring_successor(own: &InstanceEntry, local_nodes: &[&InstanceEntry]) -> Option<NodeName> {
+    let position =
         |entry: &InstanceEntry| rendezvous::weight(&[b"ring", entry.node.as_str().as_bytes()]);
-    let here = place(own);
-    let distance = |entry: &&&InstanceEntry| place(entry).wrapping_sub(here);
-    mine.iter()
+    let own_position = position(own);
+    let distance = |entry: &&&InstanceEntry| position(entry).wrapping_sub(own_position);
+    local_nodes
+        .iter()
         .min_by_key(distance)
         .map(|entry| entry.node.clone())
 }
 
-fn best_for<'a, I>(own: &InstanceEntry, names: I, count: usize) -> Vec<NodeName>
+/// Returns the `count` names that rank highest as peers of `own`.
+fn top_ranked_for<'a, I>(own: &InstanceEntry, names: I, count: usize) -> Vec<NodeName>
 where
     I: IntoIterator<Item = &'a str>,
 {
@@ -194,33 +202,35 @@
         .collect()
 }
 
-fn other_domains<'a>(
+/// Selects the other failure domains to peer with: first one in another region, then those in the local region, then the
+/// rest.
+fn select_remote_domains<'a>(
     cfg: &GossipConfig,
     own: &InstanceEntry,
     domains: &BTreeMap<&'a DomainName, Vec<&InstanceEntry>>,
 ) -> Vec<&'a DomainName> {
-    let ranked = |elsewhere: bool| {
+    let ranked = |other_region: bool| {
         let names = domains
             .iter()
             .filter(|(_, nodes)| {
                 nodes
                     .iter()
-                    .any(|node| (node.region != own.region) == elsewhere)
+                    .any(|node| (node.region != own.region) == other_region)
             })
             .map(|(name, _)| name.as_str());
         rendezvous::best(
             &[b"domain", own.node.as_str().as_bytes()],
             names,
-            cfg.other_domains,
+            cfg.remote_peers,
         )
     };
-    let away = ranked(true);
-    let near = ranked(false);
-    let first = away.iter().take(1);
-    let rest = near.iter().chain(away.iter().skip(1));
+    let in_other_regions = ranked(true);
+    let in_own_region = ranked(false);
+    let first = in_other_regions.iter().take(1);
+    let rest = in_own_region.iter().chain(in_other_regions.iter().skip(1));
     first
         .chain(rest)
-        .take(cfg.other_domains)
+        .take(cfg.remote_peers)
         .filter_map(|name| {
             domains
                 .keys()
--- a/crates/core/src/dissemination/traffic.rs
+++ b/crates/core/src/dissemination/traffic.rs
@@ -1,6 +1,6 @@
 //! Estimate of what dissemination costs a node, in bytes a second.
 
-use super::{GossipConfig, PushForm};
+use super::{GossipConfig, PushMode};
 
 /// Bytes around one message: IP, UDP and QUIC headers, the frame and a share of the acknowledgements.
 pub const MESSAGE_OVERHEAD: f64 = 100.0;
@@ -62,18 +62,18 @@
 impl TrafficModel {
     /// What a node sends under this load.
     pub fn estimate(&self, cfg: &GossipConfig) -> Traffic {
-        let peers = (cfg.own_domain + cfg.other_domains) as f64;
+        let peers = (cfg.local_peers + cfg.remote_peers) as f64;
         let digest_rate = 1.0 / cfg.digest_interval.as_secs_f64();
-        let handshake_rate = digest_rate / f64::from(cfg.wander_every.max(1));
+        let handshake_rate = digest_rate / f64::from(cfg.random_digest_every.max(1));
         let value = self.value_bytes as f64;
-        let form = if self.value_bytes <= cfg.whole_up_to {
-            PushForm::Whole
+        let mode = if self.value_bytes <= cfg.max_pushed_bytes {
+            PushMode::Full
         } else {
-            PushForm::Notice
+            PushMode::Notice
         };
-        let per_change = match form {
-            PushForm::Whole => peers * (MESSAGE_OVERHEAD + NOTICE_BYTES + value),
-            PushForm::Notice => {
+        let per_change = match mode {
+            PushMode::Full => peers * (MESSAGE_OVERHEAD + NOTICE_BYTES + value),
+            PushMode::Notice => {
                 let pull = 2.0 * (MESSAGE_OVERHEAD + NOTICE_BYTES) + value;
                 peers * (MESSAGE_OVERHEAD + NOTICE_BYTES) + pull
             }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -7,7 +7,7 @@
 
 use coltsfootport_core::dissemination::{
     Comparison, Difference, Digest, Entry, GossipConfig, GossipPlan, InForce, Key, KeyVersion,
-    NextRead, Offer, PullConfig, Pulls, PushForm, ReaderConfig, ReaderPolicy, Replica, Revision,
+    NextRead, Offer, PullConfig, Pulls, PushMode, ReaderConfig, ReaderPolicy, Replica, Revision,
     StartUp, StartUpConfig, Verdict,
 };
 use coltsfootport_core::id::Incarnation;
@@ -461,8 +461,8 @@
     let view = fleet::view(70, 7, now);
     let mut rng = StdRng::seed_from_u64(6);
     let cfg = GossipConfig {
-        own_domain: 3,
-        other_domains: 2,
+        local_peers: 3,
+        remote_peers: 2,
         ..GossipConfig::default()
     };
     for index in 0..70 {
@@ -491,8 +491,8 @@
             None,
             "the next one after its time"
         );
-        let forms = [plan.push_form(100), plan.push_form(100_000)];
-        assert_eq!(forms, [PushForm::Whole, PushForm::Notice]);
+        let forms = [plan.push_mode(100), plan.push_mode(100_000)];
+        assert_eq!(forms, [PushMode::Full, PushMode::Notice]);
     }
     let off = GossipConfig::with_peers(0);
     assert!(
--- a/crates/core/tests/dissemination_spread.rs
+++ b/crates/core/tests/dissemination_spread.rs
@@ -8,7 +8,7 @@
 
 use coltsfootport_core::dissemination::traffic::{MESSAGE_OVERHEAD, NOTICE_BYTES};
 use coltsfootport_core::dissemination::{
-    GossipConfig, GossipPlan, NextRead, PushForm, ReaderConfig, ReaderPolicy, TrafficModel,
+    GossipConfig, GossipPlan, NextRead, PushMode, ReaderConfig, ReaderPolicy, TrafficModel,
 };
 use coltsfootport_core::id::NodeName;
 use coltsfootport_core::membership::View;
@@ -79,7 +79,7 @@
 
 struct Spread {
     name: &'static str,
-    form: PushForm,
+    form: PushMode,
     /// Share of messages lost.
     loss: f64,
     /// Share of nodes that are gone though everybody's view still has them.
@@ -107,7 +107,7 @@
     let mut fleet = FLEET.clone();
     let base = Spread {
         name: "",
-        form: PushForm::Notice,
+        form: PushMode::Notice,
         loss: 0.0,
         gone: 0.0,
         one_reader: false,
@@ -117,7 +117,7 @@
     #[rustfmt::skip]
     let cases = [
         Spread { name: "all well", ..base },
-        Spread { name: "pushed whole", form: PushForm::Whole, ..base },
+        Spread { name: "pushed whole", form: PushMode::Full, ..base },
         Spread { name: "one reader", one_reader: true, hops: 9, ..base },
         Spread { name: "5 % lost", loss: 0.05, hops: 8, digest_rounds: 1, ..base },
         Spread { name: "20 % lost", loss: 0.2, hops: 9, digest_rounds: 3, ..base },
@@ -167,7 +167,7 @@
     );
     assert!(traffic.total() * 2.0 < NODE_RATE, "sent and received");
     let whole = GossipConfig {
-        whole_up_to: usize::MAX,
+        max_pushed_bytes: usize::MAX,
         ..GossipConfig::default()
     };
     assert!(TrafficModel::default().estimate(&whole).entries > traffic.entries);
@@ -238,7 +238,7 @@
         for peer in from.iter().flat_map(|index| &fleet.peers[*index]) {
             measured.messages += 1;
             measured.bytes += MESSAGE_OVERHEAD + NOTICE_BYTES;
-            if case.form == PushForm::Whole {
+            if case.form == PushMode::Full {
                 measured.bytes += VALUE_BYTES as f64;
             }
             if !alive[*peer] || rng.random_bool(case.loss) || has[*peer] {
@@ -246,7 +246,7 @@
             }
             has[*peer] = true;
             next.push(*peer);
-            if case.form == PushForm::Notice {
+            if case.form == PushMode::Notice {
                 measured.messages += 2;
                 measured.bytes += 2.0 * (MESSAGE_OVERHEAD + NOTICE_BYTES) + VALUE_BYTES as f64;
             }
--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use coltsfootport_core::dissemination::{Entry, PushForm};
+use coltsfootport_core::dissemination::{Entry, PushMode};
 use coltsfootport_core::id::NodeName;
 use coltsfootport_core::membership::ListedState;
 use rand::seq::IteratorRandom;
@@ -15,7 +15,7 @@
     pub(super) fn tell_news(&mut self, news: &[Entry]) {
         let (whole, notices): (Vec<&Entry>, Vec<&Entry>) = news
             .iter()
-            .partition(|entry| self.gossip.push_form(entry.value.len()) == PushForm::Whole);
+            .partition(|entry| self.gossip.push_mode(entry.value.len()) == PushMode::Full);
         let frame = NewsFrame {
             node: self.setup.node.0.clone(),
             notices: notices.into_iter().map(VersionFrame::from).collect(),
