--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -14,7 +14,7 @@
 pub use digest::{Comparison, Digest};
 pub use entry::{Entry, Key, KeyVersion, Revision};
 pub use gossip::{GossipConfig, GossipPlan, PushMode};
-pub use in_force::{InForce, Offer, Rejected, Version};
+pub use in_force::{OfferOutcome, Rejected, Version, VersionsInForce};
 pub use pulls::{PullConfig, Pulls, Retry};
 pub use reader::{NextRead, ReaderConfig, ReaderPolicy};
 pub use replica::{Applied, Difference, Replica, Verdict};
--- a/crates/core/src/dissemination/in_force.rs
+++ b/crates/core/src/dissemination/in_force.rs
@@ -1,54 +1,54 @@
-//! The parsed versions that a node acts on.
+//! The parsed version of each entry that a node currently applies.
 
 use crate::collections::Map;
 use crate::invariant::Invariant;
 
 use super::{Key, Revision};
 
-/// A parsed version with the revision that it came from.
+/// A parsed version of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version<T> {
     /// Revision of the entry.
     pub revision: Revision,
-    /// What the parser made of it.
+    /// Parsed value.
     pub value: T,
 }
 
-/// A version that the parser refused.
+/// A version that the parser rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected<F> {
     /// Revision of the entry.
     pub revision: Revision,
-    /// Why it was refused.
+    /// Faults found by the parser.
     pub faults: F,
 }
 
-/// What became of a version offered.
+/// Outcome of [`VersionsInForce::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Offer {
-    /// The version is in force now.
+pub enum OfferOutcome {
+    /// The version is now in force.
     InForce,
-    /// The version has faults; what was in force stays so.
+    /// The version has faults. The previous version stays in force.
     Rejected,
-    /// The version was offered before.
+    /// The version was already offered, or is invalid and not newer than the versions known.
     Unchanged,
-    /// The version is older than the one in force and was refused: a defect of the caller.
+    /// The version is older than the one in force and was refused. Indicates a bug in the caller.
     Refused(Invariant),
 }
 
-/// Per key the version in force and the last one rejected after it.
+/// The version in force of each key and the newest version rejected since.
 #[derive(Clone, Debug)]
-pub struct InForce<T, F> {
+pub struct VersionsInForce<T, F> {
     slots: Map<Key, Slot<T, F>>,
 }
 
 #[derive(Clone, Debug)]
 struct Slot<T, F> {
-    good: Option<Version<T>>,
+    in_force: Option<Version<T>>,
     rejected: Option<Rejected<F>>,
 }
 
-impl<T, F> Default for InForce<T, F> {
+impl<T, F> Default for VersionsInForce<T, F> {
     fn default() -> Self {
         Self {
             slots: Map::default(),
@@ -56,16 +56,16 @@
     }
 }
 
-impl<T, F> InForce<T, F> {
-    /// Nothing in force.
+impl<T, F> VersionsInForce<T, F> {
+    /// Creates an empty set, with no version in force.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts what the parser made of a version in force, or records its faults.
-    pub fn offer(&mut self, key: &Key, revision: Revision, parsed: Result<T, F>) -> Offer {
+    /// Puts a parsed version in force, or records the faults of an invalid one.
+    pub fn offer(&mut self, key: &Key, revision: Revision, parsed: Result<T, F>) -> OfferOutcome {
         let slot = self.slots.entry(key.clone()).or_insert(Slot {
-            good: None,
+            in_force: None,
             rejected: None,
         });
         match parsed {
@@ -74,12 +74,12 @@
         }
     }
 
-    /// The version of a key in force.
+    /// The version of a key that is in force.
     pub fn get(&self, key: &Key) -> Option<&Version<T>> {
-        self.slots.get(key)?.good.as_ref()
+        self.slots.get(key)?.in_force.as_ref()
     }
 
-    /// The version of a key that was rejected since the one in force.
+    /// The newest rejected version of a key that is newer than the version in force.
     pub fn rejected(&self, key: &Key) -> Option<&Rejected<F>> {
         self.slots.get(key)?.rejected.as_ref()
     }
@@ -91,36 +91,36 @@
 }
 
 impl<T, F> Slot<T, F> {
-    fn accept(&mut self, version: Version<T>) -> Offer {
-        if let Some(good) = &self.good {
-            // A delayed read or push that were put in force would undo a change which its team has seen accepted. The
-            // replica takes only higher revisions; this second check also holds if that one is passed by.
-            if version.revision < good.revision {
-                return Offer::Refused(Invariant::VersionWentBack);
+    fn accept(&mut self, version: Version<T>) -> OfferOutcome {
+        if let Some(in_force) = &self.in_force {
+            // Applying a delayed read or push would undo a change that the team that made it has seen accepted. The
+            // replica already takes only higher revisions; this check also covers callers that bypass it.
+            if version.revision < in_force.revision {
+                return OfferOutcome::Refused(Invariant::VersionWentBack);
             }
-            if version.revision == good.revision {
-                return Offer::Unchanged;
+            if version.revision == in_force.revision {
+                return OfferOutcome::Unchanged;
             }
         }
-        // An older version, got from a peer after the newest was rejected, leaves the faults of the newest on show.
-        let clears = self
+        // An older version fetched from a peer after the newest one was rejected must not hide the faults of the newest.
+        let supersedes_rejected = self
             .rejected
             .as_ref()
             .is_some_and(|rejected| rejected.revision < version.revision);
-        if clears {
+        if supersedes_rejected {
             self.rejected = None;
         }
-        self.good = Some(version);
-        Offer::InForce
+        self.in_force = Some(version);
+        OfferOutcome::InForce
     }
 
-    fn reject(&mut self, rejected: Rejected<F>) -> Offer {
-        let known = self.rejected.as_ref().map(|rejected| rejected.revision);
-        let in_force = self.good.as_ref().map(|good| good.revision);
-        if known.max(in_force) >= Some(rejected.revision) {
-            return Offer::Unchanged;
+    fn reject(&mut self, rejected: Rejected<F>) -> OfferOutcome {
+        let last_rejected = self.rejected.as_ref().map(|last| last.revision);
+        let in_force = self.in_force.as_ref().map(|version| version.revision);
+        if last_rejected.max(in_force) >= Some(rejected.revision) {
+            return OfferOutcome::Unchanged;
         }
         self.rejected = Some(rejected);
-        Offer::Rejected
+        OfferOutcome::Rejected
     }
 }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_core::dissemination::{
-    Comparison, Difference, Digest, Entry, GossipConfig, GossipPlan, InForce, Key, KeyVersion,
-    NextRead, Offer, PullConfig, Pulls, PushMode, ReaderConfig, ReaderPolicy, Replica, Revision,
-    StartUp, StartUpConfig, Verdict,
+    Comparison, Difference, Digest, Entry, GossipConfig, GossipPlan, Key, KeyVersion, NextRead,
+    OfferOutcome, PullConfig, Pulls, PushMode, ReaderConfig, ReaderPolicy, Replica, Revision,
+    StartUp, StartUpConfig, Verdict, VersionsInForce,
 };
 use coltsfootport_core::id::Incarnation;
 use coltsfootport_core::invariant::Invariant;
@@ -33,10 +33,10 @@
 /// Applies entries as a node does: each taken version is parsed, judged and offered.
 fn take(
     replica: &mut Replica,
-    in_force: &mut InForce<String, &'static str>,
+    in_force: &mut VersionsInForce<String, &'static str>,
     entries: &[Entry],
     highest: Option<u64>,
-) -> Vec<Offer> {
+) -> Vec<OfferOutcome> {
     let mut offers = Vec::new();
     for applied in replica.apply(entries.to_vec(), highest.map(Revision)) {
         let entry = applied.entry;
@@ -111,7 +111,7 @@
         },
     ];
     for case in cases {
-        let (mut replica, mut in_force) = (Replica::new(), InForce::new());
+        let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
         for (revision, value) in case.entries {
             take(
                 &mut replica,
@@ -143,14 +143,20 @@
 #[test]
 fn an_older_version_offered_is_refused_and_reported() {
     let key = Key::from("k");
-    let mut in_force: InForce<&str, &str> = InForce::new();
-    assert_eq!(in_force.offer(&key, Revision(4), Ok("d")), Offer::InForce);
-    assert_eq!(in_force.offer(&key, Revision(4), Ok("d")), Offer::Unchanged);
-    let refused = Offer::Refused(Invariant::VersionWentBack);
+    let mut in_force: VersionsInForce<&str, &str> = VersionsInForce::new();
+    assert_eq!(
+        in_force.offer(&key, Revision(4), Ok("d")),
+        OfferOutcome::InForce
+    );
+    assert_eq!(
+        in_force.offer(&key, Revision(4), Ok("d")),
+        OfferOutcome::Unchanged
+    );
+    let refused = OfferOutcome::Refused(Invariant::VersionWentBack);
     assert_eq!(in_force.offer(&key, Revision(3), Ok("c")), refused);
     assert_eq!(
         in_force.offer(&key, Revision(3), Err("late")),
-        Offer::Unchanged
+        OfferOutcome::Unchanged
     );
     assert_eq!(in_force.get(&key).map(|version| version.value), Some("d"));
     assert!(in_force.rejected(&key).is_none());
@@ -160,11 +166,11 @@
 /// the higher one first. Cause: the message isn't put in order before it is judged.
 #[test]
 fn a_message_out_of_order_is_taken_in_order() {
-    let (mut replica, mut in_force) = (Replica::new(), InForce::new());
+    let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
     take(&mut replica, &mut in_force, &[entry("k", 9, "!")], None);
     let late = [entry("k", 5, "e"), entry("k", 4, "d")];
     let offers = take(&mut replica, &mut in_force, &late, None);
-    assert_eq!(offers, [Offer::InForce, Offer::InForce]);
+    assert_eq!(offers, [OfferOutcome::InForce, OfferOutcome::InForce]);
     assert_eq!(replica.versions()[0].in_force, Some(Revision(5)));
 }
 
@@ -172,7 +178,7 @@
 /// lost. Cause: the next read asks after the highest revision in place of the last one without a gap.
 #[test]
 fn a_lost_push_leaves_a_gap_that_the_next_read_closes() {
-    let (mut replica, mut in_force) = (Replica::new(), InForce::new());
+    let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
     for revision in [2, 1, 5, 4] {
         let pushed = entry(&format!("k{revision}"), revision, "v");
         take(&mut replica, &mut in_force, &[pushed], None);
@@ -195,7 +201,7 @@
 /// node starts and copies a peer. Cause: only the newest version is passed on.
 #[test]
 fn a_new_node_gets_the_version_in_force_behind_a_faulty_one() {
-    let (mut old, mut old_in_force) = (Replica::new(), InForce::new());
+    let (mut old, mut old_in_force) = (Replica::new(), VersionsInForce::new());
     take(
         &mut old,
         &mut old_in_force,
@@ -203,7 +209,7 @@
         Some(2),
     );
     take(&mut old, &mut old_in_force, &[entry("k", 3, "!")], Some(3));
-    let (mut new, mut in_force) = (Replica::new(), InForce::new());
+    let (mut new, mut in_force) = (Replica::new(), VersionsInForce::new());
     assert_eq!(new.compare(&old.digest()), Comparison::PeerIsNewer);
     assert_eq!(old.compare(&new.digest()), Comparison::PeerIsOlder);
     // The platform gives the faulty one alone.
@@ -234,7 +240,7 @@
 /// other. Cause: the digests differ for ever, and each one makes the nodes exchange all their versions.
 #[test]
 fn nodes_that_judge_a_version_differently_settle() {
-    let (mut strict, mut strict_in_force) = (Replica::new(), InForce::new());
+    let (mut strict, mut strict_in_force) = (Replica::new(), VersionsInForce::new());
     take(
         &mut strict,
         &mut strict_in_force,
--- a/crates/core/tests/dissemination_model.rs
+++ b/crates/core/tests/dissemination_model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use coltsfootport_core::dissemination::{
-    Comparison, Entry, InForce, Key, Offer, Replica, Revision, Verdict,
+    Comparison, Entry, Key, OfferOutcome, Replica, Revision, Verdict, VersionsInForce,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -110,7 +110,7 @@
 #[derive(Default)]
 struct Node {
     replica: Replica,
-    in_force: InForce<(), ()>,
+    in_force: VersionsInForce<(), ()>,
 }
 
 impl Node {
@@ -133,7 +133,7 @@
                 .in_force
                 .offer(&key, revision, valid.then_some(()).ok_or(()));
             assert!(
-                !matches!(offer, Offer::Refused(_)),
+                !matches!(offer, OfferOutcome::Refused(_)),
                 "a replica gives no older version"
             );
             let after = self.in_force.get(&key).map(|version| version.revision);
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -5,8 +5,8 @@
 
 use coltsfootport_core::collections::{Map, Set};
 use coltsfootport_core::dissemination::{
-    Digest, Entry, GossipPlan, InForce, Key, Offer, PullConfig, Pulls, ReaderPolicy, Replica,
-    Revision, StartUp, Verdict,
+    Digest, Entry, GossipPlan, Key, OfferOutcome, PullConfig, Pulls, ReaderPolicy, Replica,
+    Revision, StartUp, Verdict, VersionsInForce,
 };
 use coltsfootport_core::document::Document;
 use coltsfootport_core::id::{NodeName, ServiceName};
@@ -30,7 +30,7 @@
 pub struct Spread {
     pub(super) setup: SpreadSetup,
     pub(super) replica: Replica,
-    pub(super) documents: InForce<Arc<Document>, Vec<Fault>>,
+    pub(super) documents: VersionsInForce<Arc<Document>, Vec<Fault>>,
     pub(super) view: View,
     pub(super) config_reads: ReaderPolicy,
     pub(super) list_reads: ReaderPolicy,
@@ -61,7 +61,7 @@
         let view = View::new(MembershipConfig::default());
         Self {
             replica: Replica::new(),
-            documents: InForce::new(),
+            documents: VersionsInForce::new(),
             config_reads: ReaderPolicy::new(setup.reader),
             list_reads: ReaderPolicy::new(setup.reader),
             gossip: GossipPlan::new(setup.gossip, &setup.node, &view),
@@ -162,13 +162,13 @@
         let fault = first_fault(&parsed);
         let revision = entry.revision.0;
         let event = match self.documents.offer(&entry.key, entry.revision, parsed) {
-            Offer::InForce => {
+            OfferOutcome::InForce => {
                 self.replica
                     .judge(&entry.key, entry.revision, Verdict::Valid);
                 info!(self.setup.log, "document in force"; "document" => %service, "revision" => revision);
                 Event::DocumentInForce { service, revision }
             }
-            Offer::Rejected => {
+            OfferOutcome::Rejected => {
                 self.replica
                     .judge(&entry.key, entry.revision, Verdict::Invalid);
                 warn!(self.setup.log, "document rejected"; "document" => %service, "revision" => revision, "fault" => %fault);
@@ -178,8 +178,8 @@
                     fault,
                 }
             }
-            Offer::Unchanged => return,
-            Offer::Refused(breach) => return self.setup.recorder.breach(breach),
+            OfferOutcome::Unchanged => return,
+            OfferOutcome::Refused(breach) => return self.setup.recorder.breach(breach),
         };
         self.setup.recorder.record(None, event);
     }
