--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -15,7 +15,7 @@
 pub use entry::{Entry, Key, KeyVersion, Revision};
 pub use gossip::{GossipConfig, GossipPlan, PushMode};
 pub use in_force::{OfferOutcome, Rejected, Version, VersionsInForce};
-pub use pulls::{PullConfig, Pulls, Retry};
+pub use pulls::{PullConfig, PullRetry, Pulls};
 pub use reader::{NextRead, ReaderConfig, ReaderPolicy};
 pub use replica::{Applied, Difference, Replica, Verdict};
 pub use start_up::{StartUp, StartUpConfig};
--- a/crates/core/src/dissemination/pulls.rs
+++ b/crates/core/src/dissemination/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls under way, joined so that each version is fetched once.
+//! Pending pulls, deduplicated so that each version is fetched once.
 
 use std::time::{Duration, Instant};
 
@@ -10,37 +10,37 @@
 /// Settings of pulls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PullConfig {
-    /// Time after which a pull without an answer is tried at the next node that has the version.
+    /// Time after which an unanswered pull is retried with the next node that holds the version.
     pub timeout: Duration,
-    /// Further nodes remembered for each version.
-    pub sources: usize,
+    /// Maximum number of fallback sources remembered per version.
+    pub max_fallback_sources: usize,
 }
 
 impl Default for PullConfig {
     fn default() -> Self {
         Self {
             timeout: Duration::from_millis(500),
-            sources: 3,
+            max_fallback_sources: 3,
         }
     }
 }
 
-/// Versions that this node has been told of and has asked for.
+/// Pending pulls of versions that were announced to this node.
 #[derive(Clone, Debug, Default)]
 pub struct Pulls {
     cfg: PullConfig,
-    pending: Map<Key, Pending>,
+    pending: Map<Key, PendingPull>,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingPull {
     revision: Revision,
-    asked_at: Instant,
-    others: Vec<NodeName>,
+    requested_at: Instant,
+    fallback_sources: Vec<NodeName>,
 }
 
 impl Pulls {
-    /// No pull under way.
+    /// Creates an empty set of pulls.
     pub fn new(cfg: PullConfig) -> Self {
         Self {
             cfg,
@@ -48,32 +48,40 @@
         }
     }
 
-    /// A peer holds a version that this node lacks. Returns whether to ask that peer for it now.
+    /// Requests a version that a peer holds and this node lacks. Returns whether to send a pull to that peer now.
     ///
-    /// While the same version or a higher one has been asked for, the request joins that one; the peer is asked only if
-    /// no answer comes.
-    pub fn want(&mut self, key: &Key, revision: Revision, from: &NodeName, now: Instant) -> bool {
+    /// While a pull of the same or a higher version is pending, the request joins it. A peer that holds the same version
+    /// becomes a fallback source, which is asked only if no answer arrives.
+    pub fn request(
+        &mut self,
+        key: &Key,
+        revision: Revision,
+        from: &NodeName,
+        now: Instant,
+    ) -> bool {
         if let Some(pending) = self.pending.get_mut(key)
             && pending.revision >= revision
         {
-            if pending.revision == revision && pending.others.len() < self.cfg.sources {
-                pending.others.push(from.clone());
+            if pending.revision == revision
+                && pending.fallback_sources.len() < self.cfg.max_fallback_sources
+            {
+                pending.fallback_sources.push(from.clone());
             }
             return false;
         }
         self.pending.insert(
             key.clone(),
-            Pending {
+            PendingPull {
                 revision,
-                asked_at: now,
-                others: Vec::new(),
+                requested_at: now,
+                fallback_sources: Vec::new(),
             },
         );
         true
     }
 
-    /// A version has arrived by any way.
-    pub fn arrived(&mut self, key: &Key, revision: Revision) {
+    /// Records that a version arrived, whether by pull, push or read.
+    pub fn record_arrival(&mut self, key: &Key, revision: Revision) {
         if self
             .pending
             .get(key)
@@ -83,19 +91,20 @@
         }
     }
 
-    /// The pulls to try again now, as node to ask and key; those without another source are given up to the digests.
-    pub fn overdue(&mut self, now: Instant) -> Vec<Retry> {
+    /// Returns the timed-out pulls to retry with another source. Those without one are dropped; the digest exchange
+    /// recovers their versions.
+    pub fn take_retries(&mut self, now: Instant) -> Vec<PullRetry> {
         let timeout = self.cfg.timeout;
         let mut retries = Vec::new();
         self.pending.retain(|key, pending| {
-            if now.saturating_duration_since(pending.asked_at) < timeout {
+            if now.saturating_duration_since(pending.requested_at) < timeout {
                 return true;
             }
-            let Some(from) = pending.others.pop() else {
+            let Some(from) = pending.fallback_sources.pop() else {
                 return false;
             };
-            pending.asked_at = now;
-            retries.push(Retry {
+            pending.requested_at = now;
+            retries.push(PullRetry {
                 from,
                 key: key.clone(),
             });
@@ -105,11 +114,11 @@
     }
 }
 
-/// A pull to try again.
+/// A pull to retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Retry {
-    /// The node to ask.
+pub struct PullRetry {
+    /// Node to pull from.
     pub from: NodeName,
-    /// The entry to ask for.
+    /// Entry to pull.
     pub key: Key,
 }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -348,31 +348,31 @@
     let key = Key::from("k");
     let mut pulls = Pulls::new(PullConfig::default());
     let wants: Vec<bool> = [(7, 0), (7, 1), (6, 2), (8, 3), (8, 4)]
-        .map(|(revision, from)| pulls.want(&key, Revision(revision), &node(from), now))
+        .map(|(revision, from)| pulls.request(&key, Revision(revision), &node(from), now))
         .to_vec();
     assert_eq!(wants, [true, false, false, true, false]);
-    pulls.arrived(&key, Revision(7));
-    let retries = pulls.overdue(late);
+    pulls.record_arrival(&key, Revision(7));
+    let retries = pulls.take_retries(late);
     assert_eq!(
         retries.iter().map(|retry| &retry.from).collect::<Vec<_>>(),
         [&node(4)]
     );
     assert!(
-        pulls.overdue(late).is_empty(),
+        pulls.take_retries(late).is_empty(),
         "asked again only after another timeout"
     );
     assert!(
         pulls
-            .overdue(late + PullConfig::default().timeout)
+            .take_retries(late + PullConfig::default().timeout)
             .is_empty(),
         "no source left"
     );
     assert!(
-        pulls.want(&key, Revision(8), &node(5), late),
+        pulls.request(&key, Revision(8), &node(5), late),
         "forgotten, so asked anew"
     );
-    pulls.arrived(&key, Revision(8));
-    assert!(pulls.want(&key, Revision(9), &node(5), late));
+    pulls.record_arrival(&key, Revision(8));
+    assert!(pulls.request(&key, Revision(9), &node(5), late));
 }
 
 /// Symptom: a domain without a reader gets changes late. Sequence: its readers leave, can't be reached, or aren't listed.
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -175,7 +175,7 @@
             .into_iter()
             .filter(|key| {
                 let notice = notices.iter().find(|notice| notice.key == *key);
-                notice.is_some_and(|notice| self.pulls.want(key, notice.revision, &from, now))
+                notice.is_some_and(|notice| self.pulls.request(key, notice.revision, &from, now))
             })
             .map(|key| key.0)
             .collect();
@@ -215,7 +215,7 @@
 
     /// Fetches from other nodes what the first one did not send in time.
     pub(super) fn retry_pulls(&mut self, now: Instant) {
-        for retry in self.pulls.overdue(now) {
+        for retry in self.pulls.take_retries(now) {
             self.ask(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
         }
     }
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -139,7 +139,7 @@
         for applied in self.replica.apply(entries, complete) {
             self.offer(&applied.entry);
             self.pulls
-                .arrived(&applied.entry.key, applied.entry.revision);
+                .record_arrival(&applied.entry.key, applied.entry.revision);
             if applied.newest {
                 news.push(applied.entry);
             }
