--- a/crates/core/src/dissemination/reader.rs
+++ b/crates/core/src/dissemination/reader.rs
@@ -1,4 +1,4 @@
-//! Which nodes read the platform, and when.
+//! Selection of the nodes that read the platform, and scheduling of their reads.
 
 mod config;
 
@@ -13,89 +13,93 @@
 
 pub use config::ReaderConfig;
 
-/// Time in which the news of a read reaches all nodes through digests.
-const TELLING: Duration = Duration::from_secs(8);
+/// Time within which digests propagate the age of a read to all nodes.
+const PROPAGATION_TIME: Duration = Duration::from_secs(8);
 
-/// What a node does next towards the platform.
+/// Next platform read of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
-    /// Start a watch now, of [`ReaderConfig::watch_wait`] at most.
+    /// Start a watch now that waits at most [`ReaderConfig::watch_wait`].
     Watch,
-    /// Read without waiting at this time; ask again by then, and after each event.
+    /// Read without waiting at this time. Call [`ReaderPolicy::next_read`] again by then and after each event.
     At(Instant),
 }
 
-/// How fast a node reads, which follows from what it knows.
+/// How often a node reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pace {
-    /// Nothing read or heard yet.
+enum ReadMode {
+    /// No read has succeeded or been reported yet.
     Start,
     /// This node is a reader.
     Watch,
-    /// Peers tell of recent reads, so they will also tell of changes.
+    /// Peers report recent reads, so they will also forward changes.
     Slow,
-    /// No peer has told of a recent read.
+    /// No peer has reported a recent read.
     Urgent,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Plan {
-    pace: Pace,
+struct ScheduledRead {
+    mode: ReadMode,
     at: Instant,
 }
 
-/// Decides whether this node is one of the readers of its failure domain and when it reads the platform itself.
+/// Determines whether this node is a reader of its failure domain, and when it reads the platform.
 ///
-/// Readers are not elected: each node computes them from its own view. Two views may name different readers or none;
-/// then there are more reads or later ones, and never a wrong document, since revisions order them.
+/// Readers are not elected: each node computes them from its own membership view. Views that differ may yield different
+/// readers or none. This causes additional or delayed reads but never a wrong document, since revisions order the
+/// versions.
 #[derive(Clone, Debug)]
 pub struct ReaderPolicy {
     cfg: ReaderConfig,
-    fleet: usize,
-    reader: bool,
+    fleet_size: usize,
+    is_reader: bool,
     in_flight: bool,
     failures: u32,
-    /// When the platform was last read by anybody known of.
-    fresh_at: Option<Instant>,
-    /// The same as far as peers have told.
-    told_at: Option<Instant>,
-    plan: Option<Plan>,
+    /// Time of the last known read of the platform by any node, including this one.
+    last_read_at: Option<Instant>,
+    /// Time of the last read reported by peers.
+    last_peer_read_at: Option<Instant>,
+    scheduled: Option<ScheduledRead>,
 }
 
 impl ReaderPolicy {
-    /// A node that has read nothing yet.
+    /// Creates the policy of a node that has read nothing yet.
     pub fn new(cfg: ReaderConfig) -> Self {
-        // With a shorter age every watch that waits in vain would make the readers look dead, seen as urgent reads of the
-        // whole fleet while nothing changes.
-        let fresh_for = cfg.fresh_for.max(cfg.watch_wait + TELLING);
+        // With a lower limit, every watch that times out without changes would make the readers look dead, and the whole
+        // fleet would do urgent reads while nothing changes.
+        let max_read_age = cfg.max_read_age.max(cfg.watch_wait + PROPAGATION_TIME);
         Self {
-            cfg: ReaderConfig { fresh_for, ..cfg },
-            fleet: 0,
-            reader: false,
+            cfg: ReaderConfig {
+                max_read_age,
+                ..cfg
+            },
+            fleet_size: 0,
+            is_reader: false,
             in_flight: false,
             failures: 0,
-            fresh_at: None,
-            told_at: None,
-            plan: None,
+            last_read_at: None,
+            last_peer_read_at: None,
+            scheduled: None,
         }
     }
 
-    /// Whether a node is among the readers of its failure domain, as far as a view tells.
+    /// Whether a node is a reader of its failure domain according to a view.
     ///
-    /// Nodes that can't be reached or leave are replaced by the next in order, of which there are only a few. If any
-    /// node could replace them, a fault that cuts every node off from every other (an expired certificate) would make
-    /// all of them readers, seen as watches beyond what the platform bears.
+    /// Readers that are unreachable or leaving are replaced by the next of a few spare nodes in rank order. If any node
+    /// could replace them, a fault that isolates all nodes from each other, such as an expired certificate, would make
+    /// every node a reader and overload the platform with watches.
     pub fn is_reader(&self, me: &NodeName, view: &View, _now: Instant) -> bool {
         let Some(own) = view.get(me) else {
             return false;
         };
         let listed = view.all().filter(|entry| entry.domain == own.domain);
-        let purpose: [&[u8]; 2] = [b"reader", own.domain.as_str().as_bytes()];
+        let scope: [&[u8]; 2] = [b"reader", own.domain.as_str().as_bytes()];
         let names = listed.map(|entry| entry.node.as_str());
         let candidates = rendezvous::best(
-            &purpose,
+            &scope,
             names,
-            self.cfg.readers_per_domain + self.cfg.spares,
+            self.cfg.readers_per_domain + self.cfg.spare_readers,
         );
         candidates
             .into_iter()
@@ -104,117 +108,120 @@
             .any(|name| name == me.as_str())
     }
 
-    /// The view has changed.
-    pub fn observe(&mut self, me: &NodeName, view: &View, now: Instant) {
-        self.fleet = view.len();
-        self.reader = self.is_reader(me, view, now);
+    /// Applies a changed view.
+    pub fn update_view(&mut self, me: &NodeName, view: &View, now: Instant) {
+        self.fleet_size = view.len();
+        self.is_reader = self.is_reader(me, view, now);
     }
 
-    /// A peer's message says how long ago the platform was read by anybody that it knows of.
+    /// Records the age of the last platform read by any node, as reported by a peer.
     ///
-    /// Time under way makes the age too small by that much.
-    pub fn heard_fresh(&mut self, age: Duration, now: Instant) {
+    /// The age is too low by the transit time of the message.
+    pub fn record_peer_read_age(&mut self, age: Duration, now: Instant) {
         let Some(at) = now.checked_sub(age) else {
             return;
         };
-        self.fresh_at = self.fresh_at.max(Some(at));
-        self.told_at = self.told_at.max(Some(at));
+        self.last_read_at = self.last_read_at.max(Some(at));
+        self.last_peer_read_at = self.last_peer_read_at.max(Some(at));
     }
 
-    /// How long ago the platform was read by anybody that this node knows of, to be told to peers.
+    /// Age of the last known platform read by any node, to be reported to peers.
     pub fn read_age(&self, now: Instant) -> Option<Duration> {
-        self.fresh_at.map(|at| now.saturating_duration_since(at))
+        self.last_read_at
+            .map(|at| now.saturating_duration_since(at))
     }
 
-    /// A read is wanted. Returns whether to send it; otherwise one is under way and its answer serves this one too.
-    pub fn begin_read(&mut self) -> bool {
+    /// Marks a read as in flight. Returns `false` if one already is; its answer then serves both callers.
+    pub fn try_begin_read(&mut self) -> bool {
         !std::mem::replace(&mut self.in_flight, true)
     }
 
-    /// The platform answered a read or watch.
-    pub fn read_done(&mut self, now: Instant) {
+    /// Records that the platform answered a read or watch.
+    pub fn read_succeeded(&mut self, now: Instant) {
         self.in_flight = false;
         self.failures = 0;
-        self.fresh_at = Some(now);
-        // Peers get their time to be heard after the first read, before their silence means anything.
-        self.told_at.get_or_insert(now);
-        self.plan = None;
+        self.last_read_at = Some(now);
+        // Gives peers time to report a read after the first own read, before their silence counts.
+        self.last_peer_read_at.get_or_insert(now);
+        self.scheduled = None;
     }
 
-    /// A read or watch failed or timed out.
+    /// Records that a read or watch failed or timed out.
     pub fn read_failed(&mut self, _now: Instant) {
         self.in_flight = false;
         self.failures = self.failures.saturating_add(1);
-        self.plan = None;
+        self.scheduled = None;
     }
 
-    /// What to do next; asked after each of the events above and once a second.
+    /// Returns the next read. To be called after each recorded event and once per second.
     pub fn next_read<R>(&mut self, now: Instant, rng: &mut R) -> NextRead
     where
         R: Rng + ?Sized,
     {
-        let pace = self.pace(now);
-        if pace == Pace::Watch && self.failures == 0 {
+        let mode = self.read_mode(now);
+        if mode == ReadMode::Watch && self.failures == 0 {
             return NextRead::Watch;
         }
-        // The time is drawn once: drawing again at each question and taking the earliest would undo the jitter, seen
-        // as bursts of reads from the whole fleet.
-        if let Some(plan) = self.plan
-            && plan.pace == pace
+        // The delay is drawn once. Drawing it at each call and acting on the earliest time would cancel the jitter and
+        // cause bursts of reads from the whole fleet.
+        if let Some(scheduled) = self.scheduled
+            && scheduled.mode == mode
         {
-            return NextRead::At(plan.at);
+            return NextRead::At(scheduled.at);
         }
-        let at = now + self.delay(pace, rng);
-        self.plan = Some(Plan { pace, at });
+        let at = now + self.delay(mode, rng);
+        self.scheduled = Some(ScheduledRead { mode, at });
         NextRead::At(at)
     }
 
-    fn pace(&self, now: Instant) -> Pace {
-        if self.fresh_at.is_none() {
-            return Pace::Start;
+    fn read_mode(&self, now: Instant) -> ReadMode {
+        if self.last_read_at.is_none() {
+            return ReadMode::Start;
         }
-        if self.reader {
-            return Pace::Watch;
+        if self.is_reader {
+            return ReadMode::Watch;
         }
-        // Reads of its own don't count: a node that no peer reaches would take them for a sign that the readers will
-        // tell it of changes, seen as documents that come into force late on that node.
-        match self.told_at {
-            Some(at) if now.saturating_duration_since(at) <= self.cfg.fresh_for => Pace::Slow,
-            _ => Pace::Urgent,
+        // The node's own reads don't count. Otherwise a node that no peer can reach would rely on readers whose changes
+        // never arrive, and documents would come into force late on that node.
+        match self.last_peer_read_at {
+            Some(at) if now.saturating_duration_since(at) <= self.cfg.max_read_age => {
+                ReadMode::Slow
+            }
+            _ => ReadMode::Urgent,
         }
     }
 
-    fn delay<R>(&self, pace: Pace, rng: &mut R) -> Duration
+    fn delay<R>(&self, mode: ReadMode, rng: &mut R) -> Duration
     where
         R: Rng + ?Sized,
     {
-        let backoff = 1 << self.failures.min(self.cfg.max_doublings);
-        match pace {
-            // All nodes may start at the same moment, after a loss of power, and none knows how many there are.
-            Pace::Start => {
-                let spread = self.share_of(self.cfg.urgent_rate);
-                (spread * backoff).mul_f64(rng.random_range(0.0..1.0))
+        let backoff = 1 << self.failures.min(self.cfg.max_backoff_doublings);
+        match mode {
+            // All nodes may start at the same time, for instance after a power failure, and none knows the fleet size yet.
+            ReadMode::Start => {
+                let max_delay = self.interval_at_rate(self.cfg.urgent_rate);
+                (max_delay * backoff).mul_f64(rng.random_range(0.0..1.0))
             }
-            Pace::Watch => (self.cfg.retry * backoff).mul_f64(jitter(rng)),
-            Pace::Slow => {
-                let interval = self.share_of(self.cfg.slow_rate);
+            ReadMode::Watch => (self.cfg.retry_interval * backoff).mul_f64(jitter(rng)),
+            ReadMode::Slow => {
+                let interval = self.interval_at_rate(self.cfg.slow_rate);
                 interval.max(self.cfg.slow_interval).mul_f64(jitter(rng))
             }
-            Pace::Urgent => {
-                let interval = self.share_of(self.cfg.urgent_rate);
-                (interval.max(self.cfg.retry) * backoff).mul_f64(jitter(rng))
+            ReadMode::Urgent => {
+                let interval = self.interval_at_rate(self.cfg.urgent_rate);
+                (interval.max(self.cfg.retry_interval) * backoff).mul_f64(jitter(rng))
             }
         }
     }
 
-    /// Interval at which each node reads when all together make `rate` calls a second.
-    fn share_of(&self, rate: f64) -> Duration {
-        let fleet = if self.fleet == 0 {
+    /// Read interval per node at which the whole fleet makes `rate` calls per second.
+    fn interval_at_rate(&self, rate: f64) -> Duration {
+        let fleet_size = if self.fleet_size == 0 {
             self.cfg.start_fleet
         } else {
-            self.fleet
+            self.fleet_size
         };
-        let calls = fleet as f64 * f64::from(self.cfg.calls_per_read);
+        let calls = fleet_size as f64 * f64::from(self.cfg.calls_per_read);
         Duration::from_secs_f64(calls / rate.max(1.0))
     }
 }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -426,13 +426,16 @@
     let first = policy.next_read(now, &mut rng);
     assert!(matches!(first, NextRead::At(_)));
     assert_eq!(policy.next_read(now, &mut rng), first, "drawn once");
-    assert!(policy.begin_read() && !policy.begin_read(), "joined");
-    policy.observe(&node(reader.expect("a reader")), &view, now);
-    policy.read_done(now);
+    assert!(
+        policy.try_begin_read() && !policy.try_begin_read(),
+        "joined"
+    );
+    policy.update_view(&node(reader.expect("a reader")), &view, now);
+    policy.read_succeeded(now);
     assert_eq!(policy.next_read(now, &mut rng), NextRead::Watch);
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
-        assert!(policy.begin_read());
+        assert!(policy.try_begin_read());
         policy.read_failed(now);
         let NextRead::At(at) = policy.next_read(now, &mut rng) else {
             panic!("a failed watch must be followed by a pause");
@@ -446,13 +449,13 @@
         watch_wait,
         ..ReaderConfig::default()
     });
-    long.read_done(now);
+    long.read_succeeded(now);
     let later = now + watch_wait;
     let NextRead::At(at) = long.next_read(later, &mut rng) else {
         panic!("not a reader");
     };
     assert!(at - later >= ReaderConfig::default().slow_interval / 2);
-    policy.heard_fresh(Duration::from_secs(3), now + Duration::from_secs(10));
+    policy.record_peer_read_age(Duration::from_secs(3), now + Duration::from_secs(10));
     assert_eq!(
         policy.read_age(now + Duration::from_secs(12)),
         Some(Duration::from_secs(5))
--- a/crates/core/tests/dissemination_spread.rs
+++ b/crates/core/tests/dissemination_spread.rs
@@ -363,7 +363,7 @@
     if scene != Scene::StartTogether {
         policies
             .iter_mut()
-            .for_each(|policy| policy.read_done(start));
+            .for_each(|policy| policy.read_succeeded(start));
         observe(fleet, scene, &mut policies, start);
     }
     let mut watches: Vec<Option<Instant>> = vec![None; NODES];
@@ -380,11 +380,11 @@
                 continue;
             }
             if watches[index].take().is_some() {
-                policy.read_done(now);
+                policy.read_succeeded(now);
             }
             match policy.next_read(now, &mut rng) {
                 NextRead::At(at) if now < at => continue,
-                _ if !policy.begin_read() => continue,
+                _ if !policy.try_begin_read() => continue,
                 NextRead::Watch if scene != Scene::PlatformDown => {
                     // Watches begin out of step, as they did long before.
                     let wait = cfg
@@ -393,7 +393,7 @@
                     watches[index] = Some(now + wait);
                 }
                 _ if scene == Scene::PlatformDown => policy.read_failed(now),
-                _ => policy.read_done(now),
+                _ => policy.read_succeeded(now),
             }
             calls[second] += cfg.calls_per_read as usize;
         }
@@ -416,7 +416,7 @@
         (0..NODES).for_each(|index| view.unreachable(&fleet::node(index), now));
     }
     for (index, policy) in policies.iter_mut().enumerate() {
-        policy.observe(&fleet::node(index), &view, now);
+        policy.update_view(&fleet::node(index), &view, now);
     }
 }
 
@@ -436,10 +436,10 @@
         }
         let ages = (policies[index].read_age(now), policies[peer].read_age(now));
         if let Some(age) = ages.0 {
-            policies[peer].heard_fresh(age, now);
+            policies[peer].record_peer_read_age(age, now);
         }
         if let Some(age) = ages.1 {
-            policies[index].heard_fresh(age, now);
+            policies[index].record_peer_read_age(age, now);
         }
     }
 }
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -126,10 +126,11 @@
     fn take_ages(&mut self, theirs: &DigestFrame, now: Instant) {
         if let Some(age) = theirs.config_age_ms.filter(|_| self.is_ready()) {
             self.config_reads
-                .heard_fresh(Duration::from_millis(age), now);
+                .record_peer_read_age(Duration::from_millis(age), now);
         }
         if let Some(age) = theirs.list_age_ms.filter(|_| !self.view.is_empty()) {
-            self.list_reads.heard_fresh(Duration::from_millis(age), now);
+            self.list_reads
+                .record_peer_read_age(Duration::from_millis(age), now);
         }
     }
 
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -14,12 +14,12 @@
         let now = self.now();
         let watch = self.setup.reader.watch_wait;
         if let Some(wait) = due(self.config_reads.next_read(now, &mut self.rng), now, watch)
-            && self.config_reads.begin_read()
+            && self.config_reads.try_begin_read()
         {
             self.read_config(wait);
         }
         if let Some(wait) = due(self.list_reads.next_read(now, &mut self.rng), now, watch)
-            && self.list_reads.begin_read()
+            && self.list_reads.try_begin_read()
         {
             self.read_list(wait);
         }
@@ -50,7 +50,7 @@
             self.config_reads.read_failed(now);
             return;
         };
-        self.config_reads.read_done(now);
+        self.config_reads.read_succeeded(now);
         let revision = Revision(page.revision);
         self.start_up.heard_platform(revision);
         let entries = page.entries.into_iter().map(Entry::from).collect();
@@ -64,7 +64,7 @@
             self.list_reads.read_failed(now);
             return;
         };
-        self.list_reads.read_done(now);
+        self.list_reads.read_succeeded(now);
         if !page.instances.is_empty() {
             self.view
                 .apply_list(Revision(page.revision), page.instances, now);
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -252,8 +252,10 @@
         }
         self.epoch = self.view.epoch();
         let now = self.now();
-        self.config_reads.observe(&self.setup.node, &self.view, now);
-        self.list_reads.observe(&self.setup.node, &self.view, now);
+        self.config_reads
+            .update_view(&self.setup.node, &self.view, now);
+        self.list_reads
+            .update_view(&self.setup.node, &self.view, now);
         self.gossip.update(&self.setup.node, &self.view);
         if !self.ready {
             self.ask_at_start();
