--- a/crates/core/src/dissemination/gossip.rs
+++ b/crates/core/src/dissemination/gossip.rs
@@ -98,7 +98,7 @@
             None => {
                 let names = present.iter().map(|entry| entry.node.as_str());
                 let count = self.cfg.local_peers + self.cfg.remote_peers;
-                rendezvous::best(&[b"unlisted", me.as_str().as_bytes()], names, count)
+                rendezvous::top_ranked(&[b"unlisted", me.as_str().as_bytes()], names, count)
                     .into_iter()
                     .map(NodeName::from)
                     .collect()
@@ -196,7 +196,7 @@
 where
     I: IntoIterator<Item = &'a str>,
 {
-    rendezvous::best(&[b"gossip", own.node.as_str().as_bytes()], names, count)
+    rendezvous::top_ranked(&[b"gossip", own.node.as_str().as_bytes()], names, count)
         .into_iter()
         .map(NodeName::from)
         .collect()
@@ -218,7 +218,7 @@
                     .any(|node| (node.region != own.region) == other_region)
             })
             .map(|(name, _)| name.as_str());
-        rendezvous::best(
+        rendezvous::top_ranked(
             &[b"domain", own.node.as_str().as_bytes()],
             names,
             cfg.remote_peers,
--- a/crates/core/src/dissemination/reader.rs
+++ b/crates/core/src/dissemination/reader.rs
@@ -96,7 +96,7 @@
         let listed = view.all().filter(|entry| entry.domain == own.domain);
         let scope: [&[u8]; 2] = [b"reader", own.domain.as_str().as_bytes()];
         let names = listed.map(|entry| entry.node.as_str());
-        let candidates = rendezvous::best(
+        let candidates = rendezvous::top_ranked(
             &scope,
             names,
             self.cfg.readers_per_domain + self.cfg.spare_readers,
