--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -17,6 +17,6 @@
 pub use in_force::{OfferOutcome, Rejected, Version, VersionsInForce};
 pub use pulls::{PullConfig, PullRetry, Pulls};
 pub use reader::{NextRead, ReaderConfig, ReaderPolicy};
-pub use replica::{Applied, Difference, Replica, Verdict};
+pub use replica::{Applied, Difference, Replica, ValidationResult};
 pub use start_up::{StartUp, StartUpConfig};
 pub use traffic::{Traffic, TrafficModel};
--- a/crates/core/src/dissemination/replica.rs
+++ b/crates/core/src/dissemination/replica.rs
@@ -1,4 +1,4 @@
-//! The copy of the published entries that every node holds.
+//! Replica of the published entries that every node holds.
 
 mod compare;
 mod slot;
@@ -9,25 +9,26 @@
 
 use super::{Entry, Key, Revision};
 
-use compare::Settled;
-use slot::Slot;
+use compare::EquivalentDigests;
+use slot::{InsertOutcome, Slot};
 
 pub use compare::Difference;
-pub use slot::Verdict;
+pub use slot::ValidationResult;
 
-/// Revisions above `complete` that are remembered, so that pushes which arrive out of order still close the gap.
-const AHEAD_KEPT: usize = 4096;
+/// Maximum number of revisions above `complete` that are remembered. Pushes that arrive out of order can then still close
+/// the gap.
+const MAX_REVISIONS_AHEAD: usize = 4096;
 
-/// A version that a replica has just taken.
+/// A version that was added to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// The version; to be parsed and its verdict given to [`Replica::judge`].
+    /// The version. The caller must validate it and call [`Replica::record_validation`].
     pub entry: Entry,
-    /// Whether it is the newest version of its key; if not, it is the one to fall back to.
+    /// Whether this is the newest version of its key. If not, it is a candidate to fall back to.
     pub newest: bool,
 }
 
-/// A copy of the published entries; of each key only higher revisions are ever taken.
+/// A replica of the published entries. The newest version of a key is only replaced by higher revisions.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     slots: Map<Key, Slot>,
@@ -35,29 +36,30 @@
     complete: Revision,
     ahead: BTreeSet<Revision>,
     hash: u64,
-    settled: VecDeque<Settled>,
-    stale: u64,
-    conflicts: u64,
+    equivalent_digests: VecDeque<EquivalentDigests>,
+    stale_count: u64,
+    conflict_count: u64,
 }
 
 impl Replica {
-    /// An empty copy.
+    /// Creates an empty replica.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes entries that were read, pulled or pushed.
+    /// Applies entries that were read, pulled or pushed.
     ///
-    /// `highest` is given where the batch holds every entry above [`Replica::complete`] up to that revision: a read of
-    /// the platform after `complete`, or the last part of a peer's [`Replica::since`] with the peer's `complete`. It is
-    /// `None` for pushes. Each version returned must be judged, in the order of the result, before the next batch is applied.
+    /// `highest` is set if the batch contains every entry above [`Replica::complete`] up to that revision: for a read of
+    /// the platform after `complete`, or for the last part of a peer's [`Replica::entries_since`] with the peer's
+    /// `complete`. It is `None` for pushes. The caller must validate each returned version, in order, before it applies
+    /// the next batch.
     pub fn apply(&mut self, entries: Vec<Entry>, highest: Option<Revision>) -> Vec<Applied> {
         let mut applied = Vec::new();
-        // In order of revision, so that verdicts given in the order of the result never go from a higher valid version to
-        // a lower one.
-        for entry in sorted(entries) {
-            self.note(entry.revision);
-            applied.extend(self.take(entry));
+        // Sorted by revision, so that validation in the returned order never goes from a higher valid version to a lower
+        // one.
+        for entry in sorted_by_revision(entries) {
+            self.record_revision(entry.revision);
+            applied.extend(self.insert(entry));
         }
         if let Some(highest) = highest {
             self.complete = self.complete.max(highest);
@@ -66,12 +68,12 @@
         applied
     }
 
-    /// Records whether a version could be put in force, so that a node that comes later can be given the one that is.
-    pub fn judge(&mut self, key: &Key, revision: Revision, verdict: Verdict) {
-        self.change(key, |slot| slot.judge(revision, verdict));
+    /// Records whether a version is valid. Nodes that join later then also receive the version in force.
+    pub fn record_validation(&mut self, key: &Key, revision: Revision, result: ValidationResult) {
+        self.update_slot(key, |slot| slot.record_validation(revision, result));
     }
 
-    /// Bytes of all keys and values held.
+    /// Total size in bytes of all keys and values held.
     pub fn bytes(&self) -> usize {
         let entries = self.slots.values().flat_map(Slot::entries);
         entries
@@ -89,38 +91,39 @@
         self.highest.max(self.complete)
     }
 
-    /// The revision up to which the copy is known to be whole; reads of the platform and pulls ask for what is after it.
+    /// The revision up to which the replica has no gaps. Reads of the platform and pulls request the entries after it.
     pub fn complete(&self) -> Revision {
         self.complete
     }
 
-    /// Number of versions that came late and were ignored.
-    pub fn stale(&self) -> u64 {
-        self.stale
+    /// Number of versions ignored because they were already known or superseded.
+    pub fn stale_count(&self) -> u64 {
+        self.stale_count
     }
 
-    /// Number of versions that came with a known revision and another text, which no correct platform publishes.
-    pub fn conflicts(&self) -> u64 {
-        self.conflicts
+    /// Number of versions that had a known revision but a different value. A correct platform never publishes these.
+    pub fn conflict_count(&self) -> u64 {
+        self.conflict_count
     }
 
-    /// Everything above a revision, in order of revision, with the versions in force behind invalid ones.
-    pub fn since(&self, after: Revision) -> Vec<Entry> {
+    /// All entries whose newest version is above a revision, with the versions in force where the newest is invalid.
+    /// Sorted by revision.
+    pub fn entries_since(&self, after: Revision) -> Vec<Entry> {
         let newer = self
             .slots
             .values()
             .filter(|slot| slot.latest().revision > after);
-        sorted(newer.flat_map(Slot::entries).cloned().collect())
+        sorted_by_revision(newer.flat_map(Slot::entries).cloned().collect())
     }
 
-    /// What this node holds of some keys, to answer a pull.
-    pub fn pick(&self, keys: &[Key]) -> Vec<Entry> {
+    /// All versions held of the given keys, to answer a pull. Sorted by revision.
+    pub fn entries_for(&self, keys: &[Key]) -> Vec<Entry> {
         let keys: Set<&Key> = keys.iter().collect();
         let slots = keys.into_iter().filter_map(|key| self.slots.get(key));
-        sorted(slots.flat_map(Slot::entries).cloned().collect())
+        sorted_by_revision(slots.flat_map(Slot::entries).cloned().collect())
     }
 
-    fn take(&mut self, entry: Entry) -> Option<Applied> {
+    fn insert(&mut self, entry: Entry) -> Option<Applied> {
         let revision = entry.revision;
         let key = entry.key.clone();
         if !self.slots.contains_key(&key) {
@@ -133,52 +136,53 @@
                 newest: true,
             });
         }
-        let taken = self.change(&key, |slot| slot.take(entry.clone()))?;
-        match taken {
-            slot::Taken::Newest => {
+        let outcome = self.update_slot(&key, |slot| slot.insert(entry.clone()))?;
+        match outcome {
+            InsertOutcome::Newest => {
                 self.highest = self.highest.max(revision);
                 Some(Applied {
                     entry,
                     newest: true,
                 })
             }
-            slot::Taken::Fallback => Some(Applied {
+            InsertOutcome::Fallback => Some(Applied {
                 entry,
                 newest: false,
             }),
-            slot::Taken::Stale => {
-                self.stale += 1;
+            InsertOutcome::Stale => {
+                self.stale_count += 1;
                 None
             }
-            slot::Taken::Conflict => {
-                self.conflicts += 1;
+            InsertOutcome::Conflict => {
+                self.conflict_count += 1;
                 None
             }
         }
     }
 
-    /// Changes a slot and keeps the hash over all slots in step.
-    fn change<T, F>(&mut self, key: &Key, change: F) -> Option<T>
+    /// Updates a slot and adjusts the hash of the replica accordingly.
+    fn update_slot<T, F>(&mut self, key: &Key, update: F) -> Option<T>
     where
         F: FnOnce(&mut Slot) -> T,
     {
         let slot = self.slots.get_mut(key)?;
         let before = slot.hash();
-        let result = change(slot);
+        let result = update(slot);
         self.hash = self.hash.wrapping_sub(before).wrapping_add(slot.hash());
         Some(result)
     }
 
-    fn note(&mut self, revision: Revision) {
-        if revision > self.complete && self.ahead.len() < AHEAD_KEPT {
+    fn record_revision(&mut self, revision: Revision) {
+        if revision > self.complete && self.ahead.len() < MAX_REVISIONS_AHEAD {
             self.ahead.insert(revision);
         }
     }
 
-    /// Raises `complete` over revisions that were pushed one by one: each write has one revision and one entry.
+    /// Advances `complete` over contiguous revisions that were pushed individually. Each write has one revision and one
+    /// entry.
     ///
-    /// Raising it to any revision pushed would skip a lost push for good, seen as a document that stays old at one node:
-    /// reads and pulls ask only for what comes after `complete`.
+    /// Advancing it to an arbitrary pushed revision would skip lost pushes permanently, since reads and pulls only request
+    /// entries after `complete`. A document would then stay outdated on one node.
     fn close_gaps(&mut self) {
         while self.ahead.remove(&self.complete.next()) {
             self.complete = self.complete.next();
@@ -187,7 +191,7 @@
     }
 }
 
-fn sorted(mut entries: Vec<Entry>) -> Vec<Entry> {
+fn sorted_by_revision(mut entries: Vec<Entry>) -> Vec<Entry> {
     entries.sort_unstable_by_key(|entry| entry.revision);
     entries
 }
--- a/crates/core/src/dissemination/replica/compare.rs
+++ b/crates/core/src/dissemination/replica/compare.rs
@@ -1,4 +1,4 @@
-//! How two replicas find out what they can give each other.
+//! Comparison of two replicas to determine which versions each one lacks.
 
 use std::cmp::Ordering;
 
@@ -8,27 +8,27 @@
 use super::Replica;
 use super::slot::Slot;
 
-/// Digests of peers that are remembered as holding nothing new.
-const SETTLED_KEPT: usize = 32;
+/// Maximum number of equivalent digest pairs remembered.
+const MAX_EQUIVALENT_DIGESTS: usize = 32;
 
-/// What two nodes with different digests can give each other.
+/// Entries to exchange between two nodes whose digests differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
     /// Keys to pull from the peer.
-    pub wanted: Vec<Key>,
+    pub to_pull: Vec<Key>,
     /// Keys to push to the peer.
-    pub lacking: Vec<Key>,
+    pub to_push: Vec<Key>,
 }
 
-/// Hashes of two digests that differ without either side lacking anything.
+/// Hashes of two digests that differ although neither replica lacks a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Settled {
-    ours: u64,
-    theirs: u64,
+pub(super) struct EquivalentDigests {
+    local: u64,
+    peer: u64,
 }
 
 impl Replica {
-    /// The summary to send to peers.
+    /// Summary of this replica, to send to peers.
     pub fn digest(&self) -> Digest {
         Digest {
             highest: self.highest,
@@ -38,50 +38,51 @@
         }
     }
 
-    /// How a peer's replica relates to this one.
-    pub fn compare(&self, theirs: &Digest) -> Comparison {
-        let ours = self.digest();
-        let settled = Settled {
-            ours: ours.hash,
-            theirs: theirs.hash,
+    /// Compares the digest of a peer with the local one.
+    pub fn compare(&self, peer: &Digest) -> Comparison {
+        let local = self.digest();
+        let hashes = EquivalentDigests {
+            local: local.hash,
+            peer: peer.hash,
         };
-        if ours.same_versions(theirs) || self.settled.contains(&settled) {
+        if local.same_versions(peer) || self.equivalent_digests.contains(&hashes) {
             return Comparison::Same;
         }
-        match theirs.highest.cmp(&ours.highest) {
+        match peer.highest.cmp(&local.highest) {
             Ordering::Greater => Comparison::PeerIsNewer,
             Ordering::Less => Comparison::PeerIsOlder,
             Ordering::Equal => Comparison::Differ,
         }
     }
 
-    /// The versions held, in order of key.
+    /// The versions held, sorted by key.
     pub fn versions(&self) -> Vec<KeyVersion> {
         let mut versions: Vec<KeyVersion> = self.slots.values().map(Slot::version).collect();
         versions.sort_unstable_by(|a, b| a.key.cmp(&b.key));
         versions
     }
 
-    /// What to exchange with a peer whose digest differs at the same highest revision.
+    /// Determines what to exchange with a peer whose digest differs at the same highest revision.
     ///
-    /// Where that is nothing, its digest counts as the same from then on. Nodes of two releases may judge a version
-    /// differently; they would send each other all versions at every digest, seen as control traffic past its bound.
-    pub fn difference(&mut self, digest: &Digest, theirs: &[KeyVersion]) -> Difference {
-        let wanted = self.missing(theirs);
-        let lacking = self.missing_there(theirs);
-        if wanted.is_empty() && lacking.is_empty() {
-            self.settled.truncate(SETTLED_KEPT - 1);
-            self.settled.push_front(Settled {
-                ours: self.hash,
-                theirs: digest.hash,
+    /// If there is nothing to exchange, the two digests compare as the same from then on. Nodes of different releases may
+    /// disagree on whether a version is valid. They would otherwise exchange their version lists after every digest and
+    /// exceed the limit on control traffic.
+    pub fn difference(&mut self, peer_digest: &Digest, peer_versions: &[KeyVersion]) -> Difference {
+        let to_pull = self.missing_locally(peer_versions);
+        let to_push = self.missing_at_peer(peer_versions);
+        if to_pull.is_empty() && to_push.is_empty() {
+            self.equivalent_digests.truncate(MAX_EQUIVALENT_DIGESTS - 1);
+            self.equivalent_digests.push_front(EquivalentDigests {
+                local: self.hash,
+                peer: peer_digest.hash,
             });
         }
-        Difference { wanted, lacking }
+        Difference { to_pull, to_push }
     }
 
-    /// The keys of which a peer holds something that this node lacks.
-    pub fn missing(&self, theirs: &[KeyVersion]) -> Vec<Key> {
-        theirs
+    /// Keys of which the peer holds a version that this node lacks.
+    pub fn missing_locally(&self, peer_versions: &[KeyVersion]) -> Vec<Key> {
+        peer_versions
             .iter()
             .filter(|version| {
                 self.slots
@@ -92,20 +93,20 @@
             .collect()
     }
 
-    /// The keys of which this node holds something that a peer with these versions lacks.
-    pub fn missing_there(&self, theirs: &[KeyVersion]) -> Vec<Key> {
-        let known: Map<&Key, &KeyVersion> = theirs
+    /// Keys of which this node holds a version that the peer lacks.
+    pub fn missing_at_peer(&self, peer_versions: &[KeyVersion]) -> Vec<Key> {
+        let by_key: Map<&Key, &KeyVersion> = peer_versions
             .iter()
             .map(|version| (&version.key, version))
             .collect();
-        let lacks = |slot: &&Slot| {
-            known
+        let peer_lacks = |slot: &&Slot| {
+            by_key
                 .get(&slot.latest().key)
                 .is_none_or(|version| slot.is_ahead_of(version))
         };
         self.slots
             .values()
-            .filter(lacks)
+            .filter(peer_lacks)
             .map(|slot| slot.latest().key.clone())
             .collect()
     }
--- a/crates/core/src/dissemination/replica/slot.rs
+++ b/crates/core/src/dissemination/replica/slot.rs
@@ -1,51 +1,56 @@
-//! The versions of one key that a replica holds.
+//! Versions of one key held by a replica.
 
 use crate::dissemination::rendezvous::weight;
 use crate::dissemination::{Entry, KeyVersion, Revision};
 
-/// Whether a version could be put in force.
+/// Result of validating a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
-    /// The version is in force.
+pub enum ValidationResult {
+    /// The version is valid and was put in force.
     Valid,
     /// The version has faults and was rejected.
     Invalid,
 }
 
-/// What became of a version offered to a slot.
+/// Outcome of [`Slot::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Taken {
+pub(super) enum InsertOutcome {
+    /// The version is the newest one of its key.
     Newest,
+    /// The version is older than the newest one, but may be the one to fall back to.
     Fallback,
+    /// The version is already known or superseded.
     Stale,
+    /// The version has the revision of the newest one but differs from it.
     Conflict,
 }
 
-/// Versions of one key that wait for their verdict at a time.
-const UNJUDGED_KEPT: usize = 4;
+/// Maximum number of older versions per key that await validation.
+const MAX_UNVALIDATED: usize = 4;
 
-/// The newest version of a key, and the highest valid one before it while the newest isn't known to be valid.
+/// The newest version of a key and, until that one is found valid, the highest valid version before it.
 ///
-/// A node that starts while the newest version is invalid would otherwise get that one alone and have nothing in force,
-/// seen as a service without a document on new nodes only.
+/// Otherwise a node that starts while the newest version is invalid would receive only that version and have none in
+/// force: the service would lack a document on new nodes only.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
     latest: Entry,
-    verdict: Option<Verdict>,
+    /// Validation result of `latest`.
+    validation: Option<ValidationResult>,
     /// The highest version below `latest` known to be valid.
-    good: Option<Entry>,
-    /// Versions below `latest` and above `good` without a verdict. They don't take the place of `good` before they are
-    /// found valid: an invalid one would leave nothing to pass on.
-    unjudged: Vec<Entry>,
+    last_valid: Option<Entry>,
+    /// Versions between `last_valid` and `latest` that are not validated yet. They replace `last_valid` only once found
+    /// valid: replacing it by an invalid version would leave no fallback to send to peers.
+    unvalidated: Vec<Entry>,
 }
 
 impl Slot {
     pub(super) fn new(entry: Entry) -> Self {
         Self {
             latest: entry,
-            verdict: None,
-            good: None,
-            unjudged: Vec::new(),
+            validation: None,
+            last_valid: None,
+            unvalidated: Vec::new(),
         }
     }
 
@@ -53,54 +58,54 @@
         &self.latest
     }
 
-    pub(super) fn take(&mut self, entry: Entry) -> Taken {
+    pub(super) fn insert(&mut self, entry: Entry) -> InsertOutcome {
         if entry.revision > self.latest.revision {
             self.replace(entry);
-            return Taken::Newest;
+            return InsertOutcome::Newest;
         }
         if entry.revision == self.latest.revision {
             return if entry == self.latest {
-                Taken::Stale
+                InsertOutcome::Stale
             } else {
-                Taken::Conflict
+                InsertOutcome::Conflict
             };
         }
-        let is_below_good = self
-            .good
+        let is_superseded = self
+            .last_valid
             .as_ref()
-            .is_some_and(|good| good.revision >= entry.revision);
-        if self.verdict == Some(Verdict::Valid) || is_below_good {
-            return Taken::Stale;
+            .is_some_and(|last_valid| last_valid.revision >= entry.revision);
+        if self.validation == Some(ValidationResult::Valid) || is_superseded {
+            return InsertOutcome::Stale;
         }
-        self.await_verdict(entry);
-        Taken::Fallback
+        self.await_validation(entry);
+        InsertOutcome::Fallback
     }
 
-    pub(super) fn judge(&mut self, revision: Revision, verdict: Verdict) {
+    pub(super) fn record_validation(&mut self, revision: Revision, result: ValidationResult) {
         if revision == self.latest.revision {
-            self.verdict = Some(verdict);
+            self.validation = Some(result);
         }
-        let judged = self
-            .unjudged
+        let index = self
+            .unvalidated
             .iter()
             .position(|entry| entry.revision == revision);
-        let judged = judged.map(|index| self.unjudged.remove(index));
-        if verdict == Verdict::Valid && judged.is_some() {
-            self.good = judged;
+        let validated = index.map(|index| self.unvalidated.remove(index));
+        if result == ValidationResult::Valid && validated.is_some() {
+            self.last_valid = validated;
         }
-        if self.verdict == Some(Verdict::Valid) {
-            self.good = None;
-            self.unjudged.clear();
+        if self.validation == Some(ValidationResult::Valid) {
+            self.last_valid = None;
+            self.unvalidated.clear();
         }
     }
 
-    /// The version in force behind an invalid newest one.
+    /// The older version that is in force because the newest one is invalid.
     pub(super) fn fallback(&self) -> Option<&Entry> {
-        let stands = self.verdict == Some(Verdict::Invalid);
-        self.good.as_ref().filter(|_| stands)
+        let latest_is_invalid = self.validation == Some(ValidationResult::Invalid);
+        self.last_valid.as_ref().filter(|_| latest_is_invalid)
     }
 
-    /// What a peer is given.
+    /// Versions to send to a peer.
     pub(super) fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.fallback()
             .into_iter()
@@ -115,12 +120,12 @@
         }
     }
 
-    /// Whether a peer with these versions holds something that this slot lacks.
+    /// Whether a peer with these versions holds a version that this slot lacks.
     pub(super) fn lacks(&self, theirs: &KeyVersion) -> bool {
         is_ahead(theirs, &self.version())
     }
 
-    /// Whether this slot holds something that a peer with these versions lacks.
+    /// Whether this slot holds a version that a peer with these versions lacks.
     pub(super) fn is_ahead_of(&self, theirs: &KeyVersion) -> bool {
         is_ahead(&self.version(), theirs)
     }
@@ -138,7 +143,7 @@
     }
 
     fn in_force(&self) -> Option<Revision> {
-        if self.verdict == Some(Verdict::Valid) {
+        if self.validation == Some(ValidationResult::Valid) {
             return Some(self.latest.revision);
         }
         self.fallback().map(|entry| entry.revision)
@@ -146,26 +151,26 @@
 
     fn replace(&mut self, entry: Entry) {
         let previous = std::mem::replace(&mut self.latest, entry);
-        match self.verdict.take() {
-            Some(Verdict::Valid) => self.good = Some(previous),
-            Some(Verdict::Invalid) => {}
-            None => self.await_verdict(previous),
+        match self.validation.take() {
+            Some(ValidationResult::Valid) => self.last_valid = Some(previous),
+            Some(ValidationResult::Invalid) => {}
+            None => self.await_validation(previous),
         }
     }
 
-    fn await_verdict(&mut self, entry: Entry) {
-        if self.unjudged.len() == UNJUDGED_KEPT {
-            self.unjudged.remove(0);
+    fn await_validation(&mut self, entry: Entry) {
+        if self.unvalidated.len() == MAX_UNVALIDATED {
+            self.unvalidated.remove(0);
         }
-        self.unjudged.push(entry);
+        self.unvalidated.push(entry);
     }
 }
 
-/// Whether whoever holds `a` could give something to whoever holds `b`.
+/// Whether a node with versions `a` holds a version that a node with versions `b` lacks.
 fn is_ahead(a: &KeyVersion, b: &KeyVersion) -> bool {
     if a.revision != b.revision {
         return a.revision > b.revision;
     }
-    // With the same newest version, only one that is in force behind it is news.
+    // If the newest versions are equal, only a higher fallback version in force is new to the other node.
     a.in_force > b.in_force && a.in_force < Some(a.revision)
 }
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -8,7 +8,7 @@
 use coltsfootport_core::dissemination::{
     Comparison, Difference, Digest, Entry, GossipConfig, GossipPlan, Key, KeyVersion, NextRead,
     OfferOutcome, PullConfig, Pulls, PushMode, ReaderConfig, ReaderPolicy, Replica, Revision,
-    StartUp, StartUpConfig, Verdict, VersionsInForce,
+    StartUp, StartUpConfig, ValidationResult, VersionsInForce,
 };
 use coltsfootport_core::id::Incarnation;
 use coltsfootport_core::invariant::Invariant;
@@ -42,11 +42,11 @@
         let entry = applied.entry;
         let valid = !entry.value.starts_with(INVALID);
         let verdict = if valid {
-            Verdict::Valid
+            ValidationResult::Valid
         } else {
-            Verdict::Invalid
+            ValidationResult::Invalid
         };
-        replica.judge(&entry.key, entry.revision, verdict);
+        replica.record_validation(&entry.key, entry.revision, verdict);
         let parsed = if valid {
             Ok(entry.value.to_string())
         } else {
@@ -220,13 +220,14 @@
         Some(3),
     );
     assert_eq!(new.compare(&old.digest()), Comparison::Differ);
-    let lacking = new.missing(&old.versions());
+    let lacking = new.missing_locally(&old.versions());
     assert_eq!(lacking, [Key::from("k")]);
-    assert_eq!(old.missing_there(&new.versions()), lacking);
+    assert_eq!(old.missing_at_peer(&new.versions()), lacking);
     assert!(
-        old.missing(&new.versions()).is_empty() && new.missing_there(&old.versions()).is_empty()
+        old.missing_locally(&new.versions()).is_empty()
+            && new.missing_at_peer(&old.versions()).is_empty()
     );
-    take(&mut new, &mut in_force, &old.pick(&lacking), None);
+    take(&mut new, &mut in_force, &old.entries_for(&lacking), None);
     assert_eq!(
         in_force
             .get(&Key::from("k"))
@@ -255,7 +256,7 @@
     );
     let mut lenient = Replica::new();
     lenient.apply(vec![entry("k", 2, "!new")], Some(Revision(2)));
-    lenient.judge(&Key::from("k"), Revision(2), Verdict::Valid);
+    lenient.record_validation(&Key::from("k"), Revision(2), ValidationResult::Valid);
     assert_eq!(lenient.compare(&strict.digest()), Comparison::Differ);
     let nothing = lenient.difference(&strict.digest(), &strict.versions());
     assert_eq!(nothing, Difference::default());
--- a/crates/core/tests/dissemination_model.rs
+++ b/crates/core/tests/dissemination_model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use coltsfootport_core::dissemination::{
-    Comparison, Entry, Key, OfferOutcome, Replica, Revision, Verdict, VersionsInForce,
+    Comparison, Entry, Key, OfferOutcome, Replica, Revision, ValidationResult, VersionsInForce,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -124,11 +124,11 @@
             let before = self.in_force.get(&key).map(|version| version.revision);
             let valid = &*value != INVALID;
             let verdict = if valid {
-                Verdict::Valid
+                ValidationResult::Valid
             } else {
-                Verdict::Invalid
+                ValidationResult::Invalid
             };
-            self.replica.judge(&key, revision, verdict);
+            self.replica.record_validation(&key, revision, verdict);
             let offer = self
                 .in_force
                 .offer(&key, revision, valid.then_some(()).ok_or(()));
@@ -230,7 +230,7 @@
     }
 
     fn push(&mut self, from: usize, to: usize, count: usize) {
-        let mut entries = self.nodes[from].replica.since(Revision(0));
+        let mut entries = self.nodes[from].replica.entries_since(Revision(0));
         let older = entries.len().saturating_sub(count);
         self.pushes.push(Push {
             from,
@@ -267,8 +267,8 @@
             Comparison::Differ => {
                 let theirs = self.nodes[from].replica.versions();
                 let difference = self.nodes[to].replica.difference(&digest, &theirs);
-                let got = self.nodes[from].replica.pick(&difference.wanted);
-                let given = self.nodes[to].replica.pick(&difference.lacking);
+                let got = self.nodes[from].replica.entries_for(&difference.to_pull);
+                let given = self.nodes[to].replica.entries_for(&difference.to_push);
                 self.nodes[to].take(got, None);
                 self.nodes[from].take(given, None);
             }
@@ -277,7 +277,7 @@
 
     fn pull(&mut self, at: usize, from: usize) {
         let source = &self.nodes[from].replica;
-        let entries = source.since(self.nodes[at].replica.complete());
+        let entries = source.entries_since(self.nodes[at].replica.complete());
         let complete = source.complete();
         self.nodes[at].take(entries, Some(complete));
     }
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -23,11 +23,11 @@
                 ControlReply::Digest(own)
             }
             ControlRequest::PullSince(after) => ControlReply::Entries {
-                entries: frames(&self.replica.since(Revision(after))),
+                entries: frames(&self.replica.entries_since(Revision(after))),
                 complete: Some(self.replica.complete().0),
             },
             ControlRequest::PullKeys(keys) => ControlReply::Entries {
-                entries: frames(&self.replica.pick(&keys_of(keys))),
+                entries: frames(&self.replica.entries_for(&keys_of(keys))),
                 complete: None,
             },
             ControlRequest::Versions(theirs) => {
@@ -153,12 +153,12 @@
             return;
         };
         let difference = self.replica.difference(&digest, theirs);
-        if !difference.wanted.is_empty() {
-            let keys = difference.wanted.into_iter().map(|key| key.0).collect();
+        if !difference.to_pull.is_empty() {
+            let keys = difference.to_pull.into_iter().map(|key| key.0).collect();
             self.ask(node, ControlRequest::PullKeys(keys));
         }
-        if !difference.lacking.is_empty() {
-            let entries = frames(&self.replica.pick(&difference.lacking));
+        if !difference.to_push.is_empty() {
+            let entries = frames(&self.replica.entries_for(&difference.to_push));
             self.ask(node, ControlRequest::Entries(entries));
         }
     }
@@ -172,7 +172,7 @@
         let notices: Vec<_> = news.notices.into_iter().map(KeyVersion::from).collect();
         let wanted: Vec<SmolStr> = self
             .replica
-            .missing(&notices)
+            .missing_locally(&notices)
             .into_iter()
             .filter(|key| {
                 let notice = notices.iter().find(|notice| notice.key == *key);
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -6,7 +6,7 @@
 use coltsfootport_core::collections::{Map, Set};
 use coltsfootport_core::dissemination::{
     Digest, Entry, GossipPlan, Key, OfferOutcome, PullConfig, Pulls, ReaderPolicy, Replica,
-    Revision, StartUp, Verdict, VersionsInForce,
+    Revision, StartUp, ValidationResult, VersionsInForce,
 };
 use coltsfootport_core::document::Document;
 use coltsfootport_core::id::{NodeName, ServiceName};
@@ -164,13 +164,16 @@
         let event = match self.documents.offer(&entry.key, entry.revision, parsed) {
             OfferOutcome::InForce => {
                 self.replica
-                    .judge(&entry.key, entry.revision, Verdict::Valid);
+                    .record_validation(&entry.key, entry.revision, ValidationResult::Valid);
                 info!(self.setup.log, "document in force"; "document" => %service, "revision" => revision);
                 Event::DocumentInForce { service, revision }
             }
             OfferOutcome::Rejected => {
-                self.replica
-                    .judge(&entry.key, entry.revision, Verdict::Invalid);
+                self.replica.record_validation(
+                    &entry.key,
+                    entry.revision,
+                    ValidationResult::Invalid,
+                );
                 warn!(self.setup.log, "document rejected"; "document" => %service, "revision" => revision, "fault" => %fault);
                 Event::DocumentRejected {
                     service,
