--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -319,13 +319,13 @@
     ];
     for case in cases {
         let start = Instant::now();
-        let mut machine = StartUp::new(StartUpConfig::default(), start);
+        let mut start_up = StartUp::new(StartUpConfig::default(), start);
         if let Some(revision) = case.platform {
-            machine.heard_platform(Revision(revision));
+            start_up.record_platform_revision(Revision(revision));
         }
         for revision in case.peers {
             let revision = Revision(*revision);
-            machine.heard_peer(&Digest {
+            start_up.record_peer_digest(&Digest {
                 highest: revision,
                 complete: revision,
                 ..Digest::default()
@@ -334,8 +334,8 @@
         let mut replica = Replica::new();
         let held = (case.have > 0).then(|| entry("k", case.have, "v"));
         replica.apply(held.into_iter().collect(), Some(Revision(case.have)));
-        machine.have(&replica);
-        let ready = (0..60).find(|second| machine.ready(start + Duration::from_secs(*second)));
+        start_up.update_replica(&replica);
+        let ready = (0..60).find(|second| start_up.is_ready(start + Duration::from_secs(*second)));
         assert_eq!(ready, case.ready_from, "{}", case.name);
     }
 }
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -72,7 +72,7 @@
             ControlReply::Digest(theirs) => {
                 if theirs.word.state == NodeState::Serving && self.start_peers.insert(node.clone())
                 {
-                    self.start_up.heard_peer(&theirs.digest);
+                    self.start_up.record_peer_digest(&theirs.digest);
                 }
                 self.take_digest(&theirs);
             }
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -52,7 +52,7 @@
         };
         self.config_reads.read_succeeded(now);
         let revision = Revision(page.revision);
-        self.start_up.heard_platform(revision);
+        self.start_up.record_platform_revision(revision);
         let entries = page.entries.into_iter().map(Entry::from).collect();
         self.apply(entries, Some(revision));
     }
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -144,7 +144,7 @@
                 news.push(applied.entry);
             }
         }
-        self.start_up.have(&self.replica);
+        self.start_up.update_replica(&self.replica);
         if !news.is_empty() {
             self.tell_news(&news);
         }
@@ -241,7 +241,7 @@
     /// While a peer is still asked, something newer, or the last good version behind an invalid one, may be on its way; a node
     /// that served before it came would act on an older document than all others.
     fn serve_if_ready(&mut self) {
-        if self.ready || self.unanswered > 0 || !self.start_up.ready(self.now()) {
+        if self.ready || self.unanswered > 0 || !self.start_up.is_ready(self.now()) {
             return;
         }
         self.ready = true;
