--- a/crates/core/src/dissemination/traffic.rs
+++ b/crates/core/src/dissemination/traffic.rs
@@ -1,37 +1,37 @@
-//! Estimate of what dissemination costs a node, in bytes a second.
+//! Estimate of the control traffic per node caused by dissemination, in bytes per second.
 
 use super::{GossipConfig, PushMode};
 
-/// Bytes around one message: IP, UDP and QUIC headers, the frame and a share of the acknowledgements.
+/// Overhead per message: IP, UDP and QUIC headers, framing and a share of the acknowledgements.
 pub const MESSAGE_OVERHEAD: f64 = 100.0;
 
-/// A digest with the sender's name, incarnation, state, tick and age of the last read.
+/// Size of a digest with the sender's name, incarnation, state, tick and age of the last read.
 pub const DIGEST_BYTES: f64 = 80.0;
 
-/// Key and revision of one entry.
+/// Size of the key and revision of one entry.
 pub const NOTICE_BYTES: f64 = 40.0;
 
-/// One entry of the list of instances.
+/// Size of one entry of the list of instances.
 pub const LIST_ENTRY_BYTES: f64 = 70.0;
 
-/// A handshake with certificates of both sides.
+/// Size of a handshake with certificates of both peers.
 pub const HANDSHAKE_BYTES: f64 = 5_000.0;
 
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Load of which the cost is estimated.
+/// Load for which the traffic is estimated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficModel {
-    /// Accepted changes of entries a day.
+    /// Accepted changes of entries per day.
     pub changes_per_day: f64,
-    /// Mean size of a value in bytes.
+    /// Mean size of a value, in bytes.
     pub value_bytes: usize,
-    /// Changes of the list of instances a day.
+    /// Changes of the list of instances per day.
     pub list_changes_per_day: f64,
 }
 
 impl Default for TrafficModel {
-    /// 6,000 changes a day; 150 nodes replaced and 2 lost, each seen as leaving, gone, new.
+    /// 6,000 changes per day; 150 nodes replaced and 2 lost per day, each causing three list changes: leaving, gone, new.
     fn default() -> Self {
         Self {
             changes_per_day: 6_000.0,
@@ -41,26 +41,26 @@
     }
 }
 
-/// Bytes a second that one node sends for control, on average over the fleet; it receives as many.
+/// Control traffic that one node sends, in bytes per second, averaged over the fleet. It receives the same amount.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Traffic {
-    /// Digests and their answers, with the handshakes of digests to distant nodes.
+    /// Digests and their replies, with the handshakes for digests to random nodes.
     pub digests: f64,
-    /// News of entries, and their pulls.
+    /// Pushes and pulls of entries.
     pub entries: f64,
-    /// News of the list of instances.
+    /// Pushes of changes of the list of instances.
     pub list: f64,
 }
 
 impl Traffic {
-    /// All of it.
+    /// Sum of all traffic.
     pub fn total(&self) -> f64 {
         self.digests + self.entries + self.list
     }
 }
 
 impl TrafficModel {
-    /// What a node sends under this load.
+    /// Estimates the traffic that one node sends under this load.
     pub fn estimate(&self, cfg: &GossipConfig) -> Traffic {
         let peers = (cfg.local_peers + cfg.remote_peers) as f64;
         let digest_rate = 1.0 / cfg.digest_interval.as_secs_f64();
@@ -82,8 +82,8 @@
         Traffic {
             digests: 2.0 * digest_rate * (MESSAGE_OVERHEAD + DIGEST_BYTES)
                 + handshake_rate * HANDSHAKE_BYTES,
-            entries: per_change * self.changes_per_day / SECONDS_A_DAY,
-            list: per_list_change * self.list_changes_per_day / SECONDS_A_DAY,
+            entries: per_change * self.changes_per_day / SECONDS_PER_DAY,
+            list: per_list_change * self.list_changes_per_day / SECONDS_PER_DAY,
         }
     }
 }
