--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Replicas, versions in force, pulls, start and reads: single decisions.
+//! Unit tests of dissemination: replicas, versions in force, pulls, start-up, platform reads and gossip peers.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -19,7 +19,7 @@
 
 use fleet::node;
 
-/// Entries whose value begins with this are invalid.
+/// Prefix of the values that the tests treat as invalid.
 const INVALID: &str = "!";
 
 fn entry(key: &str, revision: u64, value: &str) -> Entry {
@@ -30,8 +30,8 @@
     }
 }
 
-/// Applies entries as a node does: each taken version is parsed, judged and offered.
-fn take(
+/// Applies entries as a node does: each new version is parsed, validated and offered.
+fn apply(
     replica: &mut Replica,
     in_force: &mut VersionsInForce<String, &'static str>,
     entries: &[Entry],
@@ -41,12 +41,12 @@
     for applied in replica.apply(entries.to_vec(), highest.map(Revision)) {
         let entry = applied.entry;
         let valid = !entry.value.starts_with(INVALID);
-        let verdict = if valid {
+        let result = if valid {
             ValidationResult::Valid
         } else {
             ValidationResult::Invalid
         };
-        replica.record_validation(&entry.key, entry.revision, verdict);
+        replica.record_validation(&entry.key, entry.revision, result);
         let parsed = if valid {
             Ok(entry.value.to_string())
         } else {
@@ -65,8 +65,8 @@
     latest: u64,
 }
 
-/// Symptom: a document falls back to an older one, or a faulty one takes the place of a good one. Sequence: versions of
-/// one key arrive in the order of each case. Cause: late pushes, stale reads, faulty documents.
+/// Guards against a document that reverts to an older version, or a valid version that is replaced by an invalid one.
+/// Both can follow from late pushes, stale reads and faulty documents, which deliver the versions of one key in any order.
 #[test]
 fn the_highest_valid_version_stays_in_force() {
     #[rustfmt::skip]
@@ -76,44 +76,44 @@
             latest: 2,
         },
         Versions {
-            name: "a late one is ignored", entries: &[(2, "b"), (1, "a")], in_force: Some(2),
+            name: "late version is ignored", entries: &[(2, "b"), (1, "a")], in_force: Some(2),
             rejected: None, latest: 2,
         },
         Versions {
-            name: "a faulty one leaves the last good one in force", entries: &[(1, "a"), (2, "!")],
+            name: "invalid version leaves the last valid one in force", entries: &[(1, "a"), (2, "!")],
             in_force: Some(1), rejected: Some(2), latest: 2,
         },
         Versions {
-            name: "two faulty ones", entries: &[(1, "a"), (2, "!"), (3, "!")], in_force: Some(1),
+            name: "two invalid versions", entries: &[(1, "a"), (2, "!"), (3, "!")], in_force: Some(1),
             rejected: Some(3), latest: 3,
         },
         Versions {
-            name: "the good one comes after the faulty one",
+            name: "valid version arrives after the invalid one",
             entries: &[(3, "!"), (1, "a"), (2, "b"), (1, "a")], in_force: Some(2),
             rejected: Some(3), latest: 3,
         },
         Versions {
-            name: "only a faulty one is known", entries: &[(3, "!"), (2, "!")], in_force: None,
+            name: "only invalid versions are known", entries: &[(3, "!"), (2, "!")], in_force: None,
             rejected: Some(3), latest: 3,
         },
         Versions {
-            name: "a late faulty one doesn't cost the good one",
+            name: "late invalid version does not displace the valid one",
             entries: &[(1, "a"), (4, "!"), (3, "!")], in_force: Some(1), rejected: Some(4),
             latest: 4,
         },
         Versions {
-            name: "mended", entries: &[(1, "a"), (2, "!"), (3, "c"), (1, "a")], in_force: Some(3),
+            name: "valid version follows the invalid one", entries: &[(1, "a"), (2, "!"), (3, "c"), (1, "a")], in_force: Some(3),
             rejected: None, latest: 3,
         },
         Versions {
-            name: "another text under the same revision", entries: &[(1, "a"), (1, "b")],
+            name: "different value with the same revision", entries: &[(1, "a"), (1, "b")],
             in_force: Some(1), rejected: None, latest: 1,
         },
     ];
     for case in cases {
         let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
         for (revision, value) in case.entries {
-            take(
+            apply(
                 &mut replica,
                 &mut in_force,
                 &[entry("k", *revision, value)],
@@ -121,10 +121,10 @@
             );
         }
         let key = Key::from("k");
-        let good = in_force.get(&key).map(|version| version.revision.0);
+        let valid = in_force.get(&key).map(|version| version.revision.0);
         let rejected = in_force.rejected(&key).map(|rejected| rejected.revision.0);
         assert_eq!(
-            (good, rejected),
+            (valid, rejected),
             (case.in_force, case.rejected),
             "{}",
             case.name
@@ -138,8 +138,8 @@
     }
 }
 
-/// Symptom: an accepted change is undone. Sequence: an older version is offered past the replica. Cause: a defect of the
-/// caller, which must be reported and must not take effect.
+/// Guards against undoing an accepted change. If a bug in the caller bypasses the replica and offers an older version, the
+/// offer must be refused and reported.
 #[test]
 fn an_older_version_offered_is_refused_and_reported() {
     let key = Key::from("k");
@@ -162,72 +162,72 @@
     assert!(in_force.rejected(&key).is_none());
 }
 
-/// Symptom: as above, reported by a correct node. Sequence: behind a faulty version, two good ones arrive in one message,
-/// the higher one first. Cause: the message isn't put in order before it is judged.
+/// Guards against a correct node that reports the violation above. If the newest version is invalid and one message
+/// contains two older valid versions, the higher one first, they must be sorted before they are validated.
 #[test]
-fn a_message_out_of_order_is_taken_in_order() {
+fn entries_of_a_message_are_applied_in_revision_order() {
     let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
-    take(&mut replica, &mut in_force, &[entry("k", 9, "!")], None);
+    apply(&mut replica, &mut in_force, &[entry("k", 9, "!")], None);
     let late = [entry("k", 5, "e"), entry("k", 4, "d")];
-    let offers = take(&mut replica, &mut in_force, &late, None);
+    let offers = apply(&mut replica, &mut in_force, &late, None);
     assert_eq!(offers, [OfferOutcome::InForce, OfferOutcome::InForce]);
     assert_eq!(replica.versions()[0].in_force, Some(Revision(5)));
 }
 
-/// Symptom: a node never gets a change that was pushed while a message was lost. Sequence: pushes 1, 2, 4, 5 arrive, 3 is
-/// lost. Cause: the next read asks after the highest revision in place of the last one without a gap.
+/// Guards against a lost push that is never recovered. Pushes 1, 2, 4 and 5 arrive and 3 is lost; the next read must
+/// request the entries after the last revision without a gap, not after the highest revision.
 #[test]
 fn a_lost_push_leaves_a_gap_that_the_next_read_closes() {
     let (mut replica, mut in_force) = (Replica::new(), VersionsInForce::new());
     for revision in [2, 1, 5, 4] {
         let pushed = entry(&format!("k{revision}"), revision, "v");
-        take(&mut replica, &mut in_force, &[pushed], None);
+        apply(&mut replica, &mut in_force, &[pushed], None);
     }
     assert_eq!(
         (replica.revision(), replica.complete()),
         (Revision(5), Revision(2))
     );
-    take(&mut replica, &mut in_force, &[entry("k3", 3, "v")], None);
+    apply(&mut replica, &mut in_force, &[entry("k3", 3, "v")], None);
     assert_eq!(replica.complete(), Revision(5));
-    take(&mut replica, &mut in_force, &[], Some(9));
-    take(&mut replica, &mut in_force, &[], Some(7));
+    apply(&mut replica, &mut in_force, &[], Some(9));
+    apply(&mut replica, &mut in_force, &[], Some(7));
     assert_eq!(
         (replica.revision(), replica.complete()),
         (Revision(9), Revision(9))
     );
 }
 
-/// Symptom: a node that starts while the newest document is faulty has none in force. Sequence: 1 good, 2 faulty; the
-/// node starts and copies a peer. Cause: only the newest version is passed on.
+/// Guards against a node without a document in force if it starts while the newest version is invalid. Peers must send it
+/// the older version in force as well as the newest one.
 #[test]
 fn a_new_node_gets_the_version_in_force_behind_a_faulty_one() {
     let (mut old, mut old_in_force) = (Replica::new(), VersionsInForce::new());
-    take(
+    apply(
         &mut old,
         &mut old_in_force,
         &[entry("k", 1, "a"), entry("m", 2, "m")],
         Some(2),
     );
-    take(&mut old, &mut old_in_force, &[entry("k", 3, "!")], Some(3));
+    apply(&mut old, &mut old_in_force, &[entry("k", 3, "!")], Some(3));
     let (mut new, mut in_force) = (Replica::new(), VersionsInForce::new());
     assert_eq!(new.compare(&old.digest()), Comparison::PeerIsNewer);
     assert_eq!(old.compare(&new.digest()), Comparison::PeerIsOlder);
-    // The platform gives the faulty one alone.
-    take(
+    // The platform returns only the newest version, which is invalid.
+    apply(
         &mut new,
         &mut in_force,
         &[entry("k", 3, "!"), entry("m", 2, "m")],
         Some(3),
     );
     assert_eq!(new.compare(&old.digest()), Comparison::Differ);
-    let lacking = new.missing_locally(&old.versions());
-    assert_eq!(lacking, [Key::from("k")]);
-    assert_eq!(old.missing_at_peer(&new.versions()), lacking);
+    let missing = new.missing_locally(&old.versions());
+    assert_eq!(missing, [Key::from("k")]);
+    assert_eq!(old.missing_at_peer(&new.versions()), missing);
     assert!(
         old.missing_locally(&new.versions()).is_empty()
             && new.missing_at_peer(&old.versions()).is_empty()
     );
-    take(&mut new, &mut in_force, &old.entries_for(&lacking), None);
+    apply(&mut new, &mut in_force, &old.entries_for(&missing), None);
     assert_eq!(
         in_force
             .get(&Key::from("k"))
@@ -237,18 +237,18 @@
     assert_eq!(new.compare(&old.digest()), Comparison::Same);
 }
 
-/// Symptom: control traffic grows during an upgrade. Sequence: a version is valid for one release and invalid for the
-/// other. Cause: the digests differ for ever, and each one makes the nodes exchange all their versions.
+/// Guards against growing control traffic during an upgrade. If a version is valid for one release and invalid for the
+/// other, their digests differ permanently, and each digest would make the nodes exchange all their versions.
 #[test]
-fn nodes_that_judge_a_version_differently_settle() {
+fn nodes_that_validate_a_version_differently_stop_exchanging() {
     let (mut strict, mut strict_in_force) = (Replica::new(), VersionsInForce::new());
-    take(
+    apply(
         &mut strict,
         &mut strict_in_force,
         &[entry("k", 1, "a")],
         Some(1),
     );
-    take(
+    apply(
         &mut strict,
         &mut strict_in_force,
         &[entry("k", 2, "!new")],
@@ -261,7 +261,7 @@
     let nothing = lenient.difference(&strict.digest(), &strict.versions());
     assert_eq!(nothing, Difference::default());
     assert_eq!(lenient.compare(&strict.digest()), Comparison::Same);
-    take(
+    apply(
         &mut strict,
         &mut strict_in_force,
         &[entry("m", 3, "m")],
@@ -271,11 +271,11 @@
 }
 
 #[test]
-fn the_platforms_form_of_an_entry_is_read() {
+fn an_entry_in_the_json_of_the_platform_is_parsed() {
     let text = r#"{"key": "documents/bidding", "revision": 9, "value": "{ ... }"}"#;
     let read: Entry = serde_json::from_str(text).expect("valid");
     assert_eq!(read, entry("documents/bidding", 9, "{ ... }"));
-    let written = serde_json::to_string(&read).expect("writable");
+    let written = serde_json::to_string(&read).expect("serializable");
     assert_eq!(
         serde_json::from_str::<Entry>(&written).expect("valid"),
         read
@@ -286,35 +286,35 @@
     name: &'static str,
     platform: Option<u64>,
     peers: &'static [u64],
-    have: u64,
+    held: u64,
     ready_from: Option<u64>,
 }
 
-/// Symptom: a new node serves with an older document than its peers, with none, or never. Sequence: each case says what
-/// was heard and what the node holds. Cause: platform or peers are down, stale or slow.
+/// Guards against a new node that serves with an older document than its peers or with none, or that never serves, while
+/// the platform or peers are down, stale or slow.
 #[test]
 fn a_node_serves_once_it_has_the_highest_of_platform_and_peers() {
     #[rustfmt::skip]
     let cases = [
-        Start { name: "nobody", platform: None, peers: &[], have: 0, ready_from: None },
+        Start { name: "neither platform nor peers", platform: None, peers: &[], held: 0, ready_from: None },
         Start {
-            name: "all agree", platform: Some(5), peers: &[5, 5], have: 5, ready_from: Some(0),
+            name: "all agree", platform: Some(5), peers: &[5, 5], held: 5, ready_from: Some(0),
         },
         Start {
-            name: "stale platform", platform: Some(4), peers: &[5, 5], have: 4,
+            name: "stale platform", platform: Some(4), peers: &[5, 5], held: 4,
             ready_from: Some(15),
         },
         Start {
-            name: "stale peers", platform: Some(6), peers: &[5, 5], have: 6, ready_from: Some(0),
+            name: "stale peers", platform: Some(6), peers: &[5, 5], held: 6, ready_from: Some(0),
         },
-        Start { name: "no peers", platform: Some(5), peers: &[], have: 5, ready_from: Some(2) },
-        Start { name: "no platform", platform: None, peers: &[5, 5], have: 5, ready_from: Some(5) },
+        Start { name: "no peers", platform: Some(5), peers: &[], held: 5, ready_from: Some(2) },
+        Start { name: "no platform", platform: None, peers: &[5, 5], held: 5, ready_from: Some(5) },
         Start {
-            name: "platform without entries", platform: Some(0), peers: &[], have: 0,
+            name: "platform without entries", platform: Some(0), peers: &[], held: 0,
             ready_from: Some(2),
         },
         Start {
-            name: "nothing could be pulled", platform: None, peers: &[5], have: 0, ready_from: None,
+            name: "pull failed", platform: None, peers: &[5], held: 0, ready_from: None,
         },
     ];
     for case in cases {
@@ -332,26 +332,26 @@
             });
         }
         let mut replica = Replica::new();
-        let held = (case.have > 0).then(|| entry("k", case.have, "v"));
-        replica.apply(held.into_iter().collect(), Some(Revision(case.have)));
+        let entries = (case.held > 0).then(|| entry("k", case.held, "v"));
+        replica.apply(entries.into_iter().collect(), Some(Revision(case.held)));
         start_up.update_replica(&replica);
         let ready = (0..60).find(|second| start_up.is_ready(start + Duration::from_secs(*second)));
         assert_eq!(ready, case.ready_from, "{}", case.name);
     }
 }
 
-/// Symptom: a value is fetched as often as it is announced, or never when the first holder is gone. Sequence: notices
-/// from several peers, then silence. Cause: pulls aren't joined, or a joined one is forgotten with the first.
+/// Guards against fetching a value once per announcement, and against never fetching it if the first source is gone.
+/// Several peers announce the version and then don't answer: the pulls must be joined, and the joined sources retried.
 #[test]
-fn pulls_of_one_version_are_joined_and_tried_elsewhere() {
+fn pulls_of_one_version_are_joined_and_retried_elsewhere() {
     let now = Instant::now();
     let late = now + PullConfig::default().timeout;
     let key = Key::from("k");
     let mut pulls = Pulls::new(PullConfig::default());
-    let wants: Vec<bool> = [(7, 0), (7, 1), (6, 2), (8, 3), (8, 4)]
+    let sent: Vec<bool> = [(7, 0), (7, 1), (6, 2), (8, 3), (8, 4)]
         .map(|(revision, from)| pulls.request(&key, Revision(revision), &node(from), now))
         .to_vec();
-    assert_eq!(wants, [true, false, false, true, false]);
+    assert_eq!(sent, [true, false, false, true, false]);
     pulls.record_arrival(&key, Revision(7));
     let retries = pulls.take_retries(late);
     assert_eq!(
@@ -360,24 +360,24 @@
     );
     assert!(
         pulls.take_retries(late).is_empty(),
-        "asked again only after another timeout"
+        "retried before another timeout passed"
     );
     assert!(
         pulls
             .take_retries(late + PullConfig::default().timeout)
             .is_empty(),
-        "no source left"
+        "retried without a source left"
     );
     assert!(
         pulls.request(&key, Revision(8), &node(5), late),
-        "forgotten, so asked anew"
+        "a dropped pull must be sent again on request"
     );
     pulls.record_arrival(&key, Revision(8));
     assert!(pulls.request(&key, Revision(9), &node(5), late));
 }
 
-/// Symptom: a domain without a reader gets changes late. Sequence: its readers leave, can't be reached, or aren't listed.
-/// Cause: the choice doesn't follow the view.
+/// Guards against a failure domain without a reader, which gets changes late. Its readers leave or become unreachable, so
+/// the selection must follow the view. A node that is not listed is no reader.
 #[test]
 fn each_domain_has_its_readers_while_the_view_changes() {
     let now = Instant::now();
@@ -394,7 +394,7 @@
             .into_iter()
             .filter(|index| !lost.contains(index))
             .collect();
-        // A reader that others can't reach still counts itself; it is not counted here.
+        // A reader that others can't reach still selects itself, so lost readers are not counted here.
         let counts = [0, 1, 2].map(|d| chosen.iter().filter(|index| *index % 3 == d).count());
         assert_eq!(counts, [2, 2, 2], "round {round}: {chosen:?}");
         let next = chosen[round % chosen.len()];
@@ -412,11 +412,14 @@
             }
         }
     }
-    assert!(!policy.is_reader(&node(60), &view, now), "not listed");
+    assert!(
+        !policy.is_reader(&node(60), &view, now),
+        "unlisted node selected as reader"
+    );
 }
 
-/// Symptom: reads in step from the whole fleet, or a reader that asks a platform that is down without pause. Sequence:
-/// each step below. Cause: jitter drawn anew at each question, or no backoff.
+/// Guards against synchronized reads of the whole fleet, which arise if jitter is drawn again at each call, and against a
+/// reader that polls a platform that is down without backoff.
 #[test]
 fn reads_are_joined_jittered_and_backed_off() {
     let now = Instant::now();
@@ -426,10 +429,14 @@
     let reader = (0..60).find(|index| policy.is_reader(&node(*index), &view, now));
     let first = policy.next_read(now, &mut rng);
     assert!(matches!(first, NextRead::At(_)));
-    assert_eq!(policy.next_read(now, &mut rng), first, "drawn once");
+    assert_eq!(
+        policy.next_read(now, &mut rng),
+        first,
+        "jitter must be drawn once"
+    );
     assert!(
         policy.try_begin_read() && !policy.try_begin_read(),
-        "joined"
+        "a second read must join the first"
     );
     policy.update_view(&node(reader.expect("a reader")), &view, now);
     policy.read_succeeded(now);
@@ -439,20 +446,20 @@
         assert!(policy.try_begin_read());
         policy.read_failed(now);
         let NextRead::At(at) = policy.next_read(now, &mut rng) else {
-            panic!("a failed watch must be followed by a pause");
+            panic!("a failed watch must be followed by a delay");
         };
         longest = longest.max(at - now);
     }
     assert!(longest >= Duration::from_secs(4) && longest <= Duration::from_secs(12));
-    // Watches that wait long in vain leave the last read old, though the readers are well.
+    // Long watches without changes make the last read old although the readers are healthy.
     let watch_wait = Duration::from_secs(25);
-    let mut long = ReaderPolicy::new(ReaderConfig {
+    let mut long_watch = ReaderPolicy::new(ReaderConfig {
         watch_wait,
         ..ReaderConfig::default()
     });
-    long.read_succeeded(now);
+    long_watch.read_succeeded(now);
     let later = now + watch_wait;
-    let NextRead::At(at) = long.next_read(later, &mut rng) else {
+    let NextRead::At(at) = long_watch.next_read(later, &mut rng) else {
         panic!("not a reader");
     };
     assert!(at - later >= ReaderConfig::default().slow_interval / 2);
@@ -463,8 +470,8 @@
     );
 }
 
-/// Symptom: news stops at a domain's or region's edge, or all digests go to one node. Sequence: plans of all nodes.
-/// Cause: peers are chosen inside one domain alone, or too many.
+/// Guards against pushes that stop at the edge of a failure domain or region, and against digests that all go to one node.
+/// They arise if peers are selected within one domain only, or if a node has too many peers.
 #[test]
 fn peers_are_few_fixed_and_cross_domains() {
     let now = Instant::now();
@@ -494,12 +501,12 @@
         let peer = plan
             .digest_peer(now, &mut rng)
             .cloned()
-            .expect("due at once");
+            .expect("the first digest is due immediately");
         assert!(peers.contains(&peer));
         assert_eq!(
             plan.digest_peer(now, &mut rng),
             None,
-            "the next one after its time"
+            "digest sent before the next one was due"
         );
         let forms = [plan.push_mode(100), plan.push_mode(100_000)];
         assert_eq!(forms, [PushMode::Full, PushMode::Notice]);
