--- a/crates/core/tests/dissemination_model.rs
+++ b/crates/core/tests/dissemination_model.rs
@@ -1,4 +1,4 @@
-//! Replicas under any interleaving of pushes, reads, digests, losses, restarts and partitions.
+//! Model test of replicas under arbitrary interleavings of pushes, reads, digests, losses, restarts and partitions.
 
 use std::collections::BTreeMap;
 
@@ -11,39 +11,32 @@
 const NODES: usize = 6;
 const KEYS: usize = 4;
 
-/// Entries whose value is this are invalid.
+/// Value that the model treats as invalid.
 const INVALID: &str = "!";
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The platform accepts a write.
-    Publish {
-        key: usize,
-        valid: bool,
-    },
-    /// A node reads the platform, which may answer as it was some writes ago.
-    Read {
-        node: usize,
-        lag: usize,
-    },
-    /// A node pushes its newest entries.
+    Publish { key: usize, valid: bool },
+    /// A node reads the platform, which may return a state that is `lag` writes old.
+    Read { node: usize, lag: usize },
+    /// A node sends its newest entries to another node.
     Push {
         from: usize,
         to: usize,
         entries: usize,
     },
-    /// A message under way arrives, is lost, or arrives and stays under way to come again.
+    /// A message in flight arrives.
     Deliver(usize),
-    Lose(usize),
-    Repeat(usize),
+    /// A message in flight is lost.
+    Drop(usize),
+    /// A message in flight arrives and stays in flight, to arrive again.
+    Duplicate(usize),
     /// Two nodes compare digests.
-    Exchange {
-        from: usize,
-        to: usize,
-    },
-    /// A node ends and starts empty.
+    Exchange { from: usize, to: usize },
+    /// A node restarts with an empty replica.
     Restart(usize),
-    /// Nodes with a bit set and those without don't reach each other.
+    /// Nodes whose bit is set and nodes whose bit is clear can't reach each other.
     Partition(u8),
 }
 
@@ -52,37 +45,37 @@
         failure_persistence: None, rng_seed: RngSeed::Fixed(13), cases: 2000, ..ProptestConfig::default()
     })]
 
-    /// Symptom: a document falls back, or two nodes act on different versions for ever. Sequence: any. Cause: a late
-    /// message is taken for news, a gap is skipped, or a digest hides a difference.
+    /// Guards against a document that reverts to an older version and against nodes that permanently apply different
+    /// versions. Causes are a late message applied as new, a skipped gap, or a digest that hides a difference.
     #[test]
-    fn versions_never_go_back_and_all_nodes_agree_after_the_heal(
+    fn versions_never_go_back_and_all_nodes_converge_after_a_partition(
         steps in proptest::collection::vec(step(), 1..120),
-        platform_back in any::<bool>(),
+        platform_reachable in any::<bool>(),
     ) {
-        let mut net = Net::new();
+        let mut network = Network::new();
         for step in steps {
-            net.step(step);
-            net.check_whole()?;
+            network.step(step);
+            network.check_complete()?;
         }
-        net.partition = 0;
-        if platform_back {
-            net.read(0, 0);
+        network.partition = 0;
+        if platform_reachable {
+            network.read(0, 0);
         }
-        let expected = net.expected();
-        // News crosses the ring of nodes in one round in its direction; a second one exchanges what differs at equal
-        // revisions, a third one the versions in force behind invalid ones.
+        let expected = network.expected();
+        // The first round propagates new versions around the ring of nodes. The second exchanges differences at equal
+        // revisions, the third the versions in force behind invalid ones.
         for _ in 0..3 {
             for node in 0..NODES {
-                net.exchange(node, (node + 1) % NODES);
-                net.exchange((node + 1) % NODES, node);
+                network.exchange(node, (node + 1) % NODES);
+                network.exchange((node + 1) % NODES, node);
             }
         }
-        for node in &net.nodes {
-            prop_assert_eq!(node.replica.compare(&net.nodes[0].replica.digest()), Comparison::Same);
+        for node in &network.nodes {
+            prop_assert_eq!(node.replica.compare(&network.nodes[0].replica.digest()), Comparison::Same);
             prop_assert_eq!(&node.versions(), &expected);
         }
-        if platform_back {
-            net.check_platform()?;
+        if platform_reachable {
+            network.check_platform()?;
         }
     }
 }
@@ -96,15 +89,15 @@
         6 => (node(), node(), 1..4_usize)
             .prop_map(|(from, to, entries)| Step::Push { from, to, entries }),
         5 => (0..16_usize).prop_map(Step::Deliver),
-        2 => (0..16_usize).prop_map(Step::Lose),
-        2 => (0..16_usize).prop_map(Step::Repeat),
+        2 => (0..16_usize).prop_map(Step::Drop),
+        2 => (0..16_usize).prop_map(Step::Duplicate),
         3 => (node(), node()).prop_map(|(from, to)| Step::Exchange { from, to }),
         1 => node().prop_map(Step::Restart),
         1 => any::<u8>().prop_map(Step::Partition),
     ]
 }
 
-/// Newest revision and revision in force of each key.
+/// Newest revision and, if any, revision in force of each key.
 type Versions = BTreeMap<Key, (u64, Option<u64>)>;
 
 #[derive(Default)]
@@ -114,7 +107,7 @@
 }
 
 impl Node {
-    fn take(&mut self, entries: Vec<Entry>, highest: Option<Revision>) {
+    fn apply(&mut self, entries: Vec<Entry>, highest: Option<Revision>) {
         for applied in self.replica.apply(entries, highest) {
             let Entry {
                 key,
@@ -123,23 +116,23 @@
             } = applied.entry;
             let before = self.in_force.get(&key).map(|version| version.revision);
             let valid = &*value != INVALID;
-            let verdict = if valid {
+            let result = if valid {
                 ValidationResult::Valid
             } else {
                 ValidationResult::Invalid
             };
-            self.replica.record_validation(&key, revision, verdict);
+            self.replica.record_validation(&key, revision, result);
             let offer = self
                 .in_force
                 .offer(&key, revision, valid.then_some(()).ok_or(()));
             assert!(
                 !matches!(offer, OfferOutcome::Refused(_)),
-                "a replica gives no older version"
+                "the replica returned an older version"
             );
             let after = self.in_force.get(&key).map(|version| version.revision);
             assert!(
                 after >= before,
-                "in force went back from {before:?} to {after:?}"
+                "the version in force went back from {before:?} to {after:?}"
             );
         }
     }
@@ -160,14 +153,14 @@
     entries: Vec<Entry>,
 }
 
-struct Net {
+struct Network {
     log: Vec<Entry>,
     nodes: Vec<Node>,
     pushes: Vec<Push>,
     partition: u8,
 }
 
-impl Net {
+impl Network {
     fn new() -> Self {
         let nodes = (0..NODES).map(|_| Node::default()).collect();
         Self {
@@ -184,13 +177,13 @@
             Step::Read { node, lag } => self.read(node, lag),
             Step::Push { from, to, entries } => self.push(from, to, entries),
             Step::Deliver(index) => {
-                if let Some(push) = self.under_way(index) {
+                if let Some(push) = self.take_in_flight(index) {
                     self.deliver(&push);
                 }
             }
-            Step::Lose(index) => drop(self.under_way(index)),
-            Step::Repeat(index) => {
-                if let Some(push) = self.under_way(index) {
+            Step::Drop(index) => drop(self.take_in_flight(index)),
+            Step::Duplicate(index) => {
+                if let Some(push) = self.take_in_flight(index) {
                     self.deliver(&push);
                     self.pushes.push(push);
                 }
@@ -217,16 +210,16 @@
     }
 
     fn read(&mut self, node: usize, lag: usize) {
-        let shown = &self.log[..self.log.len().saturating_sub(lag)];
+        let visible = &self.log[..self.log.len().saturating_sub(lag)];
         let after = self.nodes[node].replica.complete();
         let latest: BTreeMap<&Key, &Entry> =
-            shown.iter().map(|entry| (&entry.key, entry)).collect();
+            visible.iter().map(|entry| (&entry.key, entry)).collect();
         let entries = latest
             .into_values()
             .filter(|entry| entry.revision > after)
             .cloned()
             .collect();
-        self.nodes[node].take(entries, Some(Revision(shown.len() as u64)));
+        self.nodes[node].apply(entries, Some(Revision(visible.len() as u64)));
     }
 
     fn push(&mut self, from: usize, to: usize, count: usize) {
@@ -239,24 +232,24 @@
         });
     }
 
-    fn under_way(&mut self, index: usize) -> Option<Push> {
+    fn take_in_flight(&mut self, index: usize) -> Option<Push> {
         let count = self.pushes.len();
         (count > 0).then(|| self.pushes.swap_remove(index % count))
     }
 
     fn deliver(&mut self, push: &Push) {
-        if self.reach(push.from, push.to) {
-            self.nodes[push.to].take(push.entries.clone(), None);
+        if self.can_reach(push.from, push.to) {
+            self.nodes[push.to].apply(push.entries.clone(), None);
         }
     }
 
-    fn reach(&self, a: usize, b: usize) -> bool {
+    fn can_reach(&self, a: usize, b: usize) -> bool {
         (self.partition >> a) & 1 == (self.partition >> b) & 1
     }
 
     /// `from` sends its digest to `to`, and both act on the comparison.
     fn exchange(&mut self, from: usize, to: usize) {
-        if from == to || !self.reach(from, to) {
+        if from == to || !self.can_reach(from, to) {
             return;
         }
         let digest = self.nodes[from].replica.digest();
@@ -267,10 +260,10 @@
             Comparison::Differ => {
                 let theirs = self.nodes[from].replica.versions();
                 let difference = self.nodes[to].replica.difference(&digest, &theirs);
-                let got = self.nodes[from].replica.entries_for(&difference.to_pull);
-                let given = self.nodes[to].replica.entries_for(&difference.to_push);
-                self.nodes[to].take(got, None);
-                self.nodes[from].take(given, None);
+                let pulled = self.nodes[from].replica.entries_for(&difference.to_pull);
+                let pushed = self.nodes[to].replica.entries_for(&difference.to_push);
+                self.nodes[to].apply(pulled, None);
+                self.nodes[from].apply(pushed, None);
             }
         }
     }
@@ -279,10 +272,10 @@
         let source = &self.nodes[from].replica;
         let entries = source.entries_since(self.nodes[at].replica.complete());
         let complete = source.complete();
-        self.nodes[at].take(entries, Some(complete));
+        self.nodes[at].apply(entries, Some(complete));
     }
 
-    /// The highest versions that any node holds.
+    /// The highest versions held by any node.
     fn expected(&self) -> Versions {
         let mut best = Versions::new();
         for (key, (latest, in_force)) in self.nodes.iter().flat_map(Node::versions) {
@@ -292,8 +285,8 @@
         best
     }
 
-    /// What a node calls whole must lack nothing.
-    fn check_whole(&self) -> Result<(), TestCaseError> {
+    /// Checks that no replica has gaps up to its `complete` revision.
+    fn check_complete(&self) -> Result<(), TestCaseError> {
         for node in &self.nodes {
             let complete = node.replica.complete();
             for entry in self
@@ -312,7 +305,7 @@
         Ok(())
     }
 
-    /// All nodes hold what the platform holds.
+    /// Checks one node, which equals all others, against the entries of the platform.
     fn check_platform(&self) -> Result<(), TestCaseError> {
         for entry in &self.log {
             let held = self.nodes[NODES - 1]
