--- a/crates/core/tests/dissemination_spread.rs
+++ b/crates/core/tests/dissemination_spread.rs
@@ -1,4 +1,4 @@
-//! How far, how fast and at what cost news spreads over 1,400 nodes, and how often they read the platform.
+//! Simulations of a fleet of 1,400 nodes: coverage, latency and traffic of pushed changes, and rate of platform reads.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -18,20 +18,20 @@
 const NODES: usize = 1_400;
 const DOMAINS: usize = 7;
 
-/// Mean size of a document.
+/// Mean size of a document, in bytes.
 const VALUE_BYTES: usize = 2_048;
 
-/// What the platform bears, in calls a second of all readers.
-const PLATFORM_RATE: usize = 2_000;
+/// Capacity of the platform, in calls per second of all nodes.
+const PLATFORM_CAPACITY: usize = 2_000;
 
-/// What a node may spend on control, in bytes a second.
-const NODE_RATE: f64 = 5_000.0;
+/// Limit on the control traffic of a node, in bytes per second.
+const MAX_CONTROL_RATE: f64 = 5_000.0;
 
-/// Time after which a change has to be in force everywhere.
+/// Time within which a change must be in force on all nodes.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
 
-/// A pessimistic time of one message between two regions. A hop takes three: notice, pull and answer.
-const MESSAGE_TIME: Duration = Duration::from_millis(50);
+/// Pessimistic latency of one message between two regions. A hop takes three messages: notice, pull and reply.
+const MESSAGE_LATENCY: Duration = Duration::from_millis(50);
 
 static FLEET: LazyLock<Fleet> = LazyLock::new(Fleet::new);
 
@@ -77,105 +77,109 @@
         .expect("a node of the fleet")
 }
 
-struct Spread {
+struct SpreadCase {
     name: &'static str,
-    form: PushMode,
-    /// Share of messages lost.
+    mode: PushMode,
+    /// Fraction of messages lost.
     loss: f64,
-    /// Share of nodes that are gone though everybody's view still has them.
-    gone: f64,
-    /// Whether one reader alone gets the change, in place of two in each domain.
+    /// Fraction of nodes that failed but are still present in all views.
+    failed: f64,
+    /// Whether only one reader receives the change, instead of two per failure domain.
     one_reader: bool,
-    /// Bound on hops of pushes, and on rounds of digests needed after them.
+    /// Maximum number of push hops.
     hops: usize,
+    /// Maximum number of digest rounds needed after the pushes.
     digest_rounds: usize,
 }
 
-struct Measured {
+struct SpreadResult {
     hops: usize,
-    by_push: usize,
+    reached_by_push: usize,
     digest_rounds: usize,
     messages: usize,
     bytes: f64,
 }
 
-/// Symptom: a change is in force late at some nodes, or costs more than a node may spend. Sequence: a change reaches the
-/// readers and is passed on; messages are lost and nodes are gone. Cause: the fixed peers don't reach everybody in few
-/// hops, or the digests don't find who was left out.
+/// Guards against a change that comes into force late on some nodes or exceeds the traffic limit. While messages are lost
+/// and nodes have failed, the stable peer sets must reach the other nodes in few hops, and digests must find those missed.
 #[test]
 fn a_change_reaches_all_nodes_within_seconds_and_few_bytes() {
     let mut fleet = FLEET.clone();
-    let base = Spread {
+    let base = SpreadCase {
         name: "",
-        form: PushMode::Notice,
+        mode: PushMode::Notice,
         loss: 0.0,
-        gone: 0.0,
+        failed: 0.0,
         one_reader: false,
         hops: 6,
         digest_rounds: 0,
     };
     #[rustfmt::skip]
     let cases = [
-        Spread { name: "all well", ..base },
-        Spread { name: "pushed whole", form: PushMode::Full, ..base },
-        Spread { name: "one reader", one_reader: true, hops: 9, ..base },
-        Spread { name: "5 % lost", loss: 0.05, hops: 8, digest_rounds: 1, ..base },
-        Spread { name: "20 % lost", loss: 0.2, hops: 9, digest_rounds: 3, ..base },
-        Spread { name: "60 % lost", loss: 0.6, hops: 12, digest_rounds: 6, ..base },
-        Spread {
-            name: "a domain's worth gone", gone: 1.0 / 7.0, hops: 8, digest_rounds: 2, ..base
+        SpreadCase { name: "no faults", ..base },
+        SpreadCase { name: "pushed in full", mode: PushMode::Full, ..base },
+        SpreadCase { name: "one reader", one_reader: true, hops: 9, ..base },
+        SpreadCase { name: "5 % lost", loss: 0.05, hops: 8, digest_rounds: 1, ..base },
+        SpreadCase { name: "20 % lost", loss: 0.2, hops: 9, digest_rounds: 3, ..base },
+        SpreadCase { name: "60 % lost", loss: 0.6, hops: 12, digest_rounds: 6, ..base },
+        // As many nodes as one failure domain has.
+        SpreadCase {
+            name: "a seventh failed", failed: 1.0 / 7.0, hops: 8, digest_rounds: 2, ..base
         },
     ];
     for case in cases {
-        let measured = spread(&mut fleet, &case);
+        let result = spread(&mut fleet, &case);
         println!(
             "{}: {} hops, {} of {NODES} by push, {} rounds of digests, {:.1} messages and {:.0} bytes a node",
             case.name,
-            measured.hops,
-            measured.by_push,
-            measured.digest_rounds,
-            measured.messages as f64 / NODES as f64,
-            measured.bytes / NODES as f64
+            result.hops,
+            result.reached_by_push,
+            result.digest_rounds,
+            result.messages as f64 / NODES as f64,
+            result.bytes / NODES as f64
         );
         assert!(
-            measured.hops <= case.hops,
+            result.hops <= case.hops,
             "{}: hops {}",
             case.name,
-            measured.hops
+            result.hops
         );
-        let rounds = measured.digest_rounds;
+        let rounds = result.digest_rounds;
         assert!(
             rounds <= case.digest_rounds,
             "{}: digests {rounds}",
             case.name
         );
-        // The exchange that a digest starts takes less than the time to the next round.
-        let pushing = MESSAGE_TIME * 3 * measured.hops as u32;
-        let total = pushing + GossipConfig::default().digest_interval * rounds as u32;
+        // The exchange after a digest finishes before the next round.
+        let push_time = MESSAGE_LATENCY * 3 * result.hops as u32;
+        let total = push_time + GossipConfig::default().digest_interval * rounds as u32;
         assert!(total < IN_FORCE_WITHIN, "{}: {total:?}", case.name);
     }
 }
 
-/// Symptom: control traffic grows past a node's share. Sequence: 6,000 changes a day and the fleet's daily replacements.
-/// Cause: more peers, larger pushes or more digests than the rate bears.
+/// Guards against peers, pushes or digests that exceed the control traffic limit of a node with 6,000 changes per day and
+/// the daily replacements of nodes.
 #[test]
-fn control_traffic_fits_the_rate_of_a_node() {
+fn control_traffic_stays_within_the_limit_of_a_node() {
     let traffic = TrafficModel::default().estimate(&GossipConfig::default());
     println!(
-        "a node sends {traffic:?}, {:.0} bytes a second",
+        "a node sends {traffic:?}, {:.0} bytes per second",
         traffic.total()
     );
-    assert!(traffic.total() * 2.0 < NODE_RATE, "sent and received");
-    let whole = GossipConfig {
+    assert!(
+        traffic.total() * 2.0 < MAX_CONTROL_RATE,
+        "the limit covers sent and received traffic"
+    );
+    let full_pushes = GossipConfig {
         max_pushed_bytes: usize::MAX,
         ..GossipConfig::default()
     };
-    assert!(TrafficModel::default().estimate(&whole).entries > traffic.entries);
+    assert!(TrafficModel::default().estimate(&full_pushes).entries > traffic.entries);
 }
 
-fn spread(fleet: &mut Fleet, case: &Spread) -> Measured {
+fn spread(fleet: &mut Fleet, case: &SpreadCase) -> SpreadResult {
     let mut rng = StdRng::seed_from_u64(21);
-    let alive: Vec<bool> = (0..NODES).map(|_| !rng.random_bool(case.gone)).collect();
+    let alive: Vec<bool> = (0..NODES).map(|_| !rng.random_bool(case.failed)).collect();
     let mut readers: Vec<usize> = fleet
         .readers()
         .into_iter()
@@ -184,9 +188,9 @@
     readers.truncate(if case.one_reader { 1 } else { NODES });
     let mut has = vec![false; NODES];
     readers.iter().for_each(|index| has[*index] = true);
-    let mut measured = Measured {
+    let mut result = SpreadResult {
         hops: 0,
-        by_push: 0,
+        reached_by_push: 0,
         digest_rounds: 0,
         messages: 0,
         bytes: 0.0,
@@ -197,70 +201,62 @@
         &alive,
         &mut has,
         readers,
-        &mut measured,
+        &mut result,
         &mut rng,
     );
-    let missed = |has: &[bool]| (0..NODES).any(|index| alive[index] && !has[index]);
-    measured.by_push = has.iter().filter(|has| **has).count();
-    while missed(&has) && measured.digest_rounds < 60 {
-        measured.digest_rounds += 1;
-        let now = fleet.now + Duration::from_secs(10 * measured.digest_rounds as u64);
+    let incomplete = |has: &[bool]| (0..NODES).any(|index| alive[index] && !has[index]);
+    result.reached_by_push = has.iter().filter(|has| **has).count();
+    while incomplete(&has) && result.digest_rounds < 60 {
+        result.digest_rounds += 1;
+        let now = fleet.now + Duration::from_secs(10 * result.digest_rounds as u64);
         let found = digests(fleet, case, &alive, &has, now, &mut rng);
-        measured.messages += found.len();
-        measured.bytes += found.len() as f64 * (MESSAGE_OVERHEAD + VALUE_BYTES as f64);
+        result.messages += found.len();
+        result.bytes += found.len() as f64 * (MESSAGE_OVERHEAD + VALUE_BYTES as f64);
         found.iter().for_each(|index| has[*index] = true);
-        push(
-            fleet,
-            case,
-            &alive,
-            &mut has,
-            found,
-            &mut measured,
-            &mut rng,
-        );
+        push(fleet, case, &alive, &mut has, found, &mut result, &mut rng);
     }
-    measured
+    result
 }
 
-/// Passes news on from the nodes that have just got it until nobody new is reached.
+/// Forwards the change from the nodes that have just received it until no further node is reached.
 fn push(
     fleet: &Fleet,
-    case: &Spread,
+    case: &SpreadCase,
     alive: &[bool],
     has: &mut [bool],
     mut from: Vec<usize>,
-    measured: &mut Measured,
+    result: &mut SpreadResult,
     rng: &mut StdRng,
 ) {
     let mut hops = 0;
     while !from.is_empty() {
         let mut next = Vec::new();
         for peer in from.iter().flat_map(|index| &fleet.peers[*index]) {
-            measured.messages += 1;
-            measured.bytes += MESSAGE_OVERHEAD + NOTICE_BYTES;
-            if case.form == PushMode::Full {
-                measured.bytes += VALUE_BYTES as f64;
+            result.messages += 1;
+            result.bytes += MESSAGE_OVERHEAD + NOTICE_BYTES;
+            if case.mode == PushMode::Full {
+                result.bytes += VALUE_BYTES as f64;
             }
             if !alive[*peer] || rng.random_bool(case.loss) || has[*peer] {
                 continue;
             }
             has[*peer] = true;
             next.push(*peer);
-            if case.form == PushMode::Notice {
-                measured.messages += 2;
-                measured.bytes += 2.0 * (MESSAGE_OVERHEAD + NOTICE_BYTES) + VALUE_BYTES as f64;
+            if case.mode == PushMode::Notice {
+                result.messages += 2;
+                result.bytes += 2.0 * (MESSAGE_OVERHEAD + NOTICE_BYTES) + VALUE_BYTES as f64;
             }
         }
         hops += usize::from(!next.is_empty());
         from = next;
     }
-    measured.hops = measured.hops.max(hops);
+    result.hops = result.hops.max(hops);
 }
 
-/// One digest of each node; returns the nodes that get the news by it.
+/// Sends one digest from each node. Returns the nodes that receive the change through it.
 fn digests(
     fleet: &mut Fleet,
-    case: &Spread,
+    case: &SpreadCase,
     alive: &[bool],
     has: &[bool],
     now: Instant,
@@ -282,57 +278,61 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Scene {
+enum Scenario {
     Steady,
     StartTogether,
     PlatformDown,
-    ReadersGone,
-    /// No node reaches any other, as with an expired certificate, but all reach the platform.
+    ReadersFailed,
+    /// Nodes can't reach each other, for instance because of an expired certificate, but all reach the platform.
     Isolated,
 }
 
-struct Reads {
+struct ReadCase {
     name: &'static str,
-    scene: Scene,
-    /// Bounds on calls in any second, on the mean after ten seconds, and on the age of the last read known to any node.
+    scenario: Scenario,
+    /// Maximum number of calls in any second.
     peak: usize,
+    /// Maximum mean number of calls per second after the first ten seconds.
     mean: usize,
+    /// Maximum age in seconds of the last read known to a node, at the end.
     age: u64,
 }
 
-/// Symptom: the platform gets more reads than it bears and refuses them all, or changes are read late. Sequence: each
-/// case's. Cause: reads in step, or of every node at the rate of a reader.
+/// Guards against more reads than the platform can serve, so that it refuses all of them, and against late reads. Overload
+/// arises if the nodes read in sync or if every node reads at the rate of a reader.
 #[test]
-fn reads_stay_within_what_the_platform_bears() {
+fn reads_stay_within_the_capacity_of_the_platform() {
     let mut fleet = FLEET.clone();
     #[rustfmt::skip]
     let cases = [
-        Reads { name: "steady", scene: Scene::Steady, peak: 150, mean: 60, age: 10 },
-        Reads {
-            name: "all start together", scene: Scene::StartTogether, peak: 1_300, mean: 60, age: 10,
+        ReadCase { name: "steady", scenario: Scenario::Steady, peak: 150, mean: 60, age: 10 },
+        ReadCase {
+            name: "all start together", scenario: Scenario::StartTogether, peak: 1_300, mean: 60,
+            age: 10,
         },
-        Reads {
-            name: "platform down", scene: Scene::PlatformDown, peak: 1_300, mean: 400, age: 61,
+        ReadCase {
+            name: "platform down", scenario: Scenario::PlatformDown, peak: 1_300, mean: 400, age: 61,
         },
-        Reads {
-            name: "all readers gone", scene: Scene::ReadersGone, peak: 1_300, mean: 100, age: 10,
+        ReadCase {
+            name: "all readers failed", scenario: Scenario::ReadersFailed, peak: 1_300, mean: 100,
+            age: 10,
         },
-        Reads {
-            name: "no node reaches another", scene: Scene::Isolated, peak: 1_300, mean: 1_100,
-            age: 6,
+        ReadCase {
+            name: "nodes isolated from each other", scenario: Scenario::Isolated, peak: 1_300,
+            mean: 1_100, age: 6,
         },
     ];
     for case in cases {
-        let (calls, age) = reads(&mut fleet, case.scene);
+        let (calls, age) = reads(&mut fleet, case.scenario);
         let peak = calls.iter().max().copied().unwrap_or(0);
         let settled = &calls[10..];
         let mean = settled.iter().sum::<usize>() / settled.len();
         println!(
-            "{}: peak {peak} a second, mean {mean}, oldest read known {age:?}",
+            "{}: peak {peak} per second, mean {mean}, oldest known read {age:?}",
             case.name
         );
         assert!(
-            peak <= case.peak && case.peak < PLATFORM_RATE,
+            peak <= case.peak && case.peak < PLATFORM_CAPACITY,
             "{}: peak {peak}",
             case.name
         );
@@ -345,36 +345,36 @@
     }
 }
 
-/// Plays a minute of reads and digests; returns the calls in each second and the greatest age at the end.
-fn reads(fleet: &mut Fleet, scene: Scene) -> (Vec<usize>, Duration) {
+/// Simulates one minute of reads and digests. Returns the calls in each second and the highest age at the end.
+fn reads(fleet: &mut Fleet, scenario: Scenario) -> (Vec<usize>, Duration) {
     const SECONDS: u64 = 60;
-    const TICKS: u64 = 4;
+    const TICKS_PER_SECOND: u64 = 4;
     let mut rng = StdRng::seed_from_u64(22);
     let cfg = ReaderConfig::default();
-    // Plans remember when their next digest is due, so each scene plays after the one before.
+    // Plans keep the time of their next digest, so each scenario starts after the previous one.
     fleet.now += Duration::from_secs(3_600);
     let start = fleet.now;
-    let gone: Vec<usize> = if scene == Scene::ReadersGone {
+    let failed: Vec<usize> = if scenario == Scenario::ReadersFailed {
         fleet.readers()
     } else {
         Vec::new()
     };
     let mut policies: Vec<ReaderPolicy> = (0..NODES).map(|_| ReaderPolicy::new(cfg)).collect();
-    if scene != Scene::StartTogether {
+    if scenario != Scenario::StartTogether {
         policies
             .iter_mut()
             .for_each(|policy| policy.read_succeeded(start));
-        observe(fleet, scene, &mut policies, start);
+        update_views(fleet, scenario, &mut policies, start);
     }
     let mut watches: Vec<Option<Instant>> = vec![None; NODES];
     let mut calls = vec![0; SECONDS as usize];
-    for tick in 0..SECONDS * TICKS {
-        let now = start + Duration::from_millis(tick * 1_000 / TICKS);
-        let second = (tick / TICKS) as usize;
-        if scene == Scene::StartTogether && tick == 5 * TICKS {
-            observe(fleet, scene, &mut policies, now);
+    for tick in 0..SECONDS * TICKS_PER_SECOND {
+        let now = start + Duration::from_millis(tick * 1_000 / TICKS_PER_SECOND);
+        let second = (tick / TICKS_PER_SECOND) as usize;
+        if scenario == Scenario::StartTogether && tick == 5 * TICKS_PER_SECOND {
+            update_views(fleet, scenario, &mut policies, now);
         }
-        for index in (0..NODES).filter(|index| !gone.contains(index)) {
+        for index in (0..NODES).filter(|index| !failed.contains(index)) {
             let policy = &mut policies[index];
             if watches[index].is_some_and(|until| now < until) {
                 continue;
@@ -385,34 +385,34 @@
             match policy.next_read(now, &mut rng) {
                 NextRead::At(at) if now < at => continue,
                 _ if !policy.try_begin_read() => continue,
-                NextRead::Watch if scene != Scene::PlatformDown => {
-                    // Watches begin out of step, as they did long before.
+                NextRead::Watch if scenario != Scenario::PlatformDown => {
+                    // The first watches end at random times, because watches in a running fleet are not in sync.
                     let wait = cfg
                         .watch_wait
                         .mul_f64(if tick == 0 { rng.random() } else { 1.0 });
                     watches[index] = Some(now + wait);
                 }
-                _ if scene == Scene::PlatformDown => policy.read_failed(now),
+                _ if scenario == Scenario::PlatformDown => policy.read_failed(now),
                 _ => policy.read_succeeded(now),
             }
             calls[second] += cfg.calls_per_read as usize;
         }
-        if tick % TICKS == 0 && scene != Scene::Isolated {
-            tell_ages(fleet, &gone, &mut policies, now, &mut rng);
+        if tick % TICKS_PER_SECOND == 0 && scenario != Scenario::Isolated {
+            exchange_read_ages(fleet, &failed, &mut policies, now, &mut rng);
         }
     }
     let end = start + Duration::from_secs(SECONDS);
-    let alive = (0..NODES).filter(|index| !gone.contains(index));
+    let alive = (0..NODES).filter(|index| !failed.contains(index));
     let age = alive
         .filter_map(|index| policies[index].read_age(end))
         .max();
     (calls, age.unwrap_or_default())
 }
 
-fn observe(fleet: &Fleet, scene: Scene, policies: &mut [ReaderPolicy], now: Instant) {
+fn update_views(fleet: &Fleet, scenario: Scenario, policies: &mut [ReaderPolicy], now: Instant) {
     let mut view = fleet.view.clone();
-    if scene == Scene::Isolated {
-        // One view serves for all, since a node never counts itself as out of reach.
+    if scenario == Scenario::Isolated {
+        // All nodes can share one view, since a node never treats itself as unreachable.
         (0..NODES).for_each(|index| view.unreachable(&fleet::node(index), now));
     }
     for (index, policy) in policies.iter_mut().enumerate() {
@@ -420,9 +420,9 @@
     }
 }
 
-fn tell_ages(
+fn exchange_read_ages(
     fleet: &mut Fleet,
-    gone: &[usize],
+    failed: &[usize],
     policies: &mut [ReaderPolicy],
     now: Instant,
     rng: &mut StdRng,
@@ -431,7 +431,7 @@
         let Some(peer) = fleet.plans[index].digest_peer(now, rng).map(index_of) else {
             continue;
         };
-        if gone.contains(&index) || gone.contains(&peer) {
+        if failed.contains(&index) || failed.contains(&peer) {
             continue;
         }
         let ages = (policies[index].read_age(now), policies[peer].read_age(now));
