--- a/crates/core/src/dissemination/gossip.rs
+++ b/crates/core/src/dissemination/gossip.rs
@@ -202,8 +202,8 @@
         .collect()
 }
 
-/// Selects the other failure domains to peer with: first one in another region, then those in the local region, then the
-/// rest.
+/// Selects the other failure domains to peer with: first one in another region, then those in the local region, then
+/// the rest.
 fn select_remote_domains<'a>(
     cfg: &GossipConfig,
     own: &InstanceEntry,
--- a/crates/core/src/dissemination/in_force.rs
+++ b/crates/core/src/dissemination/in_force.rs
@@ -102,7 +102,8 @@
                 return OfferOutcome::Unchanged;
             }
         }
-        // An older version fetched from a peer after the newest one was rejected must not hide the faults of the newest.
+        // An older version fetched from a peer after the newest one was rejected must not hide the faults of the
+        // newest.
         let supersedes_rejected = self
             .rejected
             .as_ref()
--- a/crates/core/src/dissemination/pulls.rs
+++ b/crates/core/src/dissemination/pulls.rs
@@ -50,8 +50,8 @@
 
     /// Requests a version that a peer holds and this node lacks. Returns whether to send a pull to that peer now.
     ///
-    /// While a pull of the same or a higher version is pending, the request joins it. A peer that holds the same version
-    /// becomes a fallback source, which is asked only if no answer arrives.
+    /// While a pull of the same or a higher version is pending, the request joins it. A peer that holds the same
+    /// version becomes a fallback source, which is asked only if no answer arrives.
     pub fn request(
         &mut self,
         key: &Key,
--- a/crates/core/src/dissemination/reader.rs
+++ b/crates/core/src/dissemination/reader.rs
@@ -58,7 +58,7 @@
     failures: u32,
     /// Time of the last known read of the platform by any node, including this one.
     last_read_at: Option<Instant>,
-    /// Time of the last read reported by peers.
+    /// Time of the last read reported by peers. Set to the time of the first own read if no peer reported one before.
     last_peer_read_at: Option<Instant>,
     scheduled: Option<ScheduledRead>,
 }
@@ -66,8 +66,8 @@
 impl ReaderPolicy {
     /// Creates the policy of a node that has read nothing yet.
     pub fn new(cfg: ReaderConfig) -> Self {
-        // With a lower limit, every watch that times out without changes would make the readers look dead, and the whole
-        // fleet would do urgent reads while nothing changes.
+        // With a lower limit, every watch that times out without changes would make the readers look dead, and the
+        // whole fleet would do urgent reads while nothing changes.
         let max_read_age = cfg.max_read_age.max(cfg.watch_wait + PROPAGATION_TIME);
         Self {
             cfg: ReaderConfig {
@@ -197,7 +197,8 @@
     {
         let backoff = 1 << self.failures.min(self.cfg.max_backoff_doublings);
         match mode {
-            // All nodes may start at the same time, for instance after a power failure, and none knows the fleet size yet.
+            // All nodes may start at the same time, for instance after a power failure, and none knows the fleet size
+            // yet.
             ReadMode::Start => {
                 let max_delay = self.interval_at_rate(self.cfg.urgent_rate);
                 (max_delay * backoff).mul_f64(rng.random_range(0.0..1.0))
--- a/crates/core/src/dissemination/reader/config.rs
+++ b/crates/core/src/dissemination/reader/config.rs
@@ -13,14 +13,15 @@
     pub watch_wait: Duration,
     /// Number of platform calls per read: one for the entries and one for the list of instances.
     pub calls_per_read: u32,
-    /// Age of the last read reported by peers above which a node no longer relies on the readers. Raised if `watch_wait`
-    /// requires it.
+    /// Age of the last read reported by peers above which a node no longer relies on the readers. Raised if
+    /// `watch_wait` requires it.
     pub max_read_age: Duration,
     /// Minimum mean interval between a node's own reads while the readers are active.
     pub slow_interval: Duration,
     /// Platform calls per second of the whole fleet while the readers are active.
     pub slow_rate: f64,
-    /// Platform calls per second of the whole fleet while no reader is known to be active. Half the platform's capacity.
+    /// Platform calls per second of the whole fleet while no reader is known to be active. Half the platform's
+    /// capacity.
     pub urgent_rate: f64,
     /// Fleet size assumed before the list of instances is known.
     pub start_fleet: usize,
--- a/crates/core/src/dissemination/replica.rs
+++ b/crates/core/src/dissemination/replica.rs
@@ -15,8 +15,8 @@
 pub use compare::Difference;
 pub use slot::ValidationResult;
 
-/// Maximum number of revisions above `complete` that are remembered. Pushes that arrive out of order can then still close
-/// the gap.
+/// Maximum number of revisions above `complete` that are remembered. Pushes that arrive out of order can then still
+/// close the gap.
 const MAX_REVISIONS_AHEAD: usize = 4096;
 
 /// A version that was added to a replica.
@@ -49,14 +49,14 @@
 
     /// Applies entries that were read, pulled or pushed.
     ///
-    /// `highest` is set if the batch contains every entry above [`Replica::complete`] up to that revision: for a read of
-    /// the platform after `complete`, or for the last part of a peer's [`Replica::entries_since`] with the peer's
+    /// `highest` is set if the batch contains every entry above [`Replica::complete`] up to that revision: for a read
+    /// of the platform after `complete`, or for the last part of a peer's [`Replica::entries_since`] with the peer's
     /// `complete`. It is `None` for pushes. The caller must validate each returned version, in order, before it applies
     /// the next batch.
     pub fn apply(&mut self, entries: Vec<Entry>, highest: Option<Revision>) -> Vec<Applied> {
         let mut applied = Vec::new();
-        // Sorted by revision, so that validation in the returned order never goes from a higher valid version to a lower
-        // one.
+        // Sorted by revision, so that validation in the returned order never goes from a higher valid version to a
+        // lower one.
         for entry in sorted_by_revision(entries) {
             self.record_revision(entry.revision);
             applied.extend(self.insert(entry));
@@ -181,8 +181,8 @@
     /// Advances `complete` over contiguous revisions that were pushed individually. Each write has one revision and one
     /// entry.
     ///
-    /// Advancing it to an arbitrary pushed revision would skip lost pushes permanently, since reads and pulls only request
-    /// entries after `complete`. A document would then stay outdated on one node.
+    /// Advancing it to an arbitrary pushed revision would skip lost pushes permanently, since reads and pulls only
+    /// request entries after `complete`. A document would then stay outdated on one node.
     fn close_gaps(&mut self) {
         while self.ahead.remove(&self.complete.next()) {
             self.complete = self.complete.next();
--- a/crates/core/src/dissemination/replica/compare.rs
+++ b/crates/core/src/dissemination/replica/compare.rs
@@ -64,9 +64,9 @@
 
     /// Determines what to exchange with a peer whose digest differs at the same highest revision.
     ///
-    /// If there is nothing to exchange, the two digests compare as the same from then on. Nodes of different releases may
-    /// disagree on whether a version is valid. They would otherwise exchange their version lists after every digest and
-    /// exceed the limit on control traffic.
+    /// If there is nothing to exchange, the two digests compare as the same from then on. Nodes of different releases
+    /// may disagree on whether a version is valid. They would otherwise exchange their version lists after every digest
+    /// and exceed the limit on control traffic.
     pub fn difference(&mut self, peer_digest: &Digest, peer_versions: &[KeyVersion]) -> Difference {
         let to_pull = self.missing_locally(peer_versions);
         let to_push = self.missing_at_peer(peer_versions);
--- a/crates/core/src/dissemination/start_up.rs
+++ b/crates/core/src/dissemination/start_up.rs
@@ -62,7 +62,8 @@
         self.complete = self.complete.max(revision);
     }
 
-    /// Records the digest of a serving peer. Must be called once per peer, and not for peers that are starting themselves.
+    /// Records the digest of a serving peer. Must be called once per peer, and not for peers that are starting
+    /// themselves.
     pub fn record_peer_digest(&mut self, digest: &Digest) {
         self.peers += 1;
         self.highest = self.highest.max(digest.highest);
@@ -83,8 +84,8 @@
         }
         let waited = now.saturating_duration_since(self.started);
         let platform_done = self.platform.is_some() || waited >= self.cfg.platform_wait;
-        // The platform's answer may be stale. A restarted node that relied on it alone would apply an older document than
-        // its peers.
+        // The platform's answer may be stale. A restarted node that relied on it alone would apply an older document
+        // than its peers.
         let peers_done = self.peers >= self.cfg.sufficient_peers || waited >= self.cfg.peer_wait;
         if !platform_done || !peers_done {
             return false;
--- a/crates/core/src/dissemination/traffic.rs
+++ b/crates/core/src/dissemination/traffic.rs
@@ -31,7 +31,8 @@
 }
 
 impl Default for TrafficModel {
-    /// 6,000 changes per day; 150 nodes replaced and 2 lost per day, each causing three list changes: leaving, gone, new.
+    /// 6,000 changes per day; 150 nodes replaced and 2 lost per day, each causing three list changes: leaving, gone,
+    /// new.
     fn default() -> Self {
         Self {
             changes_per_day: 6_000.0,
--- a/crates/core/tests/dissemination.rs
+++ b/crates/core/tests/dissemination.rs
@@ -66,7 +66,8 @@
 }
 
 /// Guards against a document that reverts to an older version, or a valid version that is replaced by an invalid one.
-/// Both can follow from late pushes, stale reads and faulty documents, which deliver the versions of one key in any order.
+/// Both can follow from late pushes, stale reads and faulty documents, which deliver the versions of one key in any
+/// order.
 #[test]
 fn the_highest_valid_version_stays_in_force() {
     #[rustfmt::skip]
@@ -80,12 +81,12 @@
             rejected: None, latest: 2,
         },
         Versions {
-            name: "invalid version leaves the last valid one in force", entries: &[(1, "a"), (2, "!")],
-            in_force: Some(1), rejected: Some(2), latest: 2,
+            name: "invalid version leaves the last valid one in force",
+            entries: &[(1, "a"), (2, "!")], in_force: Some(1), rejected: Some(2), latest: 2,
         },
         Versions {
-            name: "two invalid versions", entries: &[(1, "a"), (2, "!"), (3, "!")], in_force: Some(1),
-            rejected: Some(3), latest: 3,
+            name: "two invalid versions", entries: &[(1, "a"), (2, "!"), (3, "!")],
+            in_force: Some(1), rejected: Some(3), latest: 3,
         },
         Versions {
             name: "valid version arrives after the invalid one",
@@ -102,7 +103,8 @@
             latest: 4,
         },
         Versions {
-            name: "valid version follows the invalid one", entries: &[(1, "a"), (2, "!"), (3, "c"), (1, "a")], in_force: Some(3),
+            name: "valid version follows the invalid one",
+            entries: &[(1, "a"), (2, "!"), (3, "c"), (1, "a")], in_force: Some(3),
             rejected: None, latest: 3,
         },
         Versions {
@@ -138,8 +140,8 @@
     }
 }
 
-/// Guards against undoing an accepted change. If a bug in the caller bypasses the replica and offers an older version, the
-/// offer must be refused and reported.
+/// Guards against undoing an accepted change. If a bug in the caller bypasses the replica and offers an older version,
+/// the offer must be refused and reported.
 #[test]
 fn an_older_version_offered_is_refused_and_reported() {
     let key = Key::from("k");
@@ -197,8 +199,8 @@
     );
 }
 
-/// Guards against a node without a document in force if it starts while the newest version is invalid. Peers must send it
-/// the older version in force as well as the newest one.
+/// Guards against a node without a document in force if it starts while the newest version is invalid. Peers must send
+/// it the older version in force as well as the newest one.
 #[test]
 fn a_new_node_gets_the_version_in_force_behind_a_faulty_one() {
     let (mut old, mut old_in_force) = (Replica::new(), VersionsInForce::new());
@@ -290,13 +292,16 @@
     ready_from: Option<u64>,
 }
 
-/// Guards against a new node that serves with an older document than its peers or with none, or that never serves, while
-/// the platform or peers are down, stale or slow.
+/// Guards against a new node that serves with an older document than its peers or with none, or that never serves,
+/// while the platform or peers are down, stale or slow.
 #[test]
 fn a_node_serves_once_it_has_the_highest_of_platform_and_peers() {
     #[rustfmt::skip]
     let cases = [
-        Start { name: "neither platform nor peers", platform: None, peers: &[], held: 0, ready_from: None },
+        Start {
+            name: "neither platform nor peers", platform: None, peers: &[], held: 0,
+            ready_from: None,
+        },
         Start {
             name: "all agree", platform: Some(5), peers: &[5, 5], held: 5, ready_from: Some(0),
         },
@@ -376,8 +381,8 @@
     assert!(pulls.request(&key, Revision(9), &node(5), late));
 }
 
-/// Guards against a failure domain without a reader, which gets changes late. Its readers leave or become unreachable, so
-/// the selection must follow the view. A node that is not listed is no reader.
+/// Guards against a failure domain without a reader, which gets changes late. Its readers leave or become unreachable,
+/// so the selection must follow the view. A node that is not listed is no reader.
 #[test]
 fn each_domain_has_its_readers_while_the_view_changes() {
     let now = Instant::now();
@@ -418,8 +423,8 @@
     );
 }
 
-/// Guards against synchronized reads of the whole fleet, which arise if jitter is drawn again at each call, and against a
-/// reader that polls a platform that is down without backoff.
+/// Guards against synchronized reads of the whole fleet, which arise if jitter is drawn again at each call, and against
+/// a reader that polls a platform that is down without backoff.
 #[test]
 fn reads_are_joined_jittered_and_backed_off() {
     let now = Instant::now();
@@ -470,8 +475,8 @@
     );
 }
 
-/// Guards against pushes that stop at the edge of a failure domain or region, and against digests that all go to one node.
-/// They arise if peers are selected within one domain only, or if a node has too many peers.
+/// Guards against pushes that stop at the edge of a failure domain or region, and against digests that all go to one
+/// node. They arise if peers are selected within one domain only, or if a node has too many peers.
 #[test]
 fn peers_are_few_fixed_and_cross_domains() {
     let now = Instant::now();
@@ -508,8 +513,8 @@
             None,
             "digest sent before the next one was due"
         );
-        let forms = [plan.push_mode(100), plan.push_mode(100_000)];
-        assert_eq!(forms, [PushMode::Full, PushMode::Notice]);
+        let modes = [plan.push_mode(100), plan.push_mode(100_000)];
+        assert_eq!(modes, [PushMode::Full, PushMode::Notice]);
     }
     let off = GossipConfig::with_peers(0);
     assert!(
--- a/crates/core/tests/dissemination_spread.rs
+++ b/crates/core/tests/dissemination_spread.rs
@@ -100,8 +100,9 @@
     bytes: f64,
 }
 
-/// Guards against a change that comes into force late on some nodes or exceeds the traffic limit. While messages are lost
-/// and nodes have failed, the stable peer sets must reach the other nodes in few hops, and digests must find those missed.
+/// Guards against a change that comes into force late on some nodes or exceeds the traffic limit. While messages are
+/// lost and nodes have failed, the stable peer sets must reach the other nodes in few hops, and digests must find those
+/// missed.
 #[test]
 fn a_change_reaches_all_nodes_within_seconds_and_few_bytes() {
     let mut fleet = FLEET.clone();
@@ -157,8 +158,8 @@
     }
 }
 
-/// Guards against peers, pushes or digests that exceed the control traffic limit of a node with 6,000 changes per day and
-/// the daily replacements of nodes.
+/// Guards against peers, pushes or digests that exceed the control traffic limit of a node with 6,000 changes per day
+/// and the daily replacements of nodes.
 #[test]
 fn control_traffic_stays_within_the_limit_of_a_node() {
     let traffic = TrafficModel::default().estimate(&GossipConfig::default());
@@ -298,8 +299,8 @@
     age: u64,
 }
 
-/// Guards against more reads than the platform can serve, so that it refuses all of them, and against late reads. Overload
-/// arises if the nodes read in sync or if every node reads at the rate of a reader.
+/// Guards against more reads than the platform can serve, so that it refuses all of them, and against late reads.
+/// Overload arises if the nodes read in sync or if every node reads at the rate of a reader.
 #[test]
 fn reads_stay_within_the_capacity_of_the_platform() {
     let mut fleet = FLEET.clone();
