--- a/crates/core/src/dissemination.rs
+++ b/crates/core/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! How published entries reach every node: copies, digests, readers of the platform and gossip between nodes.
+//! Distribution of published entries to every node: platform readers, gossip, pulls, digests and replicas.
 
 mod digest;
 mod entry;
@@ -13,10 +13,10 @@
 
 pub use digest::{Comparison, Digest};
 pub use entry::{Entry, Key, KeyVersion, Revision};
-pub use gossip::{GossipConfig, GossipPlan, PushForm};
-pub use in_force::{InForce, Offer, Rejected, Version};
-pub use pulls::{PullConfig, Pulls, Retry};
+pub use gossip::{GossipConfig, GossipPlan, PushMode};
+pub use in_force::{OfferOutcome, Rejected, Version, VersionsInForce};
+pub use pulls::{PullConfig, PullRetry, Pulls};
 pub use reader::{NextRead, ReaderConfig, ReaderPolicy};
-pub use replica::{Applied, Difference, Replica, Verdict};
+pub use replica::{Applied, Difference, Replica, ValidationResult};
 pub use start_up::{StartUp, StartUpConfig};
 pub use traffic::{Traffic, TrafficModel};
--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -23,11 +23,11 @@
                 ControlReply::Digest(own)
             }
             ControlRequest::PullSince(after) => ControlReply::Entries {
-                entries: entry_frames(&self.replica.since(Revision(after))),
+                entries: entry_frames(&self.replica.entries_since(Revision(after))),
                 complete: Some(self.replica.complete().0),
             },
             ControlRequest::PullKeys(keys) => ControlReply::Entries {
-                entries: entry_frames(&self.replica.pick(&into_keys(keys))),
+                entries: entry_frames(&self.replica.entries_for(&into_keys(keys))),
                 complete: None,
             },
             ControlRequest::Versions(theirs) => {
@@ -73,7 +73,7 @@
                 if theirs.word.state == NodeState::Serving
                     && self.startup_responders.insert(node.clone())
                 {
-                    self.start_up.heard_peer(&theirs.digest);
+                    self.start_up.record_peer_digest(&theirs.digest);
                 }
                 self.reconcile_digest(&theirs);
             }
@@ -111,12 +111,12 @@
             self.send_request(&node, ControlRequest::PullList(self.view.revision().0));
         }
         match self.replica.compare(&theirs.digest) {
-            Comparison::TheyAreNewer => {
+            Comparison::PeerIsNewer => {
                 self.send_request(&node, ControlRequest::PullSince(self.replica.complete().0));
             }
             Comparison::Differ => self.request_versions(&node, &theirs.digest),
             // A peer that is behind finds this out from this node's digest and pulls.
-            Comparison::Same | Comparison::WeAreNewer => {}
+            Comparison::Same | Comparison::PeerIsOlder => {}
         }
     }
 
@@ -128,10 +128,11 @@
     fn record_peer_read_ages(&mut self, theirs: &DigestFrame, now: Instant) {
         if let Some(age) = theirs.config_age_ms.filter(|_| self.is_ready()) {
             self.config_reads
-                .heard_fresh(Duration::from_millis(age), now);
+                .record_peer_read_age(Duration::from_millis(age), now);
         }
         if let Some(age) = theirs.list_age_ms.filter(|_| !self.view.is_empty()) {
-            self.list_reads.heard_fresh(Duration::from_millis(age), now);
+            self.list_reads
+                .record_peer_read_age(Duration::from_millis(age), now);
         }
     }
 
@@ -155,12 +156,12 @@
             return;
         };
         let difference = self.replica.difference(&digest, theirs);
-        if !difference.wanted.is_empty() {
-            let keys = difference.wanted.into_iter().map(|key| key.0).collect();
+        if !difference.to_pull.is_empty() {
+            let keys = difference.to_pull.into_iter().map(|key| key.0).collect();
             self.send_request(node, ControlRequest::PullKeys(keys));
         }
-        if !difference.lacking.is_empty() {
-            let entries = entry_frames(&self.replica.pick(&difference.lacking));
+        if !difference.to_push.is_empty() {
+            let entries = entry_frames(&self.replica.entries_for(&difference.to_push));
             self.send_request(node, ControlRequest::Entries(entries));
         }
     }
@@ -174,11 +175,11 @@
         let notices: Vec<_> = news.notices.into_iter().map(KeyVersion::from).collect();
         let wanted: Vec<SmolStr> = self
             .replica
-            .missing(&notices)
+            .missing_locally(&notices)
             .into_iter()
             .filter(|key| {
                 let notice = notices.iter().find(|notice| notice.key == *key);
-                notice.is_some_and(|notice| self.pulls.want(key, notice.revision, &from, now))
+                notice.is_some_and(|notice| self.pulls.request(key, notice.revision, &from, now))
             })
             .map(|key| key.0)
             .collect();
@@ -218,7 +219,7 @@
 
     /// Retries overdue pulls at another node that announced the entry.
     pub(super) fn retry_pulls(&mut self, now: Instant) {
-        for retry in self.pulls.overdue(now) {
+        for retry in self.pulls.take_retries(now) {
             self.send_request(&retry.from, ControlRequest::PullKeys(vec![retry.key.0]));
         }
     }
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -5,8 +5,8 @@
 
 use coltsfootport_core::collections::{Map, Set};
 use coltsfootport_core::dissemination::{
-    Digest, Entry, GossipPlan, InForce, Key, Offer, PullConfig, Pulls, ReaderPolicy, Replica,
-    Revision, StartUp, Verdict,
+    Digest, Entry, GossipPlan, Key, OfferOutcome, PullConfig, Pulls, ReaderPolicy, Replica,
+    Revision, StartUp, ValidationResult, VersionsInForce,
 };
 use coltsfootport_core::document::Document;
 use coltsfootport_core::id::{NodeName, ServiceName};
@@ -30,7 +30,7 @@
 pub struct SpreadTask {
     pub(super) setup: SpreadSetup,
     pub(super) replica: Replica,
-    pub(super) documents: InForce<Arc<Document>, Vec<Fault>>,
+    pub(super) documents: VersionsInForce<Arc<Document>, Vec<Fault>>,
     pub(super) view: View,
     pub(super) config_reads: ReaderPolicy,
     pub(super) list_reads: ReaderPolicy,
@@ -61,7 +61,7 @@
         let view = View::new(MembershipConfig::default());
         Self {
             replica: Replica::new(),
-            documents: InForce::new(),
+            documents: VersionsInForce::new(),
             config_reads: ReaderPolicy::new(setup.reader),
             list_reads: ReaderPolicy::new(setup.reader),
             gossip: GossipPlan::new(setup.gossip, &setup.node, &view),
@@ -139,12 +139,12 @@
         for applied in self.replica.apply(entries, complete) {
             self.offer_document(&applied.entry);
             self.pulls
-                .arrived(&applied.entry.key, applied.entry.revision);
+                .record_arrival(&applied.entry.key, applied.entry.revision);
             if applied.newest {
                 new_entries.push(applied.entry);
             }
         }
-        self.start_up.have(&self.replica);
+        self.start_up.update_replica(&self.replica);
         if !new_entries.is_empty() {
             self.push_entries(&new_entries);
         }
@@ -162,15 +162,18 @@
         let fault = first_fault(&parsed);
         let revision = entry.revision.0;
         let event = match self.documents.offer(&entry.key, entry.revision, parsed) {
-            Offer::InForce => {
+            OfferOutcome::InForce => {
                 self.replica
-                    .judge(&entry.key, entry.revision, Verdict::Valid);
+                    .record_validation(&entry.key, entry.revision, ValidationResult::Valid);
                 info!(self.setup.log, "document in force"; "document" => %service, "revision" => revision);
                 Event::DocumentInForce { service, revision }
             }
-            Offer::Rejected => {
-                self.replica
-                    .judge(&entry.key, entry.revision, Verdict::Invalid);
+            OfferOutcome::Rejected => {
+                self.replica.record_validation(
+                    &entry.key,
+                    entry.revision,
+                    ValidationResult::Invalid,
+                );
                 warn!(self.setup.log, "document rejected"; "document" => %service, "revision" => revision, "fault" => %fault);
                 Event::DocumentRejected {
                     service,
@@ -178,8 +181,8 @@
                     fault,
                 }
             }
-            Offer::Unchanged => return,
-            Offer::Refused(breach) => return self.setup.recorder.breach(breach),
+            OfferOutcome::Unchanged => return,
+            OfferOutcome::Refused(breach) => return self.setup.recorder.breach(breach),
         };
         self.setup.recorder.record(None, event);
     }
@@ -243,7 +246,7 @@
     /// While a request to a peer is pending, its reply may bring a newer entry, or the last valid version behind an invalid
     /// one. A node that served before it arrived would act on an older document than all other nodes.
     fn update_readiness(&mut self) {
-        if self.ready || self.pending_requests > 0 || !self.start_up.ready(self.now()) {
+        if self.ready || self.pending_requests > 0 || !self.start_up.is_ready(self.now()) {
             return;
         }
         self.ready = true;
@@ -257,8 +260,10 @@
         }
         self.epoch = self.view.epoch();
         let now = self.now();
-        self.config_reads.observe(&self.setup.node, &self.view, now);
-        self.list_reads.observe(&self.setup.node, &self.view, now);
+        self.config_reads
+            .update_view(&self.setup.node, &self.view, now);
+        self.list_reads
+            .update_view(&self.setup.node, &self.view, now);
         self.gossip.update(&self.setup.node, &self.view);
         if !self.ready {
             self.request_startup_digests();
