--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes and their framing on a QUIC stream.
+//! Messages between nodes and their framing on QUIC streams.
 
 mod answer_frame;
 mod call_frame;
