--- a/crates/node/src/wire/header_frame.rs
+++ b/crates/node/src/wire/header_frame.rs
@@ -1,4 +1,4 @@
-//! HTTP headers as they travel between nodes.
+//! HTTP headers as sent between nodes.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
@@ -8,19 +8,19 @@
 /// One end-to-end HTTP header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderFrame {
-    /// The name in lower case.
+    /// Name in lower case.
     pub name: String,
-    /// The value as received.
+    /// Value as received.
     pub value: Vec<u8>,
 }
 
 impl HeaderFrame {
-    /// All headers of a map, in its order.
+    /// Converts all headers of a map, in iteration order.
     pub fn from_map(headers: &HeaderMap) -> Vec<Self> {
         headers.iter().map(Self::from_pair).collect()
     }
 
-    /// A map of all frames; a malformed name or value is refused.
+    /// Builds a header map; fails if a name or value is malformed.
     pub fn into_map(frames: Vec<Self>) -> Result<HeaderMap, FrameError> {
         let mut headers = HeaderMap::with_capacity(frames.len());
         for frame in frames {
