--- a/crates/node/src/wire/control.rs
+++ b/crates/node/src/wire/control.rs
@@ -1,4 +1,4 @@
-//! Control traffic between nodes: greetings, refusals of tokens and published entries.
+//! Control messages between nodes: hello messages, refusals of tokens and exchange of published entries.
 
 use std::sync::Arc;
 
@@ -13,65 +13,65 @@
 use crate::data::HostReport;
 use crate::metrics::ControlKind;
 
-/// A control request; it has a lane of its own that overload does not shed.
+/// Control request; handled separately from calls, so that it is not shed under overload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// Says who the sender is and asks the same; the first message of a connection.
+    /// Identifies the sender and requests the same of the receiver; the first message of a connection.
     Greet(HelloFrame),
-    /// Asks for any sign of life.
+    /// Checks whether the receiver responds.
     Ping,
-    /// Tells a changed state of the sender, as when it begins to leave.
+    /// Reports a changed state of the sender, for example that it begins to leave.
     Announce(HelloFrame),
-    /// Asks the home of a token to refuse all its tries up to a number for good.
+    /// Requests that the home of a token permanently refuse all its tries up to a number.
     Refuse {
-        /// The token.
+        /// Token to refuse.
         token: Token,
-        /// Highest try to refuse.
+        /// Highest try number to refuse.
         up_to: u32,
     },
-    /// Compares what is published, as each side holds it.
+    /// Compares the copies of the published entries on both sides.
     Digest(DigestFrame),
-    /// Asks for every entry above a revision.
+    /// Requests every entry above a revision.
     PullSince(u64),
-    /// Asks for single entries.
+    /// Requests the entries of the given keys.
     PullKeys(Vec<SmolStr>),
-    /// Says which versions the sender holds and asks for those of the receiver.
+    /// Lists the versions that the sender holds and requests those of the receiver.
     Versions(Vec<VersionFrame>),
-    /// Asks for the changes of the list of instances after a revision.
+    /// Requests the changes of the instance list after a revision.
     PullList(u64),
-    /// Tells of new entries.
+    /// Announces new entries.
     News(NewsFrame),
-    /// Hands over entries that the receiver was seen to lack.
+    /// Pushes entries that the receiver lacks according to its versions.
     Entries(Vec<EntryFrame>),
-    /// Passes on what nodes told about themselves.
+    /// Forwards state reports of nodes.
     Words(Vec<WordFrame>),
 }
 
-/// The reply to a control request.
+/// Reply to a control request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// Who the asked node is.
+    /// Identity and state of the receiver.
     Hello(HelloFrame),
-    /// What the home says of the token.
+    /// Outcome of the requested refusal of a token.
     Refuse(RefusalFrame),
-    /// The receiver's digest.
+    /// Digest of the receiver.
     Digest(DigestFrame),
-    /// The entries asked for.
+    /// Requested entries.
     Entries {
-        /// The entries.
+        /// Entries that the receiver holds.
         entries: Vec<EntryFrame>,
-        /// Revision up to which they are whole, where all after a revision were asked for.
+        /// Revision up to which the entries are complete; set only if all entries after a revision were requested.
         complete: Option<u64>,
     },
-    /// The versions that the receiver holds.
+    /// Versions that the receiver holds.
     Versions(Vec<VersionFrame>),
-    /// The changes of the list of instances.
+    /// Changes of the instance list.
     List(ListDelta),
-    /// Nothing to say.
+    /// Acknowledgement without content.
     Done,
 }
 
-/// Who a node is and in what state.
+/// Identity and state of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HelloFrame {
     /// Hybrid logical clock of the sender.
@@ -80,91 +80,91 @@
     pub report: ReportFrame,
 }
 
-/// What a home says of a token that it was asked to refuse.
+/// Answer of a home to a request to refuse a token.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RefusalFrame {
-    /// It runs now.
+    /// The call was sent to the target; its answer is pending.
     Running,
-    /// It ran, with this answer.
+    /// The call ran; contains its stored answer.
     Ran {
         /// HTTP status.
         status: u16,
         /// End-to-end headers.
         headers: Vec<HeaderFrame>,
-        /// Body.
+        /// Complete body.
         body: Vec<u8>,
     },
-    /// It ran and its answer was not kept.
+    /// The call ran, but its answer was not stored.
     AnswerGone,
-    /// Nothing certain is known.
+    /// The home can't determine the outcome.
     Unknown,
-    /// No try up to the number ran or will run.
+    /// No try up to the requested one has run or will ever run.
     RefusedForGood,
 }
 
-/// What a node holds of everything published.
+/// Summary of a node's copies of the published entries and of the instance list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DigestFrame {
-    /// The sender's word about itself; its copies count at the start of others where it serves.
+    /// State of the sender. A starting node counts the digest for its startup only if the sender is serving.
     pub word: WordFrame,
-    /// Its copy of the entries.
+    /// Digest of the sender's copy of the entries.
     pub digest: Digest,
-    /// Revision of its list of instances.
+    /// Revision of the sender's instance list.
     pub list: u64,
-    /// Milliseconds since the last read of the configuration service that it knows of.
+    /// Milliseconds since the last read of the configuration service that the sender knows of.
     pub config_age_ms: Option<u64>,
-    /// Milliseconds since the last read of the list that it knows of.
+    /// Milliseconds since the last read of the instance list that the sender knows of.
     pub list_age_ms: Option<u64>,
 }
 
-/// New entries at a node.
+/// Announcement of new entries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NewsFrame {
-    /// The sender, which can be asked for them.
+    /// Sender, from which the entries can be requested.
     pub node: SmolStr,
-    /// Entries that are announced only.
+    /// Versions of entries that are announced without their values.
     pub notices: Vec<VersionFrame>,
-    /// Entries that are small enough to go along.
+    /// Entries small enough to be sent in full.
     pub entries: Vec<EntryFrame>,
 }
 
-/// What a node told about itself, passed on by others.
+/// State report of a node, forwarded by other nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WordFrame {
-    /// The node.
+    /// Node that made the report.
     pub node: SmolStr,
-    /// Its run.
+    /// Incarnation of the node.
     pub incarnation: u128,
-    /// Its state.
+    /// State of the node.
     pub state: NodeState,
-    /// When it was told, by the node's own tick.
+    /// Monotonic tick of the node at the time of the report.
     pub tick: u64,
 }
 
-/// A key and the revision held of it.
+/// Key of an entry and the revisions of it that a node holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VersionFrame {
-    /// The key.
+    /// Key of the entry.
     pub key: SmolStr,
-    /// Its revision.
+    /// Revision of the newest version held.
     pub revision: u64,
-    /// Revision in force, where the newest is not.
+    /// Revision of the version in force: the newest one, or an earlier one while the newest is invalid.
     pub in_force: Option<u64>,
 }
 
-/// A published entry.
+/// Published entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntryFrame {
-    /// The key.
+    /// Key of the entry.
     pub key: SmolStr,
-    /// Its revision.
+    /// Revision of the value.
     pub revision: u64,
-    /// Its value.
+    /// Serialized value.
     pub value: String,
 }
 
 impl ControlRequest {
-    /// What the request and its reply are counted under.
+    /// Returns the metrics label of the request and its reply.
     pub fn kind(&self) -> ControlKind {
         match self {
             Self::Greet(_) | Self::Announce(_) => ControlKind::Hello,
@@ -181,7 +181,7 @@
 }
 
 impl ControlRequest {
-    /// The name under which the sender speaks of itself; `None` where the message names no sender.
+    /// Returns the node name that the sender states in the message; `None` if the message has none.
     pub fn sender(&self) -> Option<&SmolStr> {
         match self {
             Self::Greet(hello) | Self::Announce(hello) => Some(&hello.report.node),
@@ -200,7 +200,7 @@
 }
 
 impl HelloFrame {
-    /// A greeting that tells the state of this node.
+    /// Creates a hello message with the state of this node.
     pub fn new(report: &HostReport, stamp: Stamp) -> Self {
         Self {
             stamp,
