--- a/crates/node/src/wire/call_frame.rs
+++ b/crates/node/src/wire/call_frame.rs
@@ -1,4 +1,4 @@
-//! A call as it travels from its entry to its host.
+//! Call as sent from its entry to its host.
 
 use std::time::{Duration, Instant};
 
@@ -19,37 +19,37 @@
 pub struct CallFrame {
     /// Hybrid logical clock of the sender.
     pub stamp: Stamp,
-    /// Request on whose behalf the call is made.
+    /// Id of the request to which the call belongs.
     pub request: u128,
-    /// Attempt, echoed by the answer.
+    /// Id of the attempt, repeated in the reply.
     pub attempt: u64,
-    /// Number of this sending by its entry, from 1.
+    /// Number of this attempt by the entry, starting at 1.
     pub sending: u16,
-    /// Service to run it.
+    /// Service that is called.
     pub service: SmolStr,
     /// HTTP method.
     pub method: SmolStr,
-    /// Path and query for the target.
+    /// Path and query to send to the target.
     pub path: String,
     /// End-to-end headers.
     pub headers: Vec<HeaderFrame>,
-    /// Rank of the class.
+    /// Rank of the class for shedding.
     pub class: u8,
     /// Name of the class.
     pub class_name: SmolStr,
-    /// Name of the operation, for levels of its subtree.
+    /// Key of the operation, which selects the admission level of its subtree.
     pub operation: SmolStr,
-    /// Time left in microseconds when the frame was written.
+    /// Time left until the deadline in microseconds, measured when the frame was created.
     pub remaining_us: u64,
-    /// Retry allowance granted to the host's subtree.
+    /// Number of retries that the host and its downstream calls may make.
     pub allowance: u16,
-    /// Hops above this one.
+    /// Number of hops upstream of this one.
     pub depth: u8,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Revision of the service's document that the sender acted on.
+    /// Revision of the document by which the entry classified the call.
     pub revision: u64,
-    /// The token that binds the call to one run.
+    /// Token that limits the call to one run; `None` for a call without a token.
     pub once: Option<OnceFrame>,
     /// Length of the body in bytes.
     pub body_len: u32,
@@ -57,17 +57,17 @@
     pub body_crc: u32,
 }
 
-/// Token and try of a call that runs at most once.
+/// Token and try number of a call that runs at most once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OnceFrame {
     /// The token itself; its seal was checked where it entered the fleet.
     pub token: Token,
-    /// Number of the sending.
+    /// Number of the try.
     pub number: u32,
 }
 
 impl CallFrame {
-    /// The frame of a call, with its time left measured at `now`.
+    /// Creates the frame of a call, with the time left measured at `now`.
     pub fn new(call: &Call, stamp: Stamp, now: Instant) -> Self {
         Self {
             stamp,
@@ -92,7 +92,9 @@
         }
     }
 
-    /// The call, its deadline counted from `arrived`.
+    /// Converts the frame into a call whose deadline is counted from `arrived`.
+    ///
+    /// Fails if the body does not match its length and checksum, or if a field is invalid.
     pub fn into_call(self, body: Bytes, arrived: Instant) -> Result<Call, FrameError> {
         if usize::from(self.class) >= Class::COUNT {
             return Err(FrameError::Malformed);
