--- a/crates/node/src/wire/answer_frame.rs
+++ b/crates/node/src/wire/answer_frame.rs
@@ -1,4 +1,4 @@
-//! A host's reply to a call.
+//! Reply of a host to a call.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 pub struct ReplyFrame {
     /// Hybrid logical clock of the host.
     pub stamp: Stamp,
-    /// The attempt that this reply belongs to.
+    /// Id of the attempt to which this reply belongs.
     pub attempt: u64,
-    /// Retry allowance that the subtree did not use.
+    /// Rest of the retry allowance that the host and its downstream calls did not use.
     pub allowance_left: u16,
-    /// What came of the call.
+    /// Verdict on the call.
     pub verdict: VerdictFrame,
-    /// State of the host, for routing and shedding.
+    /// Report of the host's state, for routing and shedding.
     pub report: ReportFrame,
     /// Length of the body in bytes.
     pub body_len: u32,
@@ -32,7 +32,7 @@
     pub body_crc: u32,
 }
 
-/// What came of a call.
+/// Verdict on a call; the body of an answer is sent after the head.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum VerdictFrame {
     /// The target answered.
@@ -41,45 +41,45 @@
         status: u16,
         /// End-to-end headers.
         headers: Vec<HeaderFrame>,
-        /// Whether the answer was kept from an earlier try.
+        /// Whether the answer was stored at an earlier try of the same token.
         replayed: bool,
     },
-    /// The host answers in place of the target.
+    /// The host refused the call or gave it up.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         kind: ErrorKind,
-        /// When a new try is welcome, in milliseconds.
+        /// Delay in milliseconds after which the caller may retry.
         retry_after_ms: u32,
     },
 }
 
-/// State of a host as sent with every reply.
+/// State of a host, sent with every reply and hello message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportFrame {
     /// Name of the node.
     pub node: SmolStr,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: u128,
-    /// Its monotonic tick in milliseconds.
+    /// Monotonic tick of the node in milliseconds at the time of the report.
     pub tick: u64,
-    /// Whether it takes work.
+    /// State of the node, which tells whether it accepts calls.
     pub state: NodeState,
-    /// Calls at its target.
+    /// Number of calls that its target is running.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Its concurrency limit.
+    /// Concurrency limit of the target.
     pub limit: u32,
     /// Admission level of the operation's subtree: class.
     pub level_class: u8,
     /// Admission level of the operation's subtree: bucket.
     pub level_bucket: u8,
-    /// Revision of the newest entry that it holds.
+    /// Revision of the newest published entry that the node holds.
     pub revision: u64,
 }
 
 impl ReplyFrame {
-    /// The frame of a reply.
+    /// Creates the frame of a reply.
     pub fn new(reply: &Reply, stamp: Stamp) -> Self {
         let body = reply.body();
         Self {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The reply; a body that is cut short or changed on the way is refused.
+    /// Converts the frame into a reply; fails if the body does not match its length and checksum.
     pub fn into_reply(self, body: Bytes) -> Result<Reply, FrameError> {
         if body.len() != self.body_len as usize || checksum(&body) != self.body_crc {
             return Err(FrameError::Checksum);
