--- a/crates/node/src/wire/frame.rs
+++ b/crates/node/src/wire/frame.rs
@@ -1,4 +1,4 @@
-//! Framing: a length, a head encoded by postcard, then the body.
+//! Framing of messages: a length prefix, a head encoded with postcard, then the body.
 
 use bytes::Bytes;
 use quinn::{ReadExactError, RecvStream, SendStream, WriteError};
@@ -7,52 +7,52 @@
 use super::{CallFrame, ControlReply, ControlRequest, ReplyFrame};
 use crate::metrics::Rejected;
 
-/// The first message on a stream.
+/// First message on a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A call; its body follows.
+    /// Head of a call; its body follows.
     Call(Box<CallFrame>),
-    /// Control traffic; no body follows.
+    /// Control request; no body follows.
     Control(ControlRequest),
 }
 
-/// The reply on the same stream.
+/// Reply on the same stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Reply to a call; the answer's body follows.
+    /// Head of the reply to a call; the body of the answer follows.
     Call(Box<ReplyFrame>),
-    /// Reply to control traffic; no body follows.
+    /// Reply to a control request; no body follows.
     Control(ControlReply),
 }
 
-/// Why a frame could not be read or written.
+/// Error while reading, writing or validating a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The stream ended or was reset inside a frame.
     #[error("the stream ended inside a frame")]
     Cut,
-    /// A head or body is above its limit.
-    #[error("a frame of {0} bytes is above its limit")]
+    /// A head or body exceeds its size limit; contains its length.
+    #[error("a frame of {0} bytes exceeds the size limit")]
     TooLarge(usize),
-    /// The head can't be decoded.
+    /// The head can't be decoded or contains an invalid value.
     #[error("the frame is malformed")]
     Malformed,
-    /// The body is not the one that was sent.
-    #[error("length or checksum of the body differ")]
+    /// The length or checksum of the body differs from the head.
+    #[error("the length or checksum of the body does not match the head")]
     Checksum,
-    /// The frame did not arrive in time.
+    /// The frame did not arrive within the time limit.
     #[error("the frame did not arrive in time")]
     Slow,
-    /// The sender speaks under a name that its certificate does not bear.
-    #[error("the sender speaks under the name of another node")]
+    /// The node name in the frame differs from the name in the sender's certificate.
+    #[error("the node name in the frame does not match the sender's certificate")]
     Name,
-    /// The reply is to another call, or gives back more than it was given.
+    /// The reply belongs to another attempt, or returns a larger retry allowance than it was granted.
     #[error("the reply does not belong to the call")]
     Reply,
 }
 
 impl FrameError {
-    /// What the frame is counted as; `None` where the other end or the network just went away.
+    /// Returns the metrics label for a rejected frame; `None` if only the peer or the network failed.
     pub fn rejected(&self) -> Option<Rejected> {
         match self {
             Self::Cut => None,
@@ -77,14 +77,14 @@
     }
 }
 
-/// CRC-32 of a body.
+/// Returns the CRC-32 of a body.
 ///
-/// QUIC protects bytes on the wire; this sum guards against a defect that hands out the wrong buffer inside a node.
+/// QUIC protects the bytes in transit; the checksum detects a defect inside a node that uses the wrong buffer.
 pub fn checksum(body: &[u8]) -> u32 {
     crc32fast::hash(body)
 }
 
-/// Writes a head and its body and ends the stream; returns the bytes written.
+/// Writes a head and its body and finishes the stream; returns the number of bytes written.
 pub async fn write_frame<T>(tx: &mut SendStream, head: &T, body: Bytes) -> Result<usize, FrameError>
 where
     T: Serialize,
@@ -97,7 +97,7 @@
     Ok(written)
 }
 
-/// Writes a head; a body may follow. Returns the bytes written.
+/// Writes a head, which a body may follow; returns the number of bytes written.
 pub async fn write_head<T>(tx: &mut SendStream, head: &T) -> Result<usize, FrameError>
 where
     T: Serialize,
@@ -111,12 +111,12 @@
     Ok(written)
 }
 
-/// A head as read, with its size on the stream.
+/// Decoded head together with its encoded size.
 #[derive(Clone, Debug)]
 pub struct Head<T> {
-    /// The head.
+    /// Decoded value.
     pub value: T,
-    /// Its bytes, the length included.
+    /// Encoded size in bytes, including the length prefix.
     pub bytes: usize,
 }
 
@@ -138,7 +138,7 @@
     Ok(Head { value, bytes })
 }
 
-/// Reads a body of exactly `length` bytes, which is at most `limit`.
+/// Reads a body of exactly `length` bytes; fails if `length` exceeds `limit`.
 pub async fn read_body(
     rx: &mut RecvStream,
     length: u32,
