--- a/crates/node/src/h1/encode.rs
+++ b/crates/node/src/h1/encode.rs
@@ -1,4 +1,4 @@
-//! Heads and chunks as bytes.
+//! Encoding of heads and chunks.
 
 use std::io::Write;
 
@@ -7,34 +7,34 @@
 
 use super::{Framing, RequestHead};
 
-/// The chunk that ends a body.
+/// Chunk that ends a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Bytes of a usual head; saves growing the buffer.
-const USUAL_HEAD: usize = 512;
+/// Initial buffer capacity for a head in bytes; fits most heads without reallocation.
+const HEAD_CAPACITY: usize = 512;
 
-/// The head of a request, with the framing of its body.
+/// Encodes the head of a request, including the framing of its body.
 pub fn request_head(head: &RequestHead, framing: Framing) -> BytesMut {
-    let mut buf = BytesMut::with_capacity(USUAL_HEAD);
+    let mut buf = BytesMut::with_capacity(HEAD_CAPACITY);
     buf.put_slice(head.method.as_str().as_bytes());
     buf.put_u8(b' ');
     buf.put_slice(head.target.as_bytes());
     buf.put_slice(b" HTTP/1.1\r\n");
     put_headers(&mut buf, &head.headers);
-    let bodiless = framing == Framing::Length(0) && !takes_body(head);
-    if !bodiless {
+    let omit_framing = framing == Framing::Length(0) && !usually_has_body(head);
+    if !omit_framing {
         put_framing(&mut buf, framing);
     }
     buf.put_slice(b"\r\n");
     buf
 }
 
-/// The head of an answer, with the framing of its body.
+/// Encodes the head of an answer, including the framing of its body.
 pub fn answer_head(status: StatusCode, headers: &HeaderMap, framing: Framing) -> BytesMut {
-    let mut buf = BytesMut::with_capacity(USUAL_HEAD);
+    let mut buf = BytesMut::with_capacity(HEAD_CAPACITY);
     let reason = status.canonical_reason().unwrap_or("Unknown");
     let mut writer = (&mut buf).writer();
-    // Writing to memory does not fail.
+    // Writing to a `BytesMut` can't fail.
     let _ = write!(writer, "HTTP/1.1 {} {reason}\r\n", status.as_u16());
     put_headers(&mut buf, headers);
     if status != StatusCode::NO_CONTENT && status != StatusCode::NOT_MODIFIED {
@@ -44,7 +44,7 @@
     buf
 }
 
-/// One chunk of a body.
+/// Encodes one chunk of a body.
 pub fn chunk(data: &Bytes) -> BytesMut {
     let mut buf = BytesMut::with_capacity(data.len() + 16);
     let mut writer = (&mut buf).writer();
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether a request without a body should say so, since its method usually has one.
-fn takes_body(head: &RequestHead) -> bool {
+/// Whether requests of this method usually have a body, so that an empty one needs an explicit `content-length: 0`.
+fn usually_has_body(head: &RequestHead) -> bool {
     matches!(head.method.as_str(), "POST" | "PUT" | "PATCH")
 }
