--- a/crates/node/src/h1/decoder.rs
+++ b/crates/node/src/h1/decoder.rs
@@ -1,13 +1,13 @@
-//! Takes a body out of the bytes of a connection.
+//! Incremental decoder for HTTP/1.1 bodies.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use super::{Framing, H1Error};
 
-/// Longest line of a chunk's size with its extensions, and of a trailer, in bytes.
+/// Maximum length in bytes of an incomplete chunk-size line with its extensions, or of an incomplete trailer line.
 const MAX_LINE: usize = 4096;
 
-/// Finds the data and the end of one body.
+/// Extracts the data of one body and detects its end.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
@@ -24,19 +24,19 @@
     Done,
 }
 
-/// What the bytes at hand hold.
+/// Result of one decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// Some of the body.
+    /// Part of the body.
     Data(Bytes),
-    /// The body has ended; what follows belongs to something else.
+    /// The body has ended; the remaining bytes do not belong to it.
     End,
-    /// More bytes are needed.
+    /// More input is needed.
     More,
 }
 
 impl BodyDecoder {
-    /// A decoder at the beginning of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
@@ -52,30 +52,30 @@
         self.state == State::Done
     }
 
-    /// Takes what can be taken from the front of `buf`.
+    /// Consumes the next part of the body from the front of `buf`.
     ///
     /// # Errors
     ///
-    /// A chunk is malformed.
+    /// Fails if a chunk is malformed.
     pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Decoded, H1Error> {
         self.decode_up_to(buf, usize::MAX)
     }
 
-    /// As [`BodyDecoder::decode`], with at most `most` bytes of the body at a time; the rest stays in `buf`.
+    /// Like [`BodyDecoder::decode`], but returns at most `limit` bytes of the body; the rest stays in `buf`.
     ///
     /// # Errors
     ///
-    /// A chunk is malformed.
-    pub fn decode_up_to(&mut self, buf: &mut BytesMut, most: usize) -> Result<Decoded, H1Error> {
-        let most = most as u64;
+    /// Fails if a chunk is malformed.
+    pub fn decode_up_to(&mut self, buf: &mut BytesMut, limit: usize) -> Result<Decoded, H1Error> {
+        let limit = limit as u64;
         loop {
             match self.state {
                 State::Done => return Ok(Decoded::End),
                 State::UntilClose => {
-                    return Ok(take(buf, most).map_or(Decoded::More, Decoded::Data));
+                    return Ok(take(buf, limit).map_or(Decoded::More, Decoded::Data));
                 }
                 State::Length(left) => {
-                    let Some(data) = take(buf, left.min(most)) else {
+                    let Some(data) = take(buf, left.min(limit)) else {
                         return Ok(Decoded::More);
                     };
                     self.state = match left - data.len() as u64 {
@@ -85,7 +85,7 @@
                     return Ok(Decoded::Data(data));
                 }
                 State::ChunkData(left) => {
-                    let Some(data) = take(buf, left.min(most)) else {
+                    let Some(data) = take(buf, left.min(limit)) else {
                         return Ok(Decoded::More);
                     };
                     self.state = match left - data.len() as u64 {
@@ -95,7 +95,7 @@
                     return Ok(Decoded::Data(data));
                 }
                 State::ChunkSize | State::ChunkEnd | State::Trailers => {
-                    if !self.line(buf)? {
+                    if !self.consume_line(buf)? {
                         return Ok(Decoded::More);
                     }
                 }
@@ -103,11 +103,11 @@
         }
     }
 
-    /// Takes in that the connection has ended, in order and not by a reset.
+    /// Handles the orderly end of the connection, as opposed to a reset.
     ///
     /// # Errors
     ///
-    /// The body was not whole.
+    /// Fails if the body is incomplete.
     pub fn finish(&mut self) -> Result<(), H1Error> {
         match self.state {
             State::Done | State::UntilClose => {
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Takes one line between data; `false` where it has not arrived whole.
-    fn line(&mut self, buf: &mut BytesMut) -> Result<bool, H1Error> {
+    /// Consumes one chunk-size, chunk-end or trailer line; returns `false` if it is incomplete.
+    fn consume_line(&mut self, buf: &mut BytesMut) -> Result<bool, H1Error> {
         let Some(end) = buf.iter().position(|b| *b == b'\n') else {
             return match buf.len() > MAX_LINE {
                 true => Err(H1Error::Chunk),
@@ -144,11 +144,11 @@
     }
 }
 
-fn take(buf: &mut BytesMut, most: u64) -> Option<Bytes> {
+fn take(buf: &mut BytesMut, limit: u64) -> Option<Bytes> {
     if buf.is_empty() {
         return None;
     }
-    let size = usize::try_from(most).unwrap_or(usize::MAX).min(buf.len());
+    let size = usize::try_from(limit).unwrap_or(usize::MAX).min(buf.len());
     Some(buf.copy_to_bytes(size))
 }
 
