--- a/crates/node/src/h1/hop.rs
+++ b/crates/node/src/h1/hop.rs
@@ -1,8 +1,8 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers, which apply to a single connection.
 
 use http::header::{self, HeaderMap, HeaderName};
 
-/// Removes what must not be passed on: the framing, the connection's own headers and those that `Connection` names.
+/// Removes the headers that must not be forwarded: framing, other hop-by-hop headers and those named by `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -12,20 +12,20 @@
     }
 }
 
-/// Whether a header concerns one connection only, whatever `Connection` says.
+/// Whether a header is always hop-by-hop, regardless of `Connection`.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP.contains(name)
 }
 
-/// Headers that the sender meant for this connection only.
+/// Returns the headers that `Connection` declares to be hop-by-hop.
 pub fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
-    let words = values.flat_map(|value| value.as_bytes().split(|b| *b == b','));
-    let names = words.map(|word| HeaderName::from_bytes(word.trim_ascii()));
+    let tokens = values.flat_map(|value| value.as_bytes().split(|b| *b == b','));
+    let names = tokens.map(|token| HeaderName::from_bytes(token.trim_ascii()));
     names.filter_map(Result::ok).collect()
 }
 
-/// Framing and the connection's own headers; names in lower case.
+/// Headers that are always hop-by-hop, including those that frame the body.
 const HOP_BY_HOP: [HeaderName; 11] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
