--- a/crates/node/src/h1/framing.rs
+++ b/crates/node/src/h1/framing.rs
@@ -1,29 +1,29 @@
-//! Where a body ends.
+//! Framing of bodies, derived from the headers.
 
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use http::{HeaderMap, Method, StatusCode};
 
 use super::H1Error;
 
-/// How the end of a body is marked.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// This many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks, the last one empty.
+    /// The body is sent in chunks and ends with an empty one.
     Chunked,
-    /// It ends with the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
-/// Framing of a request's body.
+/// Determines the framing of a request body.
 ///
-/// A request with two lengths, or with a length and chunks, could be read differently by the target behind: what one
-/// takes for the body the other takes for a further request. Such requests are refused.
+/// Requests with two different lengths, or with a length and chunked encoding, are rejected to prevent request
+/// smuggling: the target could read them differently and take part of the body for another request.
 ///
 /// # Errors
 ///
-/// The framing is ambiguous.
+/// Fails if the framing is ambiguous.
 pub fn request_framing(headers: &HeaderMap) -> Result<Framing, H1Error> {
     match (chunked(headers)?, length(headers)?) {
         (true, None) => Ok(Framing::Chunked),
@@ -32,18 +32,18 @@
     }
 }
 
-/// Framing of an answer's body.
+/// Determines the framing of an answer body.
 ///
 /// # Errors
 ///
-/// The framing is ambiguous.
+/// Fails if the framing is ambiguous.
 pub fn answer_framing(
-    request: &Method,
+    method: &Method,
     status: StatusCode,
     headers: &HeaderMap,
 ) -> Result<Framing, H1Error> {
-    let bodiless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    if request == Method::HEAD || status.is_informational() || bodiless {
+    let has_no_body = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    if method == Method::HEAD || status.is_informational() || has_no_body {
         return Ok(Framing::Length(0));
     }
     match (chunked(headers)?, length(headers)?) {
@@ -59,8 +59,8 @@
     let Some(first) = values.next() else {
         return Ok(false);
     };
-    let only = values.next().is_none();
-    match only && first.as_bytes().eq_ignore_ascii_case(b"chunked") {
+    let is_only_value = values.next().is_none();
+    match is_only_value && first.as_bytes().eq_ignore_ascii_case(b"chunked") {
         true => Ok(true),
         false => Err(H1Error::Framing),
     }
