--- a/crates/node/src/h1/head.rs
+++ b/crates/node/src/h1/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Parsing of request and answer heads.
 
 use bytes::{Buf, BytesMut};
 use http::header::CONNECTION;
@@ -7,37 +7,37 @@
 
 use super::H1Error;
 
-/// Header lines of one head at most.
+/// Maximum number of header lines in a head.
 const MAX_HEADERS: usize = 100;
 
-/// The head of a request.
+/// Head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method.
+    /// Request method.
     pub method: Method,
-    /// Path and query as they were sent.
+    /// Request target as received, usually path and query.
     pub target: SmolStr,
     /// Header lines.
     pub headers: HeaderMap,
-    /// Whether the sender can take further answers on this connection.
+    /// Whether the client keeps the connection open for further requests.
     pub keep_alive: bool,
-    /// Whether the sender understands chunks.
+    /// Whether the client accepts chunked encoding.
     pub takes_chunks: bool,
 }
 
-/// The head of an answer.
+/// Head of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Header lines.
     pub headers: HeaderMap,
-    /// Whether the sender takes further requests on this connection.
+    /// Whether the server accepts further requests on this connection.
     pub keep_alive: bool,
 }
 
 impl RequestHead {
-    /// The path without its query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         match self.target.split_once('?') {
             Some((path, _)) => path,
@@ -46,72 +46,72 @@
     }
 }
 
-/// Takes a request's head from the front of `buf`; `None` where it has not arrived whole.
+/// Parses a request head and removes it from the front of `buf`; returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// The bytes are no head, or one of more than `max` bytes.
+/// Fails if the bytes are not a valid head, or if the head exceeds `max` bytes.
 pub fn parse_request(buf: &mut BytesMut, max: usize) -> Result<Option<RequestHead>, H1Error> {
     skip_blank_lines(buf);
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     let size = match parsed.parse(buf).map_err(parse_error)? {
         httparse::Status::Complete(size) => size,
-        httparse::Status::Partial => return partial(buf, max),
+        httparse::Status::Partial => return incomplete_head(buf, max),
     };
     if size > max {
         return Err(H1Error::HeadTooLarge);
     }
     let method = parsed.method.ok_or(H1Error::Head)?;
     let target = parsed.path.ok_or(H1Error::Head)?;
-    let newest = parsed.version == Some(1);
+    let is_http_1_1 = parsed.version == Some(1);
     let headers = header_map(parsed.headers)?;
     let head = RequestHead {
         method: Method::from_bytes(method.as_bytes()).map_err(|_| H1Error::Head)?,
         target: SmolStr::new(target),
-        keep_alive: keeps_alive(&headers, newest),
-        takes_chunks: newest,
+        keep_alive: keeps_alive(&headers, is_http_1_1),
+        takes_chunks: is_http_1_1,
         headers,
     };
     buf.advance(size);
     Ok(Some(head))
 }
 
-/// Takes an answer's head from the front of `buf`; `None` where it has not arrived whole.
+/// Parses an answer head and removes it from the front of `buf`; returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// The bytes are no head, or one of more than `max` bytes.
+/// Fails if the bytes are not a valid head, or if the head exceeds `max` bytes.
 pub fn parse_answer(buf: &mut BytesMut, max: usize) -> Result<Option<AnswerHead>, H1Error> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let size = match parsed.parse(buf).map_err(parse_error)? {
         httparse::Status::Complete(size) => size,
-        httparse::Status::Partial => return partial(buf, max),
+        httparse::Status::Partial => return incomplete_head(buf, max),
     };
     if size > max {
         return Err(H1Error::HeadTooLarge);
     }
     let status = parsed.code.ok_or(H1Error::Head)?;
-    let newest = parsed.version == Some(1);
+    let is_http_1_1 = parsed.version == Some(1);
     let headers = header_map(parsed.headers)?;
     let head = AnswerHead {
         status: StatusCode::from_u16(status).map_err(|_| H1Error::Head)?,
-        keep_alive: keeps_alive(&headers, newest),
+        keep_alive: keeps_alive(&headers, is_http_1_1),
         headers,
     };
     buf.advance(size);
     Ok(Some(head))
 }
 
-/// Callers may send a blank line after a body; it belongs to no request.
+/// Removes blank lines before a request line, which some clients send after a body.
 fn skip_blank_lines(buf: &mut BytesMut) {
     while buf.first().is_some_and(|b| *b == b'\r' || *b == b'\n') {
         buf.advance(1);
     }
 }
 
-fn partial<T>(buf: &BytesMut, max: usize) -> Result<Option<T>, H1Error> {
+fn incomplete_head<T>(buf: &BytesMut, max: usize) -> Result<Option<T>, H1Error> {
     match buf.len() > max {
         true => Err(H1Error::HeadTooLarge),
         false => Ok(None),
@@ -135,15 +135,15 @@
     Ok(headers)
 }
 
-fn keeps_alive(headers: &HeaderMap, newest: bool) -> bool {
-    let mut keep = newest;
+fn keeps_alive(headers: &HeaderMap, is_http_1_1: bool) -> bool {
+    let mut keep = is_http_1_1;
     for value in headers.get_all(CONNECTION) {
-        for word in value.as_bytes().split(|b| *b == b',') {
-            let word = word.trim_ascii();
-            if word.eq_ignore_ascii_case(b"close") {
+        for token in value.as_bytes().split(|b| *b == b',') {
+            let token = token.trim_ascii();
+            if token.eq_ignore_ascii_case(b"close") {
                 return false;
             }
-            keep |= word.eq_ignore_ascii_case(b"keep-alive");
+            keep |= token.eq_ignore_ascii_case(b"keep-alive");
         }
     }
     keep
