--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers and targets.
+//! HTTP/1.1 server for callers and client for the node's own target, based on hyper.
 
 mod body;
 mod connection;
