--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Whole bodies of bounded size.
+//! Reading of complete bodies of limited size.
 
 use std::error::Error;
 use std::pin::pin;
@@ -8,23 +8,23 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
-/// Why a body was not read whole.
+/// Error while reading a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is above its limit.
-    #[error("the body is above its limit")]
+    /// The body exceeds its size limit.
+    #[error("the body exceeds its size limit")]
     TooLarge,
-    /// The other side ended it early or broke the framing.
-    #[error("the body is not whole")]
+    /// The sender ended the body early or violated the framing.
+    #[error("the body is incomplete")]
     Cut,
 }
 
-/// Reads a body to its end, at most `limit` bytes.
+/// Reads a body to its end; fails if it exceeds `limit` bytes.
 ///
-/// A body that ends early must not pass for a whole one: hyper reports a missing last chunk or a short content length as an
-/// error, which is kept apart here.
+/// A truncated body must not be taken for a complete one. hyper reports a missing last chunk, or fewer bytes than the
+/// content length, as an error, which is returned as a different error than a body that exceeds the limit.
 pub async fn read_whole(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    // What is announced as too long is refused at once, whether or not it ever comes.
+    // Rejects a body by its announced length, without waiting for its bytes.
     if body.size_hint().lower() > limit as u64 {
         return Err(BodyError::TooLarge);
     }
@@ -36,15 +36,16 @@
     B: Body<Data = Bytes, Error = hyper::Error>,
 {
     let mut body = pin!(Limited::new(body, limit));
-    // Copied together, since frames that are kept one by one cost many times their size where a caller sends single bytes.
-    let mut whole = BytesMut::new();
+    // Copies all frames into one buffer: if a caller sends single bytes, separately stored frames would take many times
+    // the size of the body.
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(BodyError::from)?;
         if let Ok(data) = frame.into_data() {
-            whole.extend_from_slice(&data);
+            bytes.extend_from_slice(&data);
         }
     }
-    Ok(whole.freeze())
+    Ok(bytes.freeze())
 }
 
 impl From<Box<dyn Error + Send + Sync>> for BodyError {
