--- a/crates/node/src/http/listener.rs
+++ b/crates/node/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts HTTP connections and hands each request to a handler.
+//! HTTP listener that accepts connections and passes each request to a handler.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,20 +18,20 @@
 
 use super::{CallerConnection, HttpAnswer, ListenerStage};
 
-/// Limits of a listener, all of which bound memory that a caller can take.
+/// Limits of a listener, all of which limit the memory that callers can occupy.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Connections at a time; further ones wait in the kernel's queue.
+    /// Maximum number of open connections; further ones wait in the kernel's accept queue.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Time in which a head must arrive, counted from the connection's begin or the last answer.
+    /// Time limit for receiving a head, counted from the start of the connection or the last answer.
     pub header_timeout: Duration,
-    /// Time in which an answer must be read.
+    /// Time limit for the caller to read an answer.
     pub idle_timeout: Duration,
 }
 
-/// A listener for callers or for the node's own target.
+/// Listener for callers or for the node's own target.
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
@@ -40,7 +40,7 @@
 }
 
 impl Listener {
-    /// A listener on a bound socket which winds its connections up as `stage` says.
+    /// Creates a listener on a bound socket; `stage` controls how it shuts down.
     pub fn new(
         socket: TcpListener,
         limits: ListenerLimits,
@@ -53,27 +53,27 @@
         }
     }
 
-    /// Serves until the stage is `Closing` and every connection has finished its request.
+    /// Serves until the stage is `Closing` and every connection has completed its request.
     pub async fn run<H, F>(mut self, handler: H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
         F: Future<Output = Response<HttpAnswer>> + Send + 'static,
     {
-        let room = Arc::new(Semaphore::new(self.limits.connections));
-        self.accept(&room, &handler).await;
+        let permits = Arc::new(Semaphore::new(self.limits.connections));
+        self.accept(&permits, &handler).await;
         let limits = self.limits;
-        self.accept_rest(&room, &handler).await;
-        let _ = room.acquire_many(limits.connections as u32).await;
+        self.accept_queued(&permits, &handler).await;
+        let _ = permits.acquire_many(limits.connections as u32).await;
     }
 
-    async fn accept<H, F>(&mut self, room: &Arc<Semaphore>, handler: &H)
+    async fn accept<H, F>(&mut self, permits: &Arc<Semaphore>, handler: &H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
         F: Future<Output = Response<HttpAnswer>> + Send + 'static,
     {
         loop {
             let permit = tokio::select! {
-                permit = Arc::clone(room).acquire_owned() => permit,
+                permit = Arc::clone(permits).acquire_owned() => permit,
                 () = is_closing(&mut self.stage) => return,
             };
             let Ok(permit) = permit else { return };
@@ -89,19 +89,20 @@
         }
     }
 
-    /// Takes the connections that wait in the kernel's queue and closes the socket.
+    /// Accepts the connections in the kernel's accept queue, then closes the socket.
     ///
-    /// To their callers they are open, and a request may be on its way; closing the socket over them would reset them.
-    async fn accept_rest<H, F>(self, room: &Arc<Semaphore>, handler: &H)
+    /// Their callers see them as established and may already have sent a request; closing the socket first would reset
+    /// them.
+    async fn accept_queued<H, F>(self, permits: &Arc<Semaphore>, handler: &H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
         F: Future<Output = Response<HttpAnswer>> + Send + 'static,
     {
         loop {
-            let Ok(permit) = Arc::clone(room).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(permits).acquire_owned().await else {
                 return;
             };
-            // The kernel is asked directly: the runtime may not yet have heard of a connection that waits.
+            // Calls `accept` directly, since the runtime may not have been notified yet of a queued connection.
             let Ok((stream, _)) = SockRef::from(&self.socket).accept() else {
                 return;
             };
@@ -126,14 +127,14 @@
     }
 }
 
-/// Pause after a failed accept, as when the process has no file descriptor left.
+/// Pause after a failed `accept`, for example when the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long an open connection may still bring a request once the node has drained.
+/// Time during which an open connection may still deliver a request after its idle timeout or the start of `Closing`.
 const LAST_REQUEST_WAIT: Duration = Duration::from_millis(200);
 
-/// The smallest buffer that hyper takes.
-pub(super) const LEAST_HEADER_BYTES: usize = 8192;
+/// Minimum read buffer size that hyper accepts.
+pub(super) const MIN_HEADER_BYTES: usize = 8192;
 
 async fn serve<H, F>(
     stream: TcpStream,
@@ -148,51 +149,52 @@
     let connection = CallerConnection::new(stream);
     let io = TokioIo::new(connection.clone());
     let caller = connection.clone();
-    let now = stage.clone();
+    let current_stage = stage.clone();
     let (answering, mut answered) = watch::channel(false);
     let service = service_fn(move |req| {
         answering.send_replace(false);
         let answering = answering.clone();
-        // Boxed, since hyper sets the room for a handler's future aside for as long as a connection is idle.
+        // Boxed, since hyper reserves the space for the handler's future in every connection, even while it is idle.
         let answer = Box::pin(handler(req, connection.clone()));
-        let now = now.clone();
+        let current_stage = current_stage.clone();
         async move {
             let answer = answer.await;
             answering.send_replace(true);
-            Ok::<_, Infallible>(last_where_leaving(answer, &now))
+            Ok::<_, Infallible>(close_if_leaving(answer, &current_stage))
         }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEADER_BYTES));
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES));
     let mut serving = pin!(builder.serve_connection(io, service));
     loop {
         tokio::select! {
             _ = serving.as_mut() => return,
-            () = unread_for_long(&mut answered, limits) => {}
+            () = idle_timeout(&mut answered, limits) => {}
             () = is_closing(&mut stage) => break,
         }
-        // A process that was paused finds the time over and, in the same moment, a request that came meanwhile. Closing the
-        // connection over it would leave its caller without an answer.
-        // Looked at before the connection is served again, which reads what is unread.
+        // After a pause of the process, the timeout has passed and a request may have arrived in the meantime. Closing
+        // the connection then would leave the caller without an answer. The check precedes further polling of the
+        // connection, which would consume the unread bytes.
         let has_unread = caller.has_unread();
-        let begins = async { has_unread && begins_soon(&mut answered).await };
-        let begun = tokio::select! {
+        let starts = async { has_unread && request_starts_soon(&mut answered).await };
+        let started = tokio::select! {
             _ = serving.as_mut() => return,
-            begun = begins => begun,
+            started = starts => started,
         };
-        if !begun {
+        if !started {
             return;
         }
     }
-    // A connection that has just been made is closed at once by hyper, with its first request on its way.
+    // On shutdown, hyper closes a new connection at once, even if its first request is in transit. The wait lets the
+    // request arrive.
     tokio::select! {
         _ = serving.as_mut() => return,
         () = tokio::time::sleep(LAST_REQUEST_WAIT) => {}
     }
-    // A request that has arrived and was not yet read is served; its answer closes the connection.
+    // A request that has arrived but is still unread is served; its answer closes the connection.
     if !caller.has_unread() {
         serving.as_mut().graceful_shutdown();
     }
@@ -205,7 +207,8 @@
         .await;
 }
 
-fn last_where_leaving(
+/// Marks an answer as the last one of its connection from stage `Leaving` on.
+fn close_if_leaving(
     mut res: Response<HttpAnswer>,
     stage: &watch::Receiver<ListenerStage>,
 ) -> Response<HttpAnswer> {
@@ -216,28 +219,29 @@
     res
 }
 
-/// Ends when a caller has not taken in its last answer for long.
+/// Completes when the time since the last answer exceeds the idle timeout.
 ///
-/// hyper bounds the time between requests and that of a head, but not that of writing. A caller that never reads its answer
-/// would hold a connection and the answer's body for ever, seen as memory that grows and a node that accepts nobody any more.
-async fn unread_for_long(answered: &mut watch::Receiver<bool>, limits: ListenerLimits) {
+/// hyper limits the time between requests and for reading a head, but not for writing an answer. A caller that never
+/// reads its answer would hold the connection and the answer body forever; memory would grow and in the end the node
+/// would accept no more connections.
+async fn idle_timeout(answered: &mut watch::Receiver<bool>, limits: ListenerLimits) {
     loop {
-        let patience = match *answered.borrow_and_update() {
+        let timeout = match *answered.borrow_and_update() {
             true => limits.idle_timeout,
             false => Duration::MAX,
         };
-        match tokio::time::timeout(patience, answered.changed()).await {
+        match tokio::time::timeout(timeout, answered.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => return,
         }
     }
 }
 
-/// Whether a request that has arrived is handed to the handler within a short time.
-async fn begins_soon(answered: &mut watch::Receiver<bool>) -> bool {
-    let begun = answered.wait_for(|answered| !answered);
+/// Whether a received request reaches the handler within [`LAST_REQUEST_WAIT`].
+async fn request_starts_soon(answered: &mut watch::Receiver<bool>) -> bool {
+    let started = answered.wait_for(|answered| !answered);
     matches!(
-        tokio::time::timeout(LAST_REQUEST_WAIT, begun).await,
+        tokio::time::timeout(LAST_REQUEST_WAIT, started).await,
         Ok(Ok(_))
     )
 }
--- a/crates/node/src/http/pool.rs
+++ b/crates/node/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the node's own target.
+//! Connection pool for the node's own target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-use super::listener::LEAST_HEADER_BYTES;
+use super::listener::MIN_HEADER_BYTES;
 
-/// Sends requests over one connection.
+/// Sender half of one connection.
 type Sender = SendRequest<Full<Bytes>>;
 
-/// The task that owns the idle connections to the target.
+/// Task that owns the idle connections to the target.
 #[derive(Debug)]
 pub struct TargetPool {
     idle: Vec<Sender>,
@@ -32,10 +32,10 @@
     header_bytes: usize,
 }
 
-/// A connection taken out of the pool.
+/// Connection taken from the pool.
 #[derive(Debug)]
 pub struct PooledSender {
-    /// The connection.
+    /// Sender for requests on the connection.
     pub sender: Sender,
     tx: mpsc::UnboundedSender<PoolMessage>,
 }
@@ -47,7 +47,7 @@
 }
 
 impl TargetPool {
-    /// A pool that keeps at most `capacity` idle connections and reads answers whose heads have at most `header_bytes`.
+    /// Creates a pool that keeps at most `capacity` idle connections and accepts answer heads of up to `header_bytes`.
     pub fn new(
         address: SocketAddr,
         capacity: usize,
@@ -59,7 +59,7 @@
             tx,
             address,
             connect_timeout,
-            header_bytes: header_bytes.max(LEAST_HEADER_BYTES),
+            header_bytes: header_bytes.max(MIN_HEADER_BYTES),
         };
         (
             Self {
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until all handles and connections taken from the pool have been dropped.
     pub async fn run(mut self) {
         while let Some(message) = self.rx.recv().await {
             match message {
@@ -102,7 +102,7 @@
 }
 
 impl PoolHandle {
-    /// An idle connection, or a new one; `None` when the target can't be reached.
+    /// Returns an idle connection or opens a new one; `None` if the target can't be reached.
     pub async fn take(&self) -> Option<PooledSender> {
         let (reply, idle) = oneshot::channel();
         self.tx.send(PoolMessage::Take(reply)).ok()?;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A new connection; `None` when the target can't be reached.
+    /// Opens a new connection; returns `None` if the target can't be reached.
     pub async fn connect(&self) -> Option<PooledSender> {
         let connecting = TcpStream::connect(self.address);
         let stream = tokio::time::timeout(self.connect_timeout, connecting)
@@ -137,7 +137,7 @@
 }
 
 impl PooledSender {
-    /// Returns the connection after a whole answer was read; dropping it instead closes the connection.
+    /// Returns the connection to the pool after a complete answer; a connection that is dropped instead is closed.
     pub fn give_back(self) {
         let Self { mut sender, tx } = self;
         tokio::spawn(async move {
