--- a/crates/node/src/http/stage.rs
+++ b/crates/node/src/http/stage.rs
@@ -1,16 +1,16 @@
-//! How far a listener is on its way out.
+//! Stages of a listener's shutdown.
 
-/// How far a listener is on its way out.
+/// Stage of a listener's shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListenerStage {
-    /// It takes connections and keeps them open.
+    /// The listener accepts connections and keeps them open.
     #[default]
     Open,
-    /// It takes connections, and closes each after its next answer.
+    /// The listener accepts connections and closes each after its next answer.
     ///
-    /// A connection that is closed while it is idle may be closed just as its caller sends a request, which then is lost
-    /// for no reason that the caller can know. An answer that says that its connection is closed leaves no such doubt.
+    /// If an idle connection were closed instead, its caller might send a request at the same moment and could not know
+    /// whether the request ran. An answer with `Connection: close` avoids this race.
     Leaving,
-    /// It takes no connections and closes those without a request.
+    /// The listener accepts no connections and closes those without a request.
     Closing,
 }
