--- a/crates/node/src/http/respond.rs
+++ b/crates/node/src/http/respond.rs
@@ -1,4 +1,4 @@
-//! Answers towards callers.
+//! HTTP responses to callers.
 
 use bytes::Bytes;
 use coltsfootport_core::outcome::Outcome;
@@ -8,34 +8,34 @@
 use super::names;
 use crate::data::{Answer, Refused};
 
-/// Body of every answer; it is whole before its first byte is sent.
+/// Body of every response; it is complete before its first byte is sent.
 pub type HttpAnswer = Full<Bytes>;
 
-/// The answer of a target.
+/// Creates the response that carries the answer of a target.
 pub fn answer_target(answer: Answer) -> Response<HttpAnswer> {
     let mut res = Response::new(Full::new(answer.body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = answer.headers;
-    put(&mut res, names::OUTCOME, Outcome::Ran.as_str());
+    insert_header(&mut res, names::OUTCOME, Outcome::Ran.as_str());
     if answer.replayed {
-        put(&mut res, names::REPLAYED, "true");
+        insert_header(&mut res, names::REPLAYED, "true");
     }
     res
 }
 
-/// The answer that the error table gives for a refusal.
+/// Creates the response for a refusal, as the error table defines it.
 pub fn refuse(refused: Refused) -> Response<HttpAnswer> {
     let rule = refused.kind.rule();
     let text = format!("{}\n", refused.kind.as_str());
     let mut res = Response::new(Full::new(Bytes::from(text)));
     *res.status_mut() =
         StatusCode::from_u16(rule.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    put(&mut res, names::OUTCOME, refused.outcome.as_str());
-    put(&mut res, names::ERROR, refused.kind.as_str());
+    insert_header(&mut res, names::OUTCOME, refused.outcome.as_str());
+    insert_header(&mut res, names::ERROR, refused.kind.as_str());
     if rule.retry_after {
         let millis = refused.retry_after.as_millis() as u64;
-        put(&mut res, names::RETRY_AFTER_MS, &millis.to_string());
-        put(
+        insert_header(&mut res, names::RETRY_AFTER_MS, &millis.to_string());
+        insert_header(
             &mut res,
             header::RETRY_AFTER,
             &millis.div_ceil(MILLIS_PER_SECOND).to_string(),
@@ -44,16 +44,16 @@
     res
 }
 
-/// A JSON answer of the node itself.
+/// Creates a JSON response of the node itself.
 pub fn json(text: String) -> Response<HttpAnswer> {
     let mut res = Response::new(Full::new(Bytes::from(text)));
-    put(&mut res, header::CONTENT_TYPE, "application/json");
+    insert_header(&mut res, header::CONTENT_TYPE, "application/json");
     res
 }
 
 const MILLIS_PER_SECOND: u64 = 1000;
 
-fn put(res: &mut Response<HttpAnswer>, name: HeaderName, value: &str) {
+fn insert_header(res: &mut Response<HttpAnswer>, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
