--- a/crates/node/src/http/connection.rs
+++ b/crates/node/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection whose end can be seen before its bytes are read.
+//! Connection of a caller whose close can be detected before its bytes are read.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A caller's TCP connection, shared between hyper and the handler of its requests.
+/// TCP connection of a caller, shared between hyper and the request handler.
 #[derive(Clone, Debug)]
 pub struct CallerConnection(Arc<TcpStream>);
 
@@ -20,17 +20,17 @@
         Self(Arc::new(stream))
     }
 
-    /// Whether bytes of the caller wait in the kernel.
+    /// Whether the socket's receive buffer holds unread bytes.
     pub fn has_unread(&self) -> bool {
         let mut buf = [MaybeUninit::uninit(); 1];
         matches!(SockRef::from(&*self.0).peek(&mut buf), Ok(1..))
     }
 
-    /// Whether the caller has closed its side.
+    /// Whether the caller has closed its side of the connection.
     ///
-    /// A process that was paused finds a request and the caller's close in the same socket buffer. Without this look the
-    /// request would be dispatched for a caller that has long been told something else or has tried elsewhere. The kernel is
-    /// asked directly, since the runtime may not yet have polled the socket after the pause.
+    /// After a pause of the process, a request and the caller's close may be in the same socket buffer. Without this
+    /// check the request would be dispatched for a caller that has already been told another outcome or has retried
+    /// elsewhere. The check peeks at the socket directly, since the runtime may not have polled it yet after the pause.
     pub fn is_closed(&self) -> bool {
         let mut buf = [MaybeUninit::uninit(); 1];
         match SockRef::from(&*self.0).peek(&mut buf) {
