--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for the commands: one connection a request, whole answers only.
+//! Small HTTP/1.1 client for the commands: one connection per request, complete answers only.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,25 +13,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes of an answer's body at most.
+/// Maximum size of an answer body in bytes.
 pub const MAX_BODY: usize = 64 * 1024 * 1024;
 
-/// Why there is no whole answer.
+/// Error of a request that received no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
-    /// No byte of the request has left this process.
-    #[error("not connected to {0}: {1}")]
+    /// The connection failed, so no byte of the request was sent.
+    #[error("cannot connect to {0}: {1}")]
     NotSent(SocketAddr, io::Error),
-    /// The request may have arrived, and its answer did not arrive whole.
-    #[error("no whole answer from {0}: {1}")]
+    /// The request may have arrived, but its answer did not arrive completely.
+    #[error("no complete answer from {0}: {1}")]
     Lost(SocketAddr, String),
 }
 
-/// Sends a request and waits for its whole answer, for at most `limit` in all.
+/// Sends a request and waits for its complete answer, for at most `limit` in total.
 ///
 /// # Errors
 ///
-/// Whether the request may have arrived.
+/// The error tells whether the request may have arrived.
 pub async fn fetch(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -40,13 +40,13 @@
     let deadline = tokio::time::Instant::now() + limit;
     let stream = connect(addr, limit)
         .await
-        .map_err(|fault| FetchError::NotSent(addr, fault))?;
+        .map_err(|e| FetchError::NotSent(addr, e))?;
     match tokio::time::timeout_at(deadline, exchange(addr, stream, req)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(reason)) => Err(FetchError::Lost(addr, reason)),
         Err(_) => Err(FetchError::Lost(
             addr,
-            String::from("the time limit passed"),
+            String::from("the request timed out"),
         )),
     }
 }
@@ -62,18 +62,15 @@
     stream: TcpStream,
     mut req: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, String> {
-    let host = HeaderValue::from_str(&addr.to_string()).map_err(|fault| fault.to_string())?;
+    let host = HeaderValue::from_str(&addr.to_string()).map_err(|e| e.to_string())?;
     req.headers_mut().insert(HOST, host);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
-    let (mut tx, connection) = handshake.map_err(|fault| fault.to_string())?;
+    let (mut tx, connection) = handshake.map_err(|e| e.to_string())?;
     let exchange = async {
-        let answer = tx
-            .send_request(req)
-            .await
-            .map_err(|fault| fault.to_string())?;
-        whole(answer).await
+        let answer = tx.send_request(req).await.map_err(|e| e.to_string())?;
+        read_answer(answer).await
     };
-    // The connection does the work of reading and writing; it ends by itself only where the peer closes it.
+    // The connection future performs all I/O; it completes on its own only if the peer closes the connection.
     tokio::pin!(exchange);
     tokio::pin!(connection);
     tokio::select! {
@@ -82,14 +79,14 @@
     }
 }
 
-async fn whole(answer: Response<hyper::body::Incoming>) -> Result<Response<Bytes>, String> {
+async fn read_answer(answer: Response<hyper::body::Incoming>) -> Result<Response<Bytes>, String> {
     let (parts, body) = answer.into_parts();
     let body = Limited::new(body, MAX_BODY)
         .collect()
         .await
-        .map_err(|fault| match fault.downcast_ref::<LengthLimitError>() {
-            Some(_) => format!("the body has more than {MAX_BODY} bytes"),
-            None => fault.to_string(),
+        .map_err(|e| match e.downcast_ref::<LengthLimitError>() {
+            Some(_) => format!("the body exceeds {MAX_BODY} bytes"),
+            None => e.to_string(),
         })?;
     Ok(Response::from_parts(parts, body.to_bytes()))
 }
