--- a/crates/node/src/wire/call_frame.rs
+++ b/crates/node/src/wire/call_frame.rs
@@ -60,7 +60,7 @@
 /// Token and try number of a call that runs at most once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OnceFrame {
-    /// The token itself; its seal was checked where it entered the fleet.
+    /// Decoded token; its seal was verified at the node where the call entered the fleet.
     pub token: Token,
     /// Number of the try.
     pub number: u32,
