--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes as stored bytes: nodes of two releases must read each other's.
+//! Compares encoded frames with stored bytes, since nodes of two releases must be able to read each other's frames.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Set to write the stored bytes anew after a change of the protocol that is meant.
+/// Environment variable that makes the test rewrite the stored bytes after an intended change of the protocol.
 const UPDATE: &str = "COLTSFOOTPORT_UPDATE_REFERENCE";
 
 struct Sample {
@@ -224,9 +224,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Symptom: after a release half of the fleet refuses the frames of the other half while nodes are being replaced.
-// Sequence: a field is added in the middle of a frame, or a variant before others; two releases run side by side.
-// Cause: the encoding has neither names nor numbers of its own, so that order is the protocol.
+// Guards against incompatible frames during a rolling upgrade, where nodes of two releases reject each other's frames.
+// This happens if a field is added in the middle of a frame or a variant before others: postcard encodes by position,
+// without field names or explicit variant numbers.
 #[test]
 fn frames_are_read_as_they_were_stored() {
     let samples = requests().into_iter().chain(replies());
@@ -241,7 +241,7 @@
     for (now, before) in lines.lines().zip(stored.lines()) {
         assert_eq!(
             now, before,
-            "another protocol needs another name of it, see ALPN in peers/tls.rs"
+            "a changed protocol needs a new protocol name, see ALPN in peers/tls.rs"
         );
     }
     assert_eq!(lines.lines().count(), stored.lines().count());
