--- a/crates/node/tests/h1.rs
+++ b/crates/node/tests/h1.rs
@@ -1,4 +1,4 @@
-//! Tests of HTTP/1.1 as bytes: heads, framing, bodies.
+//! Tests of the HTTP/1.1 codec: heads, framing and bodies.
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Method, StatusCode};
@@ -74,9 +74,10 @@
     assert_eq!(request(&long).err(), Some(H1Error::HeadTooLarge));
 }
 
-/// Symptom: a target runs a request that no caller sent.
-/// Sequence: a caller sends a body whose end two readers see at different places; the rest of it looks like a request.
-/// Cause: two lengths, or a length beside chunks, are taken by one reader and ignored by the other.
+/// Guards against request smuggling, where a target runs a request that no caller sent.
+///
+/// With two lengths, or a length together with chunked encoding, two parsers can see the end of a body at different
+/// positions; one of them then parses the rest of the body as a request.
 #[test]
 fn ambiguous_bodies_are_refused() {
     struct Case {
@@ -192,7 +193,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A chunked body is the same however it is cut into pieces on the way, and what follows it stays in the buffer.
+    /// A chunked body decodes to the same data however the input is split, and the bytes after it stay in the buffer.
     #[test]
     fn chunks_are_joined(
         pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..50), 0..6),
@@ -217,11 +218,11 @@
         prop_assert_eq!(&buf[..], b"NEXT");
     }
 
-    /// Taken in bounded pieces a body is the same, and no piece is larger than asked for; a link takes none that is.
+    /// A body decoded with a limit has the same data, and no part exceeds the limit; peer links reject larger parts.
     #[test]
     fn pieces_keep_to_their_bound(
         body in proptest::collection::vec(any::<u8>(), 1..200),
-        most in 1_usize..40,
+        limit in 1_usize..40,
         framing in prop_oneof![Just(Framing::Chunked), Just(Framing::UntilClose), Just(Framing::Length(0))],
     ) {
         let (framing, wire) = match framing {
@@ -235,14 +236,14 @@
         };
         let mut decoder = BodyDecoder::new(framing);
         let (mut buf, mut taken) = (BytesMut::from(&wire[..]), Vec::new());
-        while let Decoded::Data(data) = decoder.decode_up_to(&mut buf, most).expect("a body") {
-            prop_assert!(data.len() <= most);
+        while let Decoded::Data(data) = decoder.decode_up_to(&mut buf, limit).expect("a body") {
+            prop_assert!(data.len() <= limit);
             taken.extend_from_slice(&data);
         }
         prop_assert_eq!(taken, body);
     }
 
-    /// Whatever bytes come, parsing ends without a panic and holds no more than it was given.
+    /// Parsing of arbitrary bytes ends without a panic and yields no more data than the input has.
     #[test]
     fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&mut BytesMut::from(&bytes[..]), 200);
