--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use slog::{debug, error, info, warn};
 
-use support::{lines_of, sink};
+use support::{channel_writer, read_json_lines};
 
 fn lines(level: LogLevel) -> Vec<Value> {
-    let (out, rx) = sink();
+    let (out, rx) = channel_writer();
     let (log, guard) = start_json(out, level, &"bidding-1".into(), &"bidding".into());
     error!(log, "one"; "invariant" => "dispatched-twice");
     warn!(log, "two");
@@ -18,7 +18,7 @@
     debug!(log, "four");
     drop(log);
     drop(guard);
-    lines_of(rx)
+    read_json_lines(rx)
 }
 
 #[test]
--- a/crates/node/tests/mesh_journal.rs
+++ b/crates/node/tests/mesh_journal.rs
@@ -12,7 +12,7 @@
 use coltsfootport::mesh::journal::{Journal, RequestSummary};
 use serde_json::Value;
 
-use support::{lines_of, sink};
+use support::{channel_writer, read_json_lines};
 
 /// Clock that advances only when told to.
 struct ManualClock(Mutex<Instant>);
@@ -101,7 +101,7 @@
 /// on its log than on requests.
 #[test]
 fn lines_above_the_rate_are_counted_and_told() {
-    let (out, rx) = sink();
+    let (out, rx) = channel_writer();
     let (journal, clock, metrics, guard) = journal(out);
     for _ in 0..1000 {
         journal.request_answered(summary(503, "shed"));
@@ -114,7 +114,7 @@
     clock.advance(Duration::from_secs(1));
     journal.request_answered(summary(504, "expired"));
     drop((journal, guard));
-    let lines = lines_of(rx);
+    let lines = read_json_lines(rx);
     assert_eq!(lines.len() as u64, 1000 - dropped + 2);
     let last = lines.last().expect("a line");
     assert_eq!(last["dropped"], dropped);
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,21 +1,21 @@
-//! What several test programs need.
+//! Helpers shared by several integration tests.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use serde_json::Value;
 
-/// Sends what is written to the test.
-pub struct Out(Sender<Vec<u8>>);
+/// Writer that sends all bytes to a channel.
+pub struct ChannelWriter(Sender<Vec<u8>>);
 
-/// A sink for a log, and where what was written arrives.
-pub fn sink() -> (Out, Receiver<Vec<u8>>) {
+/// Creates a writer for a log and the receiver of the written bytes.
+pub fn channel_writer() -> (ChannelWriter, Receiver<Vec<u8>>) {
     let (tx, rx) = channel();
-    (Out(tx), rx)
+    (ChannelWriter(tx), rx)
 }
 
-/// All lines of JSON that were written; waits until the log has ended.
-pub fn lines_of(rx: Receiver<Vec<u8>>) -> Vec<Value> {
+/// Parses all written lines as JSON; blocks until the writer is dropped.
+pub fn read_json_lines(rx: Receiver<Vec<u8>>) -> Vec<Value> {
     let text = rx.into_iter().flatten().collect::<Vec<_>>();
     let lines = text
         .split(|byte| *byte == b'\n')
@@ -25,7 +25,7 @@
         .collect()
 }
 
-impl Write for Out {
+impl Write for ChannelWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.send(bytes.to_vec()).map_err(io::Error::other)?;
         Ok(bytes.len())
