--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -10,7 +10,8 @@
 
 use super::{SpreadTask, StateReport};
 use crate::wire::{
-    ControlReply, ControlRequest, DigestFrame, EntryFrame, NewsFrame, VersionFrame, WordFrame,
+    ControlReply, ControlRequest, DigestFrame, EntryFrame, NewsFrame, StateReportFrame,
+    VersionFrame,
 };
 
 impl SpreadTask {
@@ -52,7 +53,7 @@
                 self.apply_from_peer(entries, None);
                 ControlReply::Done
             }
-            ControlRequest::Words(reports) => {
+            ControlRequest::StateReports(reports) => {
                 reports
                     .into_iter()
                     .map(StateReport::from)
@@ -70,7 +71,7 @@
     pub(super) fn handle_reply(&mut self, node: &NodeName, reply: ControlReply) {
         match reply {
             ControlReply::Digest(theirs) => {
-                if theirs.word.state == NodeState::Serving
+                if theirs.state_report.state == NodeState::Serving
                     && self.startup_responders.insert(node.clone())
                 {
                     self.start_up.heard_peer(&theirs.digest);
@@ -93,7 +94,7 @@
     pub(super) fn digest_frame(&self) -> DigestFrame {
         let now = self.now();
         DigestFrame {
-            word: WordFrame::from(&self.own_state_report()),
+            state_report: StateReportFrame::from(&self.own_state_report()),
             digest: self.replica.digest(),
             list: self.view.revision().0,
             config_age_ms: self.config_reads.read_age(now).map(whole_millis),
@@ -104,8 +105,8 @@
     /// Compares a peer's digest with the local replica and list, and requests what is newer or different at the peer.
     fn reconcile_digest(&mut self, theirs: &DigestFrame) {
         let now = self.now();
-        let node = NodeName(theirs.word.node.clone());
-        self.record_state_report(StateReport::from(theirs.word.clone()));
+        let node = NodeName(theirs.state_report.node.clone());
+        self.record_state_report(StateReport::from(theirs.state_report.clone()));
         self.record_peer_read_ages(theirs, now);
         if theirs.list > self.view.revision().0 {
             self.send_request(&node, ControlRequest::PullList(self.view.revision().0));
@@ -239,8 +240,8 @@
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl From<WordFrame> for StateReport {
-    fn from(frame: WordFrame) -> Self {
+impl From<StateReportFrame> for StateReport {
+    fn from(frame: StateReportFrame) -> Self {
         Self {
             node: NodeName(frame.node),
             incarnation: Incarnation(frame.incarnation),
@@ -251,7 +252,7 @@
     }
 }
 
-impl From<&StateReport> for WordFrame {
+impl From<&StateReport> for StateReportFrame {
     fn from(report: &StateReport) -> Self {
         Self {
             node: report.node.0.clone(),
--- a/crates/node/src/spread/peers.rs
+++ b/crates/node/src/spread/peers.rs
@@ -8,7 +8,7 @@
 use rand::seq::IteratorRandom;
 
 use super::{SpreadMessage, SpreadTask, StateReport};
-use crate::wire::{ControlRequest, EntryFrame, NewsFrame, VersionFrame, WordFrame};
+use crate::wire::{ControlRequest, EntryFrame, NewsFrame, StateReportFrame, VersionFrame};
 
 impl SpreadTask {
     /// Pushes new entries to all push targets: small entries with their value, others as a notice with key and revision.
@@ -26,7 +26,9 @@
 
     /// Forwards a node's state report to all push targets.
     pub(super) fn forward_state_report(&mut self, report: &StateReport) {
-        self.broadcast(&ControlRequest::Words(vec![WordFrame::from(report)]));
+        self.broadcast(&ControlRequest::StateReports(vec![StateReportFrame::from(
+            report,
+        )]));
     }
 
     /// Sends a digest to one peer when the gossip plan has an exchange due.
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -10,7 +10,7 @@
 pub use call_frame::{CallFrame, OnceFrame};
 pub use control::{
     ControlReply, ControlRequest, DigestFrame, EntryFrame, HelloFrame, NewsFrame, RefusalFrame,
-    VersionFrame, WordFrame,
+    StateReportFrame, VersionFrame,
 };
 pub use frame::{
     FrameError, Head, PeerReply, PeerRequest, checksum, read_body, read_head, write_frame,
--- a/crates/node/src/wire/control.rs
+++ b/crates/node/src/wire/control.rs
@@ -44,7 +44,7 @@
     /// Pushes entries that the receiver lacks according to its versions.
     Entries(Vec<EntryFrame>),
     /// Forwards state reports of nodes.
-    Words(Vec<WordFrame>),
+    StateReports(Vec<StateReportFrame>),
 }
 
 /// Reply to a control request.
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DigestFrame {
     /// State of the sender. A starting node counts the digest for its startup only if the sender is serving.
-    pub word: WordFrame,
+    pub state_report: StateReportFrame,
     /// Digest of the sender's copy of the entries.
     pub digest: Digest,
     /// Revision of the sender's instance list.
@@ -130,7 +130,7 @@
 
 /// State report of a node, forwarded by other nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WordFrame {
+pub struct StateReportFrame {
     /// Node that made the report.
     pub node: SmolStr,
     /// Incarnation of the node.
@@ -168,7 +168,7 @@
     pub fn kind(&self) -> ControlKind {
         match self {
             Self::Greet(_) | Self::Announce(_) => ControlKind::Hello,
-            Self::Ping | Self::Words(_) => ControlKind::Report,
+            Self::Ping | Self::StateReports(_) => ControlKind::Report,
             Self::Refuse { .. } => ControlKind::Burn,
             Self::Digest(_) | Self::Versions(_) => ControlKind::Digest,
             Self::PullSince(_)
@@ -185,7 +185,7 @@
     pub fn sender(&self) -> Option<&SmolStr> {
         match self {
             Self::Greet(hello) | Self::Announce(hello) => Some(&hello.report.node),
-            Self::Digest(digest) => Some(&digest.word.node),
+            Self::Digest(digest) => Some(&digest.state_report.node),
             Self::News(news) => Some(&news.node),
             Self::Ping
             | Self::Refuse { .. }
@@ -194,7 +194,7 @@
             | Self::Versions(_)
             | Self::PullList(_)
             | Self::Entries(_)
-            | Self::Words(_) => None,
+            | Self::StateReports(_) => None,
         }
     }
 }
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -5,7 +5,7 @@
 use coltsfootport::wire::{
     CallFrame, ControlReply, ControlRequest, DigestFrame, EntryFrame, HeaderFrame, HelloFrame,
     NewsFrame, OnceFrame, PeerReply, PeerRequest, RefusalFrame, ReplyFrame, ReportFrame,
-    VerdictFrame, VersionFrame, WordFrame,
+    StateReportFrame, VerdictFrame, VersionFrame,
 };
 use coltsfootport_core::dissemination::{Digest, Revision};
 use coltsfootport_core::error_kind::ErrorKind;
@@ -68,8 +68,8 @@
     }
 }
 
-fn word() -> WordFrame {
-    WordFrame {
+fn state_report() -> StateReportFrame {
+    StateReportFrame {
         node: "bidding-1".into(),
         incarnation: 12,
         state: NodeState::Leaving,
@@ -145,7 +145,7 @@
         report: report(),
     };
     let digest = DigestFrame {
-        word: word(),
+        state_report: state_report(),
         digest: Digest {
             highest: Revision(21),
             complete: Revision(20),
@@ -182,7 +182,7 @@
         control("pull-list", ControlRequest::PullList(9)),
         control("news", ControlRequest::News(news)),
         control("entries", ControlRequest::Entries(vec![entry()])),
-        control("words", ControlRequest::Words(vec![word()])),
+        control("words", ControlRequest::StateReports(vec![state_report()])),
     ]
 }
 
--- a/crates/rig/tests/hostile_peers.rs
+++ b/crates/rig/tests/hostile_peers.rs
@@ -9,7 +9,7 @@
 use coltsfootport::wire::{
     CallFrame, ControlReply, ControlRequest, DigestFrame, EntryFrame, HeaderFrame, HelloFrame,
     NewsFrame, OnceFrame, PeerReply, PeerRequest, RefusalFrame, ReplyFrame, ReportFrame,
-    VerdictFrame, WordFrame, checksum,
+    StateReportFrame, VerdictFrame, checksum,
 };
 use coltsfootport_core::id::{Incarnation, NodeName, ServiceName};
 use coltsfootport_core::membership::NodeState;
@@ -146,7 +146,7 @@
 
 fn digest(node: &str) -> DigestFrame {
     DigestFrame {
-        word: WordFrame {
+        state_report: StateReportFrame {
             node: node.into(),
             incarnation: 1,
             state: NodeState::Serving,
@@ -208,7 +208,7 @@
     let fleet = fleet().await;
     let peer = insider(&fleet).await;
     let frame = Some("frame");
-    let far = |name: &str| WordFrame {
+    let far = |name: &str| StateReportFrame {
         node: name.into(),
         incarnation: 0,
         state: NodeState::Leaving,
@@ -258,7 +258,7 @@
         ),
         garbage(
             "far words",
-            control(ControlRequest::Words(vec![far("x")])),
+            control(ControlRequest::StateReports(vec![far("x")])),
             None,
         ),
         garbage(
@@ -414,14 +414,14 @@
     let pids = nodes.map(|name| fleet.member_mut(name).node().expect("a node").pid());
     let before = pids.map(common::resident);
     for batch in 0..4 {
-        let word = |i| WordFrame {
+        let word = |i| StateReportFrame {
             node: format!("invented-{batch}-{i}").into(),
             incarnation: 1,
             state: NodeState::Leaving,
             tick: 1,
         };
         let words = (0..8000).map(word).collect();
-        peer.control(ControlRequest::Words(words)).await;
+        peer.control(ControlRequest::StateReports(words)).await;
     }
     for i in 0..100 {
         let entry = EntryFrame {
