--- a/crates/node/src/spread/exchange.rs
+++ b/crates/node/src/spread/exchange.rs
@@ -96,7 +96,7 @@
         DigestFrame {
             state_report: StateReportFrame::from(&self.own_state_report()),
             digest: self.replica.digest(),
-            list: self.view.revision().0,
+            list_revision: self.view.revision().0,
             config_age_ms: self.config_reads.read_age(now).map(whole_millis),
             list_age_ms: self.list_reads.read_age(now).map(whole_millis),
         }
@@ -108,7 +108,7 @@
         let node = NodeName(theirs.state_report.node.clone());
         self.record_state_report(StateReport::from(theirs.state_report.clone()));
         self.record_peer_read_ages(theirs, now);
-        if theirs.list > self.view.revision().0 {
+        if theirs.list_revision > self.view.revision().0 {
             self.send_request(&node, ControlRequest::PullList(self.view.revision().0));
         }
         match self.replica.compare(&theirs.digest) {
--- a/crates/node/src/wire/control.rs
+++ b/crates/node/src/wire/control.rs
@@ -110,7 +110,7 @@
     /// Digest of the sender's copy of the entries.
     pub digest: Digest,
     /// Revision of the sender's instance list.
-    pub list: u64,
+    pub list_revision: u64,
     /// Milliseconds since the last read of the configuration service that the sender knows of.
     pub config_age_ms: Option<u64>,
     /// Milliseconds since the last read of the instance list that the sender knows of.
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -152,7 +152,7 @@
             count: 2,
             hash: 5,
         },
-        list: 9,
+        list_revision: 9,
         config_age_ms: Some(100),
         list_age_ms: None,
     };
--- a/crates/rig/tests/hostile_peers.rs
+++ b/crates/rig/tests/hostile_peers.rs
@@ -153,7 +153,7 @@
             tick: u64::MAX,
         },
         digest: Default::default(),
-        list: u64::MAX,
+        list_revision: u64::MAX,
         config_age_ms: Some(u64::MAX),
         list_age_ms: Some(u64::MAX),
     }
