--- a/crates/node/src/wire/call_frame.rs
+++ b/crates/node/src/wire/call_frame.rs
@@ -24,7 +24,7 @@
     /// Id of the attempt, repeated in the reply.
     pub attempt: u64,
     /// Number of this attempt by the entry, starting at 1.
-    pub sending: u16,
+    pub attempt_number: u16,
     /// Service that is called.
     pub service: SmolStr,
     /// HTTP method.
@@ -73,7 +73,7 @@
             stamp,
             request: call.request.0,
             attempt: call.attempt.0,
-            sending: call.attempt_number,
+            attempt_number: call.attempt_number,
             service: call.service.0.clone(),
             method: SmolStr::new(call.method.as_str()),
             path: call.path.to_string(),
@@ -105,7 +105,7 @@
         Ok(Call {
             request: RequestId(self.request),
             attempt: AttemptId(self.attempt),
-            attempt_number: self.sending,
+            attempt_number: self.attempt_number,
             service: ServiceName(self.service),
             method: Method::try_from(self.method.as_str()).map_err(|_| FrameError::Malformed)?,
             path: self.path,
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -89,7 +89,7 @@
         stamp: STAMP,
         request: 1,
         attempt: 2,
-        sending: 1,
+        attempt_number: 1,
         service: "bidding".into(),
         method: "POST".into(),
         path: "/bids?lot=7".into(),
--- a/crates/rig/tests/hostile_peers.rs
+++ b/crates/rig/tests/hostile_peers.rs
@@ -96,7 +96,7 @@
         stamp: Stamp::default(),
         request: 1,
         attempt: 1,
-        sending: 1,
+        attempt_number: 1,
         service: "bidding".into(),
         method: "POST".into(),
         path: "/bids".into(),
