--- a/crates/node/src/mesh/link/body_stream.rs
+++ b/crates/node/src/mesh/link/body_stream.rs
@@ -43,7 +43,9 @@
             chunk = rx.recv() => chunk,
             () = conn.closed() => return Ok(false),
         };
-        let chunk = chunk.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
+        let chunk = chunk
+            .transpose()
+            .map_err(|BodyTruncated| FrameError::Truncated)?;
         let is_end = chunk.is_none();
         let chunk = chunk.unwrap_or_default();
         if !conn.write_chunk_unless_answered(&chunk).await? {
@@ -65,9 +67,11 @@
     loop {
         let chunk = tokio::select! {
             chunk = rx.recv() => chunk,
-            () = conn.closed() => return Err(FrameError::Cut),
+            () = conn.closed() => return Err(FrameError::Truncated),
         };
-        let chunk = chunk.transpose().map_err(|BodyTruncated| FrameError::Cut)?;
+        let chunk = chunk
+            .transpose()
+            .map_err(|BodyTruncated| FrameError::Truncated)?;
         let is_end = chunk.is_none();
         conn.write_chunk(&chunk.unwrap_or_default()).await?;
         if is_end {
--- a/crates/node/src/mesh/link/conn.rs
+++ b/crates/node/src/mesh/link/conn.rs
@@ -160,7 +160,7 @@
                 .await
                 .map_err(connection_lost)?;
             if read == 0 {
-                return Err(FrameError::Cut);
+                return Err(FrameError::Truncated);
             }
         }
         Ok(())
@@ -184,7 +184,7 @@
 impl From<WriteError> for FrameError {
     fn from(error: WriteError) -> Self {
         match error {
-            WriteError::NothingSent | WriteError::ConnectionLost => Self::Cut,
+            WriteError::NothingSent | WriteError::ConnectionLost => Self::Truncated,
             WriteError::Head(e) => e,
         }
     }
@@ -212,5 +212,5 @@
 }
 
 fn connection_lost(_: io::Error) -> FrameError {
-    FrameError::Cut
+    FrameError::Truncated
 }
--- a/crates/node/src/mesh/link/rpc.rs
+++ b/crates/node/src/mesh/link/rpc.rs
@@ -24,12 +24,15 @@
 {
     // The failure detector has already found that the peer is paused, disconnected or powered off.
     if links.peer(node).is_silent() {
-        return Err(FrameError::Cut);
+        return Err(FrameError::Truncated);
     }
     let exchange = async {
         let mut link = match links.take_idle(node) {
             Some(link) => link,
-            None => links.connect(node).await.map_err(|_| FrameError::Cut)?,
+            None => links
+                .connect(node)
+                .await
+                .map_err(|_| FrameError::Truncated)?,
         };
         link.conn.write(head, &[]).await.map_err(FrameError::from)?;
         let answer = link.conn.read_head(MAX_HEAD).await?;
@@ -38,5 +41,5 @@
     };
     timeout(ANSWER_TIMEOUT, exchange)
         .await
-        .unwrap_or(Err(FrameError::Cut))
+        .unwrap_or(Err(FrameError::Truncated))
 }
--- a/crates/node/src/mesh/link/server.rs
+++ b/crates/node/src/mesh/link/server.rs
@@ -73,7 +73,7 @@
         let can_reuse = match head {
             Ok(head) => handle(&mut conn, head, &ctx).await,
             // The peer closed the connection between two requests.
-            Err(FrameError::Cut) => return,
+            Err(FrameError::Truncated) => return,
             Err(e) => Err(e),
         };
         match can_reuse {
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -88,7 +88,7 @@
             }
             if !self.is_alive(received).await {
                 self.close();
-                return Err(LinkError::Lost(FrameError::Cut));
+                return Err(LinkError::Lost(FrameError::Truncated));
             }
             received = self.datagrams_received();
         }
@@ -121,10 +121,10 @@
     fn validate_reply(&self, frame: &ReplyFrame, call: &Call) -> Result<(), FrameError> {
         let sent_report = |node: &NodeName| node.0 == frame.report.node;
         if !self.node.as_ref().is_none_or(sent_report) {
-            return Err(FrameError::Name);
+            return Err(FrameError::SenderMismatch);
         }
         if frame.attempt != call.attempt.0 || frame.allowance_left > call.allowance {
-            return Err(FrameError::Reply);
+            return Err(FrameError::ReplyMismatch);
         }
         Ok(())
     }
@@ -163,7 +163,7 @@
     ) -> Result<ControlReply, LinkError> {
         tokio::time::timeout(timeout, self.exchange_control(request))
             .await
-            .unwrap_or(Err(LinkError::Lost(FrameError::Cut)))
+            .unwrap_or(Err(LinkError::Lost(FrameError::Truncated)))
     }
 
     async fn exchange_control(&self, request: ControlRequest) -> Result<ControlReply, LinkError> {
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -140,7 +140,7 @@
     // Without the timeout a peer that stops halfway would hold its permit and buffer forever, and enough such streams would
     // exhaust the permits of all peers.
     let reading = timeout(services.frame_timeout, read_request(&mut rx, &services)).await;
-    match reading.unwrap_or(Err(FrameError::Slow))? {
+    match reading.unwrap_or(Err(FrameError::Timeout))? {
         // Boxed so that the task of a stream whose frame has not arrived yet stays small.
         IncomingRequest::Call(frame, body) => {
             Box::pin(serve_call(*frame, body, tx, services)).await
@@ -150,7 +150,7 @@
             if sender
                 .is_some_and(|sender| !identity.is_some_and(|identity| identity.is_node(&sender)))
             {
-                return Err(FrameError::Name);
+                return Err(FrameError::SenderMismatch);
             }
             Box::pin(serve_control(request, tx, services)).await
         }
@@ -188,7 +188,7 @@
         _ = tx.stopped() => None,
     };
     let Some(reply) = reply else {
-        return Err(FrameError::Cut);
+        return Err(FrameError::Truncated);
     };
     let body = reply.body();
     let head = PeerReply::Call(Box::new(ReplyFrame::new(&reply, services.recorder.stamp())));
@@ -213,7 +213,7 @@
     let reply = match request {
         ControlRequest::Greet(hello) => {
             services.record_hello(hello);
-            let report = services.host.report().await.ok_or(FrameError::Cut)?;
+            let report = services.host.report().await.ok_or(FrameError::Truncated)?;
             ControlReply::Hello(HelloFrame::new(&report, services.recorder.stamp()))
         }
         ControlRequest::Ping => ControlReply::Done,
@@ -231,7 +231,7 @@
     let writing = write_frame(&mut tx, &reply, Bytes::new());
     let bytes_sent = timeout(REPLY_DELIVERY_TIMEOUT, writing)
         .await
-        .unwrap_or(Err(FrameError::Slow))?;
+        .unwrap_or(Err(FrameError::Timeout))?;
     services.metrics.control.sent(kind, bytes_sent);
     Ok(())
 }
--- a/crates/node/src/wire/frame.rs
+++ b/crates/node/src/wire/frame.rs
@@ -30,7 +30,7 @@
 pub enum FrameError {
     /// The stream ended or was reset inside a frame.
     #[error("the stream ended inside a frame")]
-    Cut,
+    Truncated,
     /// A head or body exceeds its size limit; contains its length.
     #[error("a frame of {0} bytes exceeds the size limit")]
     TooLarge(usize),
@@ -42,38 +42,38 @@
     Checksum,
     /// The frame did not arrive within the time limit.
     #[error("the frame did not arrive in time")]
-    Slow,
+    Timeout,
     /// The node name in the frame differs from the name in the sender's certificate.
     #[error("the node name in the frame does not match the sender's certificate")]
-    Name,
+    SenderMismatch,
     /// The reply belongs to another attempt, or returns a larger retry allowance than it was granted.
     #[error("the reply does not belong to the call")]
-    Reply,
+    ReplyMismatch,
 }
 
 impl FrameError {
     /// Returns the metrics label for a rejected frame; `None` if only the peer or the network failed.
     pub fn rejected(&self) -> Option<Rejected> {
         match self {
-            Self::Cut => None,
-            Self::TooLarge(_) | Self::Malformed | Self::Checksum | Self::Slow => {
+            Self::Truncated => None,
+            Self::TooLarge(_) | Self::Malformed | Self::Checksum | Self::Timeout => {
                 Some(Rejected::Frame)
             }
-            Self::Name => Some(Rejected::Name),
-            Self::Reply => Some(Rejected::Reply),
+            Self::SenderMismatch => Some(Rejected::Name),
+            Self::ReplyMismatch => Some(Rejected::Reply),
         }
     }
 }
 
 impl From<ReadExactError> for FrameError {
     fn from(_: ReadExactError) -> Self {
-        Self::Cut
+        Self::Truncated
     }
 }
 
 impl From<WriteError> for FrameError {
     fn from(_: WriteError) -> Self {
-        Self::Cut
+        Self::Truncated
     }
 }
 
