--- a/crates/node/src/h1.rs
+++ b/crates/node/src/h1.rs
@@ -21,17 +21,17 @@
 pub enum H1Error {
     /// A head can't be parsed.
     #[error("the head is not valid HTTP/1.1")]
-    Head,
+    InvalidHead,
     /// A head exceeds its size limit or has too many header lines.
     #[error("the head is too large")]
     HeadTooLarge,
     /// The headers that delimit a body are invalid or contradict each other.
     #[error("the body's framing is ambiguous")]
-    Framing,
+    AmbiguousFraming,
     /// A chunk can't be parsed.
     #[error("a chunk is malformed")]
-    Chunk,
+    InvalidChunk,
     /// The connection ended inside a head or body.
     #[error("the connection ended inside a head or body")]
-    Cut,
+    Truncated,
 }
--- a/crates/node/src/h1/decoder.rs
+++ b/crates/node/src/h1/decoder.rs
@@ -114,7 +114,7 @@
                 self.state = State::Done;
                 Ok(())
             }
-            _ => Err(H1Error::Cut),
+            _ => Err(H1Error::Truncated),
         }
     }
 
@@ -122,13 +122,13 @@
     fn consume_line(&mut self, buf: &mut BytesMut) -> Result<bool, H1Error> {
         let Some(end) = buf.iter().position(|b| *b == b'\n') else {
             return match buf.len() > MAX_LINE {
-                true => Err(H1Error::Chunk),
+                true => Err(H1Error::InvalidChunk),
                 false => Ok(false),
             };
         };
         let line = buf.split_to(end + 1);
         let Some(text) = line.strip_suffix(b"\r\n") else {
-            return Err(H1Error::Chunk);
+            return Err(H1Error::InvalidChunk);
         };
         self.state = match self.state {
             State::ChunkSize => match chunk_size(&line)? {
@@ -136,7 +136,7 @@
                 size => State::ChunkData(size),
             },
             State::ChunkEnd if text.is_empty() => State::ChunkSize,
-            State::ChunkEnd => return Err(H1Error::Chunk),
+            State::ChunkEnd => return Err(H1Error::InvalidChunk),
             _ if text.is_empty() => State::Done,
             other => other,
         };
@@ -155,6 +155,6 @@
 fn chunk_size(line: &[u8]) -> Result<u64, H1Error> {
     match httparse::parse_chunk_size(line) {
         Ok(httparse::Status::Complete((_, size))) => Ok(size),
-        _ => Err(H1Error::Chunk),
+        _ => Err(H1Error::InvalidChunk),
     }
 }
--- a/crates/node/src/h1/framing.rs
+++ b/crates/node/src/h1/framing.rs
@@ -27,7 +27,7 @@
 pub fn request_framing(headers: &HeaderMap) -> Result<Framing, H1Error> {
     match (chunked(headers)?, length(headers)?) {
         (true, None) => Ok(Framing::Chunked),
-        (true, Some(_)) => Err(H1Error::Framing),
+        (true, Some(_)) => Err(H1Error::AmbiguousFraming),
         (false, length) => Ok(Framing::Length(length.unwrap_or(0))),
     }
 }
@@ -48,7 +48,7 @@
     }
     match (chunked(headers)?, length(headers)?) {
         (true, None) => Ok(Framing::Chunked),
-        (true, Some(_)) => Err(H1Error::Framing),
+        (true, Some(_)) => Err(H1Error::AmbiguousFraming),
         (false, Some(length)) => Ok(Framing::Length(length)),
         (false, None) => Ok(Framing::UntilClose),
     }
@@ -62,7 +62,7 @@
     let is_only_value = values.next().is_none();
     match is_only_value && first.as_bytes().eq_ignore_ascii_case(b"chunked") {
         true => Ok(true),
-        false => Err(H1Error::Framing),
+        false => Err(H1Error::AmbiguousFraming),
     }
 }
 
@@ -72,12 +72,14 @@
         return Ok(None);
     };
     if values.any(|other| other != first) {
-        return Err(H1Error::Framing);
+        return Err(H1Error::AmbiguousFraming);
     }
     let digits = first.as_bytes();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(H1Error::Framing);
+        return Err(H1Error::AmbiguousFraming);
     }
-    let text = std::str::from_utf8(digits).map_err(|_| H1Error::Framing)?;
-    text.parse().map(Some).map_err(|_| H1Error::Framing)
+    let text = std::str::from_utf8(digits).map_err(|_| H1Error::AmbiguousFraming)?;
+    text.parse()
+        .map(Some)
+        .map_err(|_| H1Error::AmbiguousFraming)
 }
--- a/crates/node/src/h1/head.rs
+++ b/crates/node/src/h1/head.rs
@@ -62,12 +62,12 @@
     if size > max {
         return Err(H1Error::HeadTooLarge);
     }
-    let method = parsed.method.ok_or(H1Error::Head)?;
-    let target = parsed.path.ok_or(H1Error::Head)?;
+    let method = parsed.method.ok_or(H1Error::InvalidHead)?;
+    let target = parsed.path.ok_or(H1Error::InvalidHead)?;
     let is_http_1_1 = parsed.version == Some(1);
     let headers = header_map(parsed.headers)?;
     let head = RequestHead {
-        method: Method::from_bytes(method.as_bytes()).map_err(|_| H1Error::Head)?,
+        method: Method::from_bytes(method.as_bytes()).map_err(|_| H1Error::InvalidHead)?,
         target: SmolStr::new(target),
         keep_alive: keeps_alive(&headers, is_http_1_1),
         takes_chunks: is_http_1_1,
@@ -92,11 +92,11 @@
     if size > max {
         return Err(H1Error::HeadTooLarge);
     }
-    let status = parsed.code.ok_or(H1Error::Head)?;
+    let status = parsed.code.ok_or(H1Error::InvalidHead)?;
     let is_http_1_1 = parsed.version == Some(1);
     let headers = header_map(parsed.headers)?;
     let head = AnswerHead {
-        status: StatusCode::from_u16(status).map_err(|_| H1Error::Head)?,
+        status: StatusCode::from_u16(status).map_err(|_| H1Error::InvalidHead)?,
         keep_alive: keeps_alive(&headers, is_http_1_1),
         headers,
     };
@@ -121,15 +121,16 @@
 fn parse_error(e: httparse::Error) -> H1Error {
     match e {
         httparse::Error::TooManyHeaders => H1Error::HeadTooLarge,
-        _ => H1Error::Head,
+        _ => H1Error::InvalidHead,
     }
 }
 
 fn header_map(lines: &[httparse::Header<'_>]) -> Result<HeaderMap, H1Error> {
     let mut headers = HeaderMap::with_capacity(lines.len());
     for line in lines {
-        let name = HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| H1Error::Head)?;
-        let value = HeaderValue::from_bytes(line.value).map_err(|_| H1Error::Head)?;
+        let name =
+            HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| H1Error::InvalidHead)?;
+        let value = HeaderValue::from_bytes(line.value).map_err(|_| H1Error::InvalidHead)?;
         headers.append(name, value);
     }
     Ok(headers)
--- a/crates/node/src/mesh/target/exchange.rs
+++ b/crates/node/src/mesh/target/exchange.rs
@@ -200,7 +200,7 @@
             self.reusable = false;
             self.discard_body(&head).await?;
         }
-        Err(H1Error::Head.into())
+        Err(H1Error::InvalidHead.into())
     }
 
     async fn next_head(&mut self) -> Result<AnswerHead, ExchangeError> {
@@ -228,7 +228,7 @@
     async fn discard_body(&mut self, head: &AnswerHead) -> Result<(), ExchangeError> {
         let framing = answer_framing(&Method::GET, head.status, &head.headers)?;
         if framing == Framing::UntilClose {
-            return Err(H1Error::Framing.into());
+            return Err(H1Error::AmbiguousFraming.into());
         }
         let mut decoder = BodyDecoder::new(framing);
         loop {
@@ -263,7 +263,7 @@
                     }
                     Ok(_) => {}
                     // A reset does not mark the end of the body: the rest may be missing.
-                    Err(_) => return Err(H1Error::Cut.into()),
+                    Err(_) => return Err(H1Error::Truncated.into()),
                 },
             }
         }
@@ -272,7 +272,7 @@
     async fn fill(&mut self) -> Result<(), ExchangeError> {
         let partial = !self.buf.is_empty();
         match self.read_some().await {
-            Ok(0) if partial => Err(H1Error::Cut.into()),
+            Ok(0) if partial => Err(H1Error::Truncated.into()),
             Ok(0) => Err(ExchangeError::ConnectionClosed(
                 io::ErrorKind::UnexpectedEof.into(),
             )),
--- a/crates/node/tests/h1.rs
+++ b/crates/node/tests/h1.rs
@@ -103,31 +103,31 @@
         },
         Case {
             headers: "Content-Length: 7\r\nContent-Length: 8\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 7\r\nTransfer-Encoding: chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Transfer-Encoding: gzip, chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: +7\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 7, 7\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 99999999999999999999999\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
     ];
     for case in cases {
@@ -176,7 +176,11 @@
         let mut decoder = BodyDecoder::new(framing);
         let mut buf = BytesMut::from(text);
         while matches!(decoder.decode(&mut buf), Ok(Decoded::Data(_))) {}
-        assert_eq!(decoder.finish(), Err(H1Error::Cut), "{framing:?} {text:?}");
+        assert_eq!(
+            decoder.finish(),
+            Err(H1Error::Truncated),
+            "{framing:?} {text:?}"
+        );
     }
 }
 
