--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -157,7 +157,7 @@
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge => ErrorKind::TooLarge,
-                BodyError::Cut => ErrorKind::BadRequest,
+                BodyError::Truncated => ErrorKind::BadRequest,
             })?;
         Ok(InboundCall {
             service,
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -16,7 +16,7 @@
     TooLarge,
     /// The sender ended the body early or violated the framing.
     #[error("the body is incomplete")]
-    Cut,
+    Truncated,
 }
 
 /// Reads a body to its end; fails if it exceeds `limit` bytes.
@@ -52,7 +52,7 @@
     fn from(e: Box<dyn Error + Send + Sync>) -> Self {
         match e.is::<LengthLimitError>() {
             true => Self::TooLarge,
-            false => Self::Cut,
+            false => Self::Truncated,
         }
     }
 }
