--- a/crates/node/src/h1.rs
+++ b/crates/node/src/h1.rs
@@ -1,8 +1,8 @@
 //! Parsing and encoding of HTTP/1.1 heads and bodies.
 //!
 //! HTTP server libraries process the requests of a connection one after the other, and client libraries hide the bytes
-//! that follow an answer. A node has to read ahead on pipelined connections and to detect late, surplus and truncated
-//! answers, so it parses the byte stream itself; heads and chunk sizes are parsed by `httparse`.
+//! that follow a response. A node has to read ahead on pipelined connections and to detect late, surplus and truncated
+//! responses, so it parses the byte stream itself; heads and chunk sizes are parsed by `httparse`.
 
 mod decoder;
 mod encode;
@@ -11,9 +11,9 @@
 mod hop;
 
 pub use decoder::{BodyDecoder, Decoded};
-pub use encode::{LAST_CHUNK, answer_head, chunk, request_head};
-pub use framing::{Framing, answer_framing, request_framing};
-pub use head::{AnswerHead, RequestHead, parse_answer, parse_request};
+pub use encode::{LAST_CHUNK, encode_chunk, encode_request_head, encode_response_head};
+pub use framing::{Framing, request_framing, response_framing};
+pub use head::{RequestHead, ResponseHead, parse_request, parse_response};
 pub use hop::{is_hop_by_hop, named_by_connection, strip_hop_by_hop};
 
 /// Error for input that is not valid HTTP/1.1 or not safe to forward.
--- a/crates/node/src/h1/encode.rs
+++ b/crates/node/src/h1/encode.rs
@@ -14,7 +14,7 @@
 const HEAD_CAPACITY: usize = 512;
 
 /// Encodes the head of a request, including the framing of its body.
-pub fn request_head(head: &RequestHead, framing: Framing) -> BytesMut {
+pub fn encode_request_head(head: &RequestHead, framing: Framing) -> BytesMut {
     let mut buf = BytesMut::with_capacity(HEAD_CAPACITY);
     buf.put_slice(head.method.as_str().as_bytes());
     buf.put_u8(b' ');
@@ -29,8 +29,8 @@
     buf
 }
 
-/// Encodes the head of an answer, including the framing of its body.
-pub fn answer_head(status: StatusCode, headers: &HeaderMap, framing: Framing) -> BytesMut {
+/// Encodes the head of a response, including the framing of its body.
+pub fn encode_response_head(status: StatusCode, headers: &HeaderMap, framing: Framing) -> BytesMut {
     let mut buf = BytesMut::with_capacity(HEAD_CAPACITY);
     let reason = status.canonical_reason().unwrap_or("Unknown");
     let mut writer = (&mut buf).writer();
@@ -45,7 +45,7 @@
 }
 
 /// Encodes one chunk of a body.
-pub fn chunk(data: &Bytes) -> BytesMut {
+pub fn encode_chunk(data: &Bytes) -> BytesMut {
     let mut buf = BytesMut::with_capacity(data.len() + 16);
     let mut writer = (&mut buf).writer();
     let _ = write!(writer, "{:x}\r\n", data.len());
--- a/crates/node/src/h1/framing.rs
+++ b/crates/node/src/h1/framing.rs
@@ -32,12 +32,12 @@
     }
 }
 
-/// Determines the framing of an answer body.
+/// Determines the framing of a response body.
 ///
 /// # Errors
 ///
 /// Fails if the framing is ambiguous.
-pub fn answer_framing(
+pub fn response_framing(
     method: &Method,
     status: StatusCode,
     headers: &HeaderMap,
--- a/crates/node/src/h1/head.rs
+++ b/crates/node/src/h1/head.rs
@@ -1,4 +1,4 @@
-//! Parsing of request and answer heads.
+//! Parsing of request and response heads.
 
 use bytes::{Buf, BytesMut};
 use http::header::CONNECTION;
@@ -25,9 +25,9 @@
     pub takes_chunks: bool,
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: StatusCode,
     /// Header lines.
@@ -77,12 +77,12 @@
     Ok(Some(head))
 }
 
-/// Parses an answer head and removes it from the front of `buf`; returns `None` if it is incomplete.
+/// Parses a response head and removes it from the front of `buf`; returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
 /// Fails if the bytes are not a valid head, or if the head exceeds `max` bytes.
-pub fn parse_answer(buf: &mut BytesMut, max: usize) -> Result<Option<AnswerHead>, H1Error> {
+pub fn parse_response(buf: &mut BytesMut, max: usize) -> Result<Option<ResponseHead>, H1Error> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let size = match parsed.parse(buf).map_err(parse_error)? {
@@ -95,7 +95,7 @@
     let status = parsed.code.ok_or(H1Error::InvalidHead)?;
     let is_http_1_1 = parsed.version == Some(1);
     let headers = header_map(parsed.headers)?;
-    let head = AnswerHead {
+    let head = ResponseHead {
         status: StatusCode::from_u16(status).map_err(|_| H1Error::InvalidHead)?,
         keep_alive: keeps_alive(&headers, is_http_1_1),
         headers,
--- a/crates/node/src/mesh/callers/writer.rs
+++ b/crates/node/src/mesh/callers/writer.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::slot::{ConnectionState, ResponseSlot};
-use crate::h1::{Framing, LAST_CHUNK, answer_head, chunk};
+use crate::h1::{Framing, LAST_CHUNK, encode_chunk, encode_response_head};
 use crate::mesh::call::{Body, BodyTruncated, CallerAnswer};
 
 /// Writes responses in request order.
@@ -122,7 +122,7 @@
                 .headers
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        let mut buf = answer_head(answer.status, &answer.headers, framing);
+        let mut buf = encode_response_head(answer.status, &answer.headers, framing);
         match answer.body {
             Body::Whole(bytes) => {
                 if !head_only {
@@ -147,7 +147,7 @@
     async fn write_chunk(&mut self, bytes: Bytes, framing: Framing) -> Result<(), WriteError> {
         match framing {
             Framing::Chunked if bytes.is_empty() => {}
-            Framing::Chunked => self.write.write_all(&chunk(&bytes)).await?,
+            Framing::Chunked => self.write.write_all(&encode_chunk(&bytes)).await?,
             _ => self.write.write_all(&bytes).await?,
         }
         Ok(())
--- a/crates/node/src/mesh/target/exchange.rs
+++ b/crates/node/src/mesh/target/exchange.rs
@@ -13,8 +13,8 @@
 use super::connection::READ_SIZE;
 use super::{TargetConn, TargetPool, WireRequest};
 use crate::h1::{
-    AnswerHead, BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, answer_framing, chunk,
-    parse_answer, request_head, strip_hop_by_hop,
+    BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, ResponseHead, encode_chunk,
+    encode_request_head, parse_response, response_framing, strip_hop_by_hop,
 };
 use crate::mesh::call::{
     BODY_CHANNEL_CAPACITY, Body, BodyTruncated, MAX_BODY_CHUNK, MAX_BUFFERED_BODY, TargetAnswer,
@@ -92,7 +92,7 @@
         }
     };
     let request_complete = sender.sent;
-    let framing = answer_framing(&method, head.status, &head.headers)?;
+    let framing = response_framing(&method, head.status, &head.headers)?;
     let reusable =
         reader.reusable && request_complete && head.keep_alive && framing != Framing::UntilClose;
     let mut decoder = BodyDecoder::new(framing);
@@ -151,19 +151,19 @@
         match body {
             Body::Whole(bytes) => {
                 let framing = Framing::Length(bytes.len() as u64);
-                let mut buf = request_head(&req.head, framing);
+                let mut buf = encode_request_head(&req.head, framing);
                 buf.extend_from_slice(&bytes);
                 self.write.write_all(&buf).await?;
             }
             Body::Stream { length, mut rx } => {
                 let framing = length.map_or(Framing::Chunked, Framing::Length);
                 self.write
-                    .write_all(&request_head(&req.head, framing))
+                    .write_all(&encode_request_head(&req.head, framing))
                     .await?;
                 while let Some(piece) = rx.recv().await {
                     let piece = piece.map_err(|BodyTruncated| SendError::RequestTruncated)?;
                     match framing {
-                        Framing::Chunked => self.write.write_all(&chunk(&piece)).await?,
+                        Framing::Chunked => self.write.write_all(&encode_chunk(&piece)).await?,
                         _ => self.write.write_all(&piece).await?,
                     }
                 }
@@ -191,7 +191,7 @@
     /// A target may send a response twice, with the second copy arriving where the next response is expected. It
     /// carries the id of its own request and would reach the wrong caller if passed on, so such stale responses are
     /// read and discarded.
-    async fn head(&mut self) -> Result<AnswerHead, ExchangeError> {
+    async fn head(&mut self) -> Result<ResponseHead, ExchangeError> {
         for _ in 0..MAX_STALE_RESPONSES {
             let head = self.next_head().await?;
             if self.matches_request(&head) {
@@ -203,9 +203,9 @@
         Err(H1Error::InvalidHead.into())
     }
 
-    async fn next_head(&mut self) -> Result<AnswerHead, ExchangeError> {
+    async fn next_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
-            match parse_answer(self.buf, MAX_HEAD)? {
+            match parse_response(self.buf, MAX_HEAD)? {
                 // Interim responses such as 100 say nothing about the outcome.
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(head),
@@ -214,7 +214,7 @@
         }
     }
 
-    fn matches_request(&self, head: &AnswerHead) -> bool {
+    fn matches_request(&self, head: &ResponseHead) -> bool {
         match head.headers.get(self.dialect.request_id) {
             Some(id) => id.as_bytes() == self.id.as_bytes(),
             // A response without an id is valid only for a request without one, or for one that the target could not
@@ -225,8 +225,8 @@
         }
     }
 
-    async fn discard_body(&mut self, head: &AnswerHead) -> Result<(), ExchangeError> {
-        let framing = answer_framing(&Method::GET, head.status, &head.headers)?;
+    async fn discard_body(&mut self, head: &ResponseHead) -> Result<(), ExchangeError> {
+        let framing = response_framing(&Method::GET, head.status, &head.headers)?;
         if framing == Framing::UntilClose {
             return Err(H1Error::AmbiguousFraming.into());
         }
--- a/crates/node/tests/h1.rs
+++ b/crates/node/tests/h1.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 
 use coltsfootport::h1::{
-    BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, answer_framing, chunk, parse_answer,
-    parse_request, request_framing, strip_hop_by_hop,
+    BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, encode_chunk, parse_request,
+    parse_response, request_framing, response_framing, strip_hop_by_hop,
 };
 
 const MAX: usize = 16 * 1024;
@@ -143,7 +143,7 @@
 #[test]
 fn answers_without_a_length_end_with_their_connection() {
     let framing = |status, text: &str| {
-        answer_framing(
+        response_framing(
             &Method::GET,
             StatusCode::from_u16(status).expect("a status"),
             &headers(text),
@@ -205,7 +205,7 @@
     ) {
         let mut wire = Vec::new();
         for piece in &pieces {
-            wire.extend_from_slice(&chunk(&Bytes::from(piece.clone())));
+            wire.extend_from_slice(&encode_chunk(&Bytes::from(piece.clone())));
         }
         wire.extend_from_slice(LAST_CHUNK);
         wire.extend_from_slice(b"NEXT");
@@ -231,7 +231,7 @@
     ) {
         let (framing, wire) = match framing {
             Framing::Chunked => {
-                let mut wire = chunk(&Bytes::from(body.clone())).to_vec();
+                let mut wire = encode_chunk(&Bytes::from(body.clone())).to_vec();
                 wire.extend_from_slice(LAST_CHUNK);
                 (framing, wire)
             }
@@ -251,7 +251,7 @@
     #[test]
     fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&mut BytesMut::from(&bytes[..]), 200);
-        let _ = parse_answer(&mut BytesMut::from(&bytes[..]), 200);
+        let _ = parse_response(&mut BytesMut::from(&bytes[..]), 200);
         let mut buf = BytesMut::from(&bytes[..]);
         let mut decoder = BodyDecoder::new(Framing::Chunked);
         let mut read = 0;
