--- a/crates/node/src/entry/caller_response.rs
+++ b/crates/node/src/entry/caller_response.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use crate::data::Verdict;
-use crate::http::{HttpAnswer, answer_target, names, refuse};
+use crate::http::{ResponseBody, names, refusal_response, target_response};
 
 /// Final response to a caller.
 #[derive(Clone, Debug)]
@@ -62,10 +62,10 @@
     }
 
     /// Converts the response to HTTP.
-    pub fn into_response(self) -> Response<HttpAnswer> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let mut res = match self.verdict {
-            Verdict::Answered(answer) => answer_target(answer),
-            Verdict::Refused(refused) => refuse(refused),
+            Verdict::Answered(answer) => target_response(answer),
+            Verdict::Refused(refused) => refusal_response(refused),
         };
         if let Ok(value) = HeaderValue::from_str(&self.request.to_string()) {
             res.headers_mut().insert(names::REQUEST, value);
--- a/crates/node/src/entry/prepare.rs
+++ b/crates/node/src/entry/prepare.rs
@@ -10,7 +10,7 @@
 
 use super::{EntryService, InboundCall, Origin, RetryBudget};
 use crate::data::{AttemptId, Call, OnceCall};
-use crate::http::{end_to_end, names};
+use crate::http::{end_to_end_headers, names};
 use crate::spread::DocumentInForce;
 
 /// Classified call with its retry budget and, if given, its token.
@@ -43,7 +43,7 @@
             service: inbound.service.clone(),
             method: inbound.method.clone(),
             path: inbound.path.clone(),
-            headers: end_to_end(&inbound.headers),
+            headers: end_to_end_headers(&inbound.headers),
             class: class.class,
             class_name: class.name,
             operation: operation_key(profile.operation),
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -20,7 +20,7 @@
 use crate::clock::{SharedClock, micros};
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, GateHandle, OwnCall};
-use crate::http::{BodyError, CallerConnection, HttpAnswer, names, read_whole};
+use crate::http::{BodyError, CallerConnection, ResponseBody, names, read_to_end};
 use crate::metrics::{Listener, Metrics, Rejected};
 use crate::recorder::Recorder;
 use crate::spread::Published;
@@ -68,7 +68,7 @@
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
-    ) -> Response<HttpAnswer> {
+    ) -> Response<ResponseBody> {
         self.serve(req, connection, Listener::Callers).await
     }
 
@@ -77,7 +77,7 @@
         self,
         req: Request<Incoming>,
         connection: CallerConnection,
-    ) -> Response<HttpAnswer> {
+    ) -> Response<ResponseBody> {
         self.serve(req, connection, Listener::Egress).await
     }
 
@@ -86,7 +86,7 @@
         req: Request<Incoming>,
         connection: CallerConnection,
         listener: Listener,
-    ) -> Response<HttpAnswer> {
+    ) -> Response<ResponseBody> {
         if req.uri().path() == TOKENS_PATH {
             return Box::pin(self.serve_tokens(&req)).await;
         }
@@ -98,7 +98,7 @@
         req: Request<Incoming>,
         connection: CallerConnection,
         listener: Listener,
-    ) -> Response<HttpAnswer> {
+    ) -> Response<ResponseBody> {
         let started = self.clock.now();
         let identity = identity_of(req.headers());
         let ClassifiedResponse { class, response } = match self.call_slots.try_acquire() {
@@ -153,7 +153,7 @@
     async fn read(&self, req: Request<Incoming>) -> Result<InboundCall, ErrorKind> {
         let (parts, body) = req.into_parts();
         let (service, path) = InboundCall::split_uri(&parts.uri)?;
-        let body = read_whole(body, self.limits.body_bytes)
+        let body = read_to_end(body, self.limits.body_bytes)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge => ErrorKind::TooLarge,
--- a/crates/node/src/entry/token_endpoint.rs
+++ b/crates/node/src/entry/token_endpoint.rs
@@ -8,20 +8,20 @@
 
 use super::EntryService;
 use crate::data::Refused;
-use crate::http::{HttpAnswer, json, refuse};
+use crate::http::{ResponseBody, json_response, refusal_response};
 
 impl EntryService {
     /// Handles `POST /coltsfootport/tokens?service=S&count=N`.
-    pub(super) async fn serve_tokens(&self, req: &Request<Incoming>) -> Response<HttpAnswer> {
+    pub(super) async fn serve_tokens(&self, req: &Request<Incoming>) -> Response<ResponseBody> {
         if req.method() != Method::POST {
-            return refuse(Refused::from(ErrorKind::BadRequest));
+            return refusal_response(Refused::from(ErrorKind::BadRequest));
         }
         let query = TokenQuery::parse(req.uri().query().unwrap_or_default());
         let Some(query) = query else {
-            return refuse(Refused::from(ErrorKind::BadRequest));
+            return refusal_response(Refused::from(ErrorKind::BadRequest));
         };
         if let Err(kind) = self.document(&query.service) {
-            return refuse(Refused::from(kind).with_default_retry_after());
+            return refusal_response(Refused::from(kind).with_default_retry_after());
         }
         match self.tokens.issue(&query.service, query.count).await {
             Ok(page) => {
@@ -31,9 +31,9 @@
                     count,
                 };
                 self.recorder.record(None, event);
-                json(serde_json::to_string(&page).unwrap_or_default())
+                json_response(serde_json::to_string(&page).unwrap_or_default())
             }
-            Err(kind) => refuse(Refused::from(kind).with_default_retry_after()),
+            Err(kind) => refusal_response(Refused::from(kind).with_default_retry_after()),
         }
     }
 }
--- a/crates/node/src/host/target.rs
+++ b/crates/node/src/host/target.rs
@@ -13,7 +13,7 @@
 
 use crate::data::{Answer, Call};
 use crate::gate::ContextHandle;
-use crate::http::{PoolHandle, PooledSender, end_to_end, names, read_whole};
+use crate::http::{PoolHandle, PooledSender, end_to_end_headers, names, read_to_end};
 
 /// Sends admitted calls to the node's own target over HTTP.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
         *req.uri_mut() = call.path.parse().map_err(|_| ErrorKind::BadRequest)?;
         // Headers from a peer are untrusted. A content length or transfer encoding chosen by the peer could make the target
         // parse the body as another request (request smuggling), so that calls would receive the answers of others.
-        *req.headers_mut() = end_to_end(&call.headers);
+        *req.headers_mut() = end_to_end_headers(&call.headers);
         let time_left = call
             .deadline
             .saturating_duration_since(now)
@@ -96,7 +96,7 @@
             Err(SendError::Broken) => return Err(TargetError::Lost(ErrorKind::TargetFailed)),
         };
         let answer = self.read(res).await?;
-        connection.give_back();
+        connection.return_to_pool();
         Ok(Arc::new(answer))
     }
 
@@ -116,10 +116,10 @@
 
     async fn read(&self, res: Response<Incoming>) -> Result<Answer, TargetError> {
         let (parts, body) = res.into_parts();
-        let body = read_whole(body, self.body_limit)
+        let body = read_to_end(body, self.body_limit)
             .await
             .map_err(|_| TargetError::Lost(ErrorKind::TargetFailed))?;
-        let headers = end_to_end(&parts.headers);
+        let headers = end_to_end_headers(&parts.headers);
         Ok(Answer {
             status: parts.status,
             headers,
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -8,10 +8,10 @@
 mod respond;
 mod stage;
 
-pub use body::{BodyError, read_whole};
+pub use body::{BodyError, read_to_end};
 pub use connection::CallerConnection;
-pub use headers::{end_to_end, names};
+pub use headers::{end_to_end_headers, names};
 pub use listener::{Listener, ListenerLimits};
 pub use pool::{PoolHandle, PooledSender, TargetPool};
-pub use respond::{HttpAnswer, answer_target, json, refuse};
+pub use respond::{ResponseBody, json_response, refusal_response, target_response};
 pub use stage::ListenerStage;
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -23,7 +23,7 @@
 ///
 /// A truncated body must not be taken for a complete one. hyper reports a missing last chunk, or fewer bytes than the
 /// content length, as an error, which is returned as a different error than a body that exceeds the limit.
-pub async fn read_whole(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
+pub async fn read_to_end(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
     // Rejects a body by its announced length, without waiting for its bytes.
     if body.size_hint().lower() > limit as u64 {
         return Err(BodyError::TooLarge);
--- a/crates/node/src/http/headers.rs
+++ b/crates/node/src/http/headers.rs
@@ -35,7 +35,7 @@
 /// Copies the end-to-end headers: all but `Host`, hop-by-hop headers and headers internal to coltsfootport.
 ///
 /// If internal headers were forwarded, a caller could forge a context issued by a node.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
     let named = named_by_connection(headers);
     for (name, value) in headers {
--- a/crates/node/src/http/listener.rs
+++ b/crates/node/src/http/listener.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-use super::{CallerConnection, HttpAnswer, ListenerStage};
+use super::{CallerConnection, ListenerStage, ResponseBody};
 
 /// Limits of a listener, all of which limit the memory that callers can occupy.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
     pub async fn run<H, F>(mut self, handler: H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
-        F: Future<Output = Response<HttpAnswer>> + Send + 'static,
+        F: Future<Output = Response<ResponseBody>> + Send + 'static,
     {
         let permits = Arc::new(Semaphore::new(self.limits.connections));
         self.accept(&permits, &handler).await;
@@ -69,7 +69,7 @@
     async fn accept<H, F>(&mut self, permits: &Arc<Semaphore>, handler: &H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
-        F: Future<Output = Response<HttpAnswer>> + Send + 'static,
+        F: Future<Output = Response<ResponseBody>> + Send + 'static,
     {
         loop {
             let permit = tokio::select! {
@@ -96,7 +96,7 @@
     async fn accept_queued<H, F>(self, permits: &Arc<Semaphore>, handler: &H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
-        F: Future<Output = Response<HttpAnswer>> + Send + 'static,
+        F: Future<Output = Response<ResponseBody>> + Send + 'static,
     {
         loop {
             let Ok(permit) = Arc::clone(permits).acquire_owned().await else {
@@ -117,7 +117,7 @@
     fn serve<H, F>(&self, stream: TcpStream, permit: OwnedSemaphorePermit, handler: &H)
     where
         H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
-        F: Future<Output = Response<HttpAnswer>> + Send + 'static,
+        F: Future<Output = Response<ResponseBody>> + Send + 'static,
     {
         let connection = serve(stream, self.limits, self.stage.clone(), handler.clone());
         tokio::spawn(async move {
@@ -143,7 +143,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>, CallerConnection) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<HttpAnswer>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
     let connection = CallerConnection::new(stream);
@@ -209,9 +209,9 @@
 
 /// Marks an answer as the last one of its connection from stage `Leaving` on.
 fn close_if_leaving(
-    mut res: Response<HttpAnswer>,
+    mut res: Response<ResponseBody>,
     stage: &watch::Receiver<ListenerStage>,
-) -> Response<HttpAnswer> {
+) -> Response<ResponseBody> {
     if *stage.borrow() >= ListenerStage::Leaving {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
--- a/crates/node/src/http/pool.rs
+++ b/crates/node/src/http/pool.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 enum PoolMessage {
     Take(oneshot::Sender<Option<Sender>>),
-    GiveBack(Sender),
+    Return(Sender),
 }
 
 impl TargetPool {
@@ -76,7 +76,7 @@
         while let Some(message) = self.rx.recv().await {
             match message {
                 PoolMessage::Take(reply) => self.take(reply),
-                PoolMessage::GiveBack(sender) => self.give_back(sender),
+                PoolMessage::Return(sender) => self.return_to_pool(sender),
             }
         }
     }
@@ -93,7 +93,7 @@
         let _ = reply.send(None);
     }
 
-    fn give_back(&mut self, sender: Sender) {
+    fn return_to_pool(&mut self, sender: Sender) {
         if sender.is_closed() || self.idle.len() >= self.capacity {
             return;
         }
@@ -138,11 +138,11 @@
 
 impl PooledSender {
     /// Returns the connection to the pool after a complete answer; a connection that is dropped instead is closed.
-    pub fn give_back(self) {
+    pub fn return_to_pool(self) {
         let Self { mut sender, tx } = self;
         tokio::spawn(async move {
             if sender.ready().await.is_ok() {
-                let _ = tx.send(PoolMessage::GiveBack(sender));
+                let _ = tx.send(PoolMessage::Return(sender));
             }
         });
     }
--- a/crates/node/src/http/respond.rs
+++ b/crates/node/src/http/respond.rs
@@ -9,10 +9,10 @@
 use crate::data::{Answer, Refused};
 
 /// Body of every response; it is complete before its first byte is sent.
-pub type HttpAnswer = Full<Bytes>;
+pub type ResponseBody = Full<Bytes>;
 
 /// Creates the response that carries the answer of a target.
-pub fn answer_target(answer: Answer) -> Response<HttpAnswer> {
+pub fn target_response(answer: Answer) -> Response<ResponseBody> {
     let mut res = Response::new(Full::new(answer.body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = answer.headers;
@@ -24,7 +24,7 @@
 }
 
 /// Creates the response for a refusal, as the error table defines it.
-pub fn refuse(refused: Refused) -> Response<HttpAnswer> {
+pub fn refusal_response(refused: Refused) -> Response<ResponseBody> {
     let rule = refused.kind.rule();
     let text = format!("{}\n", refused.kind.as_str());
     let mut res = Response::new(Full::new(Bytes::from(text)));
@@ -45,7 +45,7 @@
 }
 
 /// Creates a JSON response of the node itself.
-pub fn json(text: String) -> Response<HttpAnswer> {
+pub fn json_response(text: String) -> Response<ResponseBody> {
     let mut res = Response::new(Full::new(Bytes::from(text)));
     insert_header(&mut res, header::CONTENT_TYPE, "application/json");
     res
@@ -53,7 +53,7 @@
 
 const MILLIS_PER_SECOND: u64 = 1000;
 
-fn insert_header(res: &mut Response<HttpAnswer>, name: HeaderName, value: &str) {
+fn insert_header(res: &mut Response<ResponseBody>, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
--- a/crates/node/src/spread/platform_client.rs
+++ b/crates/node/src/spread/platform_client.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 
-use crate::http::read_whole;
+use crate::http::read_to_end;
 
 /// Read-only client of the platform.
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +118,7 @@
         if res.status() != StatusCode::OK {
             return Err(PlatformError::Status(res.status()));
         }
-        read_whole(res.into_body(), MAX_RESPONSE_BYTES)
+        read_to_end(res.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|_| PlatformError::Unreachable)
     }
