--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -1,12 +1,11 @@
 //! Messages between nodes and their framing on QUIC streams.
 
-mod answer_frame;
 mod call_frame;
 mod control;
 mod frame;
 mod header_frame;
+mod reply_frame;
 
-pub use answer_frame::{ReplyFrame, ReportFrame, VerdictFrame};
 pub use call_frame::{CallFrame, OnceFrame};
 pub use control::{
     ControlReply, ControlRequest, DigestFrame, EntryFrame, HelloFrame, NewsFrame, RefusalFrame,
@@ -17,3 +16,4 @@
     write_head,
 };
 pub use header_frame::HeaderFrame;
+pub use reply_frame::{ReplyFrame, ReportFrame, VerdictFrame};
