--- a/crates/node/tests/h1.rs
+++ b/crates/node/tests/h1.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_on() {
+fn hop_by_hop_headers_are_removed() {
     let mut kept = headers(
         "Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nContent-Length: 3\r\nX-End: 2\r\n",
     );
@@ -199,7 +199,7 @@
 
     /// A chunked body decodes to the same data however the input is split, and the bytes after it stay in the buffer.
     #[test]
-    fn chunks_are_joined(
+    fn chunked_body_is_decoded_from_any_split(
         pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..50), 0..6),
         step in 1_usize..40,
     ) {
@@ -224,7 +224,7 @@
 
     /// A body decoded with a limit has the same data, and no part exceeds the limit; peer links reject larger parts.
     #[test]
-    fn pieces_keep_to_their_bound(
+    fn decoded_parts_respect_the_limit(
         body in proptest::collection::vec(any::<u8>(), 1..200),
         limit in 1_usize..40,
         framing in prop_oneof![Just(Framing::Chunked), Just(Framing::UntilClose), Just(Framing::Length(0))],
@@ -249,7 +249,7 @@
 
     /// Parsing of arbitrary bytes ends without a panic and yields no more data than the input has.
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_parsed_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&mut BytesMut::from(&bytes[..]), 200);
         let _ = parse_response(&mut BytesMut::from(&bytes[..]), 200);
         let mut buf = BytesMut::from(&bytes[..]);
