--- a/crates/node/src/wire/control.rs
+++ b/crates/node/src/wire/control.rs
@@ -148,7 +148,8 @@
     pub key: SmolStr,
     /// Revision of the newest version held.
     pub revision: u64,
-    /// Revision of the version in force: the newest one, or an earlier one while the newest is invalid.
+    /// Revision of the version in force: the newest one if found valid, otherwise an earlier one. `None` if there is
+    /// none, and always in announcements of new entries.
     pub in_force: Option<u64>,
 }
 
