--- a/crates/node/src/http/pool.rs
+++ b/crates/node/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the node's own target.
+//! Connection pool for the node's own target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-use super::listener::LEAST_HEADER_BYTES;
+use super::listener::MIN_HEADER_BYTES;
 
-/// Sends requests over one connection.
+/// Sender half of one connection.
 type Sender = SendRequest<Full<Bytes>>;
 
-/// The task that owns the idle connections to the target.
+/// Task that owns the idle connections to the target.
 #[derive(Debug)]
 pub struct TargetPool {
     idle: Vec<Sender>,
@@ -32,10 +32,10 @@
     header_bytes: usize,
 }
 
-/// A connection taken out of the pool.
+/// Connection taken from the pool.
 #[derive(Debug)]
 pub struct PooledSender {
-    /// The connection.
+    /// Sender for requests on the connection.
     pub sender: Sender,
     tx: mpsc::UnboundedSender<PoolMessage>,
 }
@@ -43,11 +43,11 @@
 #[derive(Debug)]
 enum PoolMessage {
     Take(oneshot::Sender<Option<Sender>>),
-    GiveBack(Sender),
+    Return(Sender),
 }
 
 impl TargetPool {
-    /// A pool that keeps at most `capacity` idle connections and reads answers whose heads have at most `header_bytes`.
+    /// Creates a pool that keeps at most `capacity` idle connections and accepts answer heads of up to `header_bytes`.
     pub fn new(
         address: SocketAddr,
         capacity: usize,
@@ -59,7 +59,7 @@
             tx,
             address,
             connect_timeout,
-            header_bytes: header_bytes.max(LEAST_HEADER_BYTES),
+            header_bytes: header_bytes.max(MIN_HEADER_BYTES),
         };
         (
             Self {
@@ -71,12 +71,12 @@
         )
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until all handles and connections taken from the pool have been dropped.
     pub async fn run(mut self) {
         while let Some(message) = self.rx.recv().await {
             match message {
                 PoolMessage::Take(reply) => self.take(reply),
-                PoolMessage::GiveBack(sender) => self.give_back(sender),
+                PoolMessage::Return(sender) => self.return_to_pool(sender),
             }
         }
     }
@@ -93,7 +93,7 @@
         let _ = reply.send(None);
     }
 
-    fn give_back(&mut self, sender: Sender) {
+    fn return_to_pool(&mut self, sender: Sender) {
         if sender.is_closed() || self.idle.len() >= self.capacity {
             return;
         }
@@ -102,7 +102,7 @@
 }
 
 impl PoolHandle {
-    /// An idle connection, or a new one; `None` when the target can't be reached.
+    /// Returns an idle connection or opens a new one; `None` if the target can't be reached.
     pub async fn take(&self) -> Option<PooledSender> {
         let (reply, idle) = oneshot::channel();
         self.tx.send(PoolMessage::Take(reply)).ok()?;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A new connection; `None` when the target can't be reached.
+    /// Opens a new connection; returns `None` if the target can't be reached.
     pub async fn connect(&self) -> Option<PooledSender> {
         let connecting = TcpStream::connect(self.address);
         let stream = tokio::time::timeout(self.connect_timeout, connecting)
@@ -137,12 +137,12 @@
 }
 
 impl PooledSender {
-    /// Returns the connection after a whole answer was read; dropping it instead closes the connection.
-    pub fn give_back(self) {
+    /// Returns the connection to the pool after a complete answer; a connection that is dropped instead is closed.
+    pub fn return_to_pool(self) {
         let Self { mut sender, tx } = self;
         tokio::spawn(async move {
             if sender.ready().await.is_ok() {
-                let _ = tx.send(PoolMessage::GiveBack(sender));
+                let _ = tx.send(PoolMessage::Return(sender));
             }
         });
     }
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -1,11 +1,11 @@
-//! Frames between nodes as stored bytes: nodes of two releases must read each other's.
+//! Compares encoded frames with stored bytes, since nodes of two releases must be able to read each other's frames.
 
 use std::path::Path;
 
 use coltsfootport::wire::{
     CallFrame, ControlReply, ControlRequest, DigestFrame, EntryFrame, HeaderFrame, HelloFrame,
     NewsFrame, OnceFrame, PeerReply, PeerRequest, RefusalFrame, ReplyFrame, ReportFrame,
-    VerdictFrame, VersionFrame, WordFrame,
+    StateReportFrame, VerdictFrame, VersionFrame,
 };
 use coltsfootport_core::dissemination::{Digest, Revision};
 use coltsfootport_core::error_kind::ErrorKind;
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Set to write the stored bytes anew after a change of the protocol that is meant.
+/// Environment variable that makes the test rewrite the stored bytes after an intended change of the protocol.
 const UPDATE: &str = "COLTSFOOTPORT_UPDATE_REFERENCE";
 
 struct Sample {
@@ -68,8 +68,8 @@
     }
 }
 
-fn word() -> WordFrame {
-    WordFrame {
+fn state_report() -> StateReportFrame {
+    StateReportFrame {
         node: "bidding-1".into(),
         incarnation: 12,
         state: NodeState::Leaving,
@@ -89,7 +89,7 @@
         stamp: STAMP,
         request: 1,
         attempt: 2,
-        sending: 1,
+        attempt_number: 1,
         service: "bidding".into(),
         method: "POST".into(),
         path: "/bids?lot=7".into(),
@@ -145,14 +145,14 @@
         report: report(),
     };
     let digest = DigestFrame {
-        word: word(),
+        state_report: state_report(),
         digest: Digest {
             highest: Revision(21),
             complete: Revision(20),
             count: 2,
             hash: 5,
         },
-        list: 9,
+        list_revision: 9,
         config_age_ms: Some(100),
         list_age_ms: None,
     };
@@ -182,7 +182,7 @@
         control("pull-list", ControlRequest::PullList(9)),
         control("news", ControlRequest::News(news)),
         control("entries", ControlRequest::Entries(vec![entry()])),
-        control("words", ControlRequest::Words(vec![word()])),
+        control("words", ControlRequest::StateReports(vec![state_report()])),
     ]
 }
 
@@ -224,9 +224,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Symptom: after a release half of the fleet refuses the frames of the other half while nodes are being replaced.
-// Sequence: a field is added in the middle of a frame, or a variant before others; two releases run side by side.
-// Cause: the encoding has neither names nor numbers of its own, so that order is the protocol.
+// Guards against incompatible frames during a rolling upgrade, where nodes of two releases reject each other's frames.
+// This happens if a field is added in the middle of a frame or a variant before others: postcard encodes by position,
+// without field names or explicit variant numbers.
 #[test]
 fn frames_are_read_as_they_were_stored() {
     let samples = requests().into_iter().chain(replies());
@@ -241,7 +241,7 @@
     for (now, before) in lines.lines().zip(stored.lines()) {
         assert_eq!(
             now, before,
-            "another protocol needs another name of it, see ALPN in peers/tls.rs"
+            "a changed protocol needs a new protocol name, see ALPN in peers/tls.rs"
         );
     }
     assert_eq!(lines.lines().count(), stored.lines().count());
--- a/crates/node/tests/h1.rs
+++ b/crates/node/tests/h1.rs
@@ -1,12 +1,12 @@
-//! Tests of HTTP/1.1 as bytes: heads, framing, bodies.
+//! Tests of the HTTP/1.1 codec: heads, framing and bodies.
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Method, StatusCode};
 use proptest::prelude::*;
 
 use coltsfootport::h1::{
-    BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, answer_framing, chunk, parse_answer,
-    parse_request, request_framing, strip_hop_by_hop,
+    BodyDecoder, Decoded, Framing, H1Error, LAST_CHUNK, encode_chunk, parse_request,
+    parse_response, request_framing, response_framing, strip_hop_by_hop,
 };
 
 const MAX: usize = 16 * 1024;
@@ -74,9 +74,10 @@
     assert_eq!(request(&long).err(), Some(H1Error::HeadTooLarge));
 }
 
-/// Symptom: a target runs a request that no caller sent.
-/// Sequence: a caller sends a body whose end two readers see at different places; the rest of it looks like a request.
-/// Cause: two lengths, or a length beside chunks, are taken by one reader and ignored by the other.
+/// Guards against request smuggling, where a target runs a request that no caller sent.
+///
+/// With two lengths, or a length together with chunked encoding, two parsers can see the end of a body at different
+/// positions; one of them then parses the rest of the body as a request.
 #[test]
 fn ambiguous_bodies_are_refused() {
     struct Case {
@@ -102,31 +103,31 @@
         },
         Case {
             headers: "Content-Length: 7\r\nContent-Length: 8\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 7\r\nTransfer-Encoding: chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Transfer-Encoding: gzip, chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: +7\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 7, 7\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
         Case {
             headers: "Content-Length: 99999999999999999999999\r\n",
-            framing: Err(H1Error::Framing),
+            framing: Err(H1Error::AmbiguousFraming),
         },
     ];
     for case in cases {
@@ -142,7 +143,7 @@
 #[test]
 fn answers_without_a_length_end_with_their_connection() {
     let framing = |status, text: &str| {
-        answer_framing(
+        response_framing(
             &Method::GET,
             StatusCode::from_u16(status).expect("a status"),
             &headers(text),
@@ -175,12 +176,16 @@
         let mut decoder = BodyDecoder::new(framing);
         let mut buf = BytesMut::from(text);
         while matches!(decoder.decode(&mut buf), Ok(Decoded::Data(_))) {}
-        assert_eq!(decoder.finish(), Err(H1Error::Cut), "{framing:?} {text:?}");
+        assert_eq!(
+            decoder.finish(),
+            Err(H1Error::Truncated),
+            "{framing:?} {text:?}"
+        );
     }
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_on() {
+fn hop_by_hop_headers_are_removed() {
     let mut kept = headers(
         "Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nContent-Length: 3\r\nX-End: 2\r\n",
     );
@@ -192,15 +197,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A chunked body is the same however it is cut into pieces on the way, and what follows it stays in the buffer.
+    /// A chunked body decodes to the same data however the input is split, and the bytes after it stay in the buffer.
     #[test]
-    fn chunks_are_joined(
+    fn chunked_body_is_decoded_from_any_split(
         pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..50), 0..6),
         step in 1_usize..40,
     ) {
         let mut wire = Vec::new();
         for piece in &pieces {
-            wire.extend_from_slice(&chunk(&Bytes::from(piece.clone())));
+            wire.extend_from_slice(&encode_chunk(&Bytes::from(piece.clone())));
         }
         wire.extend_from_slice(LAST_CHUNK);
         wire.extend_from_slice(b"NEXT");
@@ -217,16 +222,16 @@
         prop_assert_eq!(&buf[..], b"NEXT");
     }
 
-    /// Taken in bounded pieces a body is the same, and no piece is larger than asked for; a link takes none that is.
+    /// A body decoded with a limit has the same data, and no part exceeds the limit; peer links reject larger parts.
     #[test]
-    fn pieces_keep_to_their_bound(
+    fn decoded_parts_respect_the_limit(
         body in proptest::collection::vec(any::<u8>(), 1..200),
-        most in 1_usize..40,
+        limit in 1_usize..40,
         framing in prop_oneof![Just(Framing::Chunked), Just(Framing::UntilClose), Just(Framing::Length(0))],
     ) {
         let (framing, wire) = match framing {
             Framing::Chunked => {
-                let mut wire = chunk(&Bytes::from(body.clone())).to_vec();
+                let mut wire = encode_chunk(&Bytes::from(body.clone())).to_vec();
                 wire.extend_from_slice(LAST_CHUNK);
                 (framing, wire)
             }
@@ -235,18 +240,18 @@
         };
         let mut decoder = BodyDecoder::new(framing);
         let (mut buf, mut taken) = (BytesMut::from(&wire[..]), Vec::new());
-        while let Decoded::Data(data) = decoder.decode_up_to(&mut buf, most).expect("a body") {
-            prop_assert!(data.len() <= most);
+        while let Decoded::Data(data) = decoder.decode_up_to(&mut buf, limit).expect("a body") {
+            prop_assert!(data.len() <= limit);
             taken.extend_from_slice(&data);
         }
         prop_assert_eq!(taken, body);
     }
 
-    /// Whatever bytes come, parsing ends without a panic and holds no more than it was given.
+    /// Parsing of arbitrary bytes ends without a panic and yields no more data than the input has.
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_parsed_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&mut BytesMut::from(&bytes[..]), 200);
-        let _ = parse_answer(&mut BytesMut::from(&bytes[..]), 200);
+        let _ = parse_response(&mut BytesMut::from(&bytes[..]), 200);
         let mut buf = BytesMut::from(&bytes[..]);
         let mut decoder = BodyDecoder::new(Framing::Chunked);
         let mut read = 0;
