--- a/crates/node/src/config/admission.rs
+++ b/crates/node/src/config/admission.rs
@@ -73,13 +73,13 @@
             deadline_check: section.boolean("deadline_check", default.deadline_check),
             cold_start: section.millis("cold_start_ms", 0..=600_000, default.cold_start),
         };
-        let settings = settings.with_ordered_limits(&mut section);
+        let settings = settings.with_consistent_limits(&mut section);
         section.finish();
         settings
     }
 
     /// Puts the default limits in place of limits that contradict each other.
-    fn with_ordered_limits(self, section: &mut Section<'_, '_>) -> Self {
+    fn with_consistent_limits(self, section: &mut Section<'_, '_>) -> Self {
         if self.min_limit <= self.initial_limit && self.initial_limit <= self.max_limit {
             return self;
         }
--- a/crates/node/src/config/convert.rs
+++ b/crates/node/src/config/convert.rs
@@ -90,7 +90,7 @@
         let subset = settings.routing.subset as usize;
         Self {
             node: settings.node.name.clone(),
-            domain: own_domain(settings),
+            domain: preferred_domain(settings),
             region: settings.node.region.clone(),
             subset_min: subset,
             ejection_failures: settings.routing.eject_failures,
@@ -133,7 +133,7 @@
 }
 
 /// The failure domain whose targets come first; the empty name is nobody's.
-fn own_domain(settings: &Settings) -> DomainName {
+fn preferred_domain(settings: &Settings) -> DomainName {
     if settings.routing.domain_first {
         settings.node.domain.clone()
     } else {
--- a/crates/node/src/config/loaded.rs
+++ b/crates/node/src/config/loaded_settings.rs
@@ -6,7 +6,7 @@
 
 /// Settings that a node can start with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loaded {
+pub struct LoadedSettings {
     /// The settings, with defaults in place of wrong values.
     pub settings: Settings,
     /// Wrong keys and values, to be logged at the start and shown by `status`.
--- a/crates/node/src/config/settings.rs
+++ b/crates/node/src/config/settings.rs
@@ -5,7 +5,7 @@
 use coltsfootport_core::jsonc::{self, Fault, FaultKind, Item, Need, Section};
 
 use super::{
-    AdmissionSettings, AdvertiseSettings, FleetKey, LimitsSettings, ListenSettings, Loaded,
+    AdmissionSettings, AdvertiseSettings, FleetKey, LimitsSettings, ListenSettings, LoadedSettings,
     LogSettings, NodeSettings, OnceSettings, PlatformSettings, RetriesSettings, RoutingSettings,
     RuntimeSettings, ShutdownSettings, SpreadSettings, TargetSettings, TimelineSettings,
     TlsSettings,
@@ -60,10 +60,10 @@
     ///
     /// A wrong key or value that a default can replace is a warning; without usable names, addresses, certificates and
     /// keys the text is refused with every fault in it.
-    pub fn parse(text: &str) -> Result<Loaded, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<LoadedSettings, Vec<Fault>> {
         let parsed = jsonc::parse(text, Self::read);
         match parsed.value {
-            Some(settings) if !parsed.fatal => Ok(Loaded {
+            Some(settings) if !parsed.fatal => Ok(LoadedSettings {
                 settings,
                 warnings: parsed.faults,
             }),
--- a/crates/node/src/config/tls.rs
+++ b/crates/node/src/config/tls.rs
@@ -25,7 +25,7 @@
         let cert_pem = section.required("cert_pem").and_then(read_certificates);
         let key_pem = section.required("key_pem").and_then(read_private_key);
         if let (Some(cert_pem), Some(key_pem)) = (&cert_pem, &key_pem)
-            && !is_pair(cert_pem, key_pem)
+            && !is_key_pair(cert_pem, key_pem)
         {
             // Taken as it is, the node would start and every peer would refuse its connections.
             let message = "the certificate and the private key are no pair";
@@ -85,7 +85,7 @@
 }
 
 /// Whether a private key belongs to the first of the certificates.
-fn is_pair(cert_pem: &str, key_pem: &str) -> bool {
+fn is_key_pair(cert_pem: &str, key_pem: &str) -> bool {
     let (Ok(chain), Ok(key)) = (parse_certificates(cert_pem), parse_private_key(key_pem)) else {
         return false;
     };
