--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -52,7 +52,7 @@
         LogFormat::Json => start_json(io::stderr(), level, node, service),
         LogFormat::Terminal => {
             let format = FullFormat::new(TermDecorator::new().build()).build();
-            root(format.fuse(), level, node, service)
+            build_root(format.fuse(), level, node, service)
         }
     }
 }
@@ -67,15 +67,15 @@
 where
     W: io::Write + Send + 'static,
 {
-    root(Json::default(out).fuse(), level, node, service)
+    build_root(Json::default(out).fuse(), level, node, service)
 }
 
 /// A logger whose lines carry the id of the request.
-pub fn of_request(log: &Logger, request: RequestId) -> Logger {
+pub fn with_request_id(log: &Logger, request: RequestId) -> Logger {
     log.new(o!("request" => request.to_string()))
 }
 
-fn root<D>(
+fn build_root<D>(
     drain: D,
     level: LogLevel,
     node: &NodeName,
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use coltsfootport::log::{LogFormat, LogLevel, of_request, start_json};
+use coltsfootport::log::{LogFormat, LogLevel, start_json, with_request_id};
 use coltsfootport_core::id::RequestId;
 use serde_json::Value;
 use slog::{debug, error, info, warn};
@@ -14,7 +14,7 @@
     let (log, guard) = start_json(out, level, &"bidding-1".into(), &"bidding".into());
     error!(log, "one"; "invariant" => "dispatched-twice");
     warn!(log, "two");
-    info!(of_request(&log, RequestId(255)), "three\n");
+    info!(with_request_id(&log, RequestId(255)), "three\n");
     debug!(log, "four");
     drop(log);
     drop(guard);
