--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -21,7 +21,7 @@
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, GateHandle, OwnCall};
 use crate::http::{BodyError, CallerConnection, HttpAnswer, names, read_whole};
-use crate::metrics::{Listener, Metrics, Rejected};
+use crate::metrics::{Listener, Metrics, RejectedInput};
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
@@ -109,7 +109,9 @@
             Err(_) => ClassifiedResponse::unsent(RequestId::random(), ErrorKind::Shed, identity),
         };
         let (outcome, error) = (response.outcome(), response.error());
-        self.metrics.calls.answered(listener, class, outcome, error);
+        self.metrics
+            .calls
+            .record_answer(listener, class, outcome, error);
         let elapsed_us = micros(self.clock.now(), started);
         let event = match &response.verdict {
             Verdict::Answered(answer) => Event::Answered {
@@ -285,7 +287,7 @@
         identity: Identity,
     ) -> ClassifiedResponse {
         if kind == ErrorKind::BadToken {
-            self.metrics.faults.rejected(Rejected::Token);
+            self.metrics.faults.record_rejected(RejectedInput::Token);
         }
         let mut refusal = ClassifiedResponse::unsent(request, kind, identity);
         let refused_token = identity != Identity::None && needs_fresh_token(&refusal.response);
@@ -300,7 +302,7 @@
             return Ok(Origin::Caller);
         }
         let Some(text) = inbound.single_header(&names::CONTEXT)? else {
-            self.metrics.calls.without_context();
+            self.metrics.calls.record_call_without_context();
             return Ok(Origin::WithoutContext);
         };
         let handle: ContextHandle = text.parse().map_err(|_| ErrorKind::UnknownContext)?;
--- a/crates/node/src/host/runner.rs
+++ b/crates/node/src/host/runner.rs
@@ -169,7 +169,7 @@
     fn record_added_latency(&self, started: Instant) {
         let now = self.setup.clock.now();
         let added = now.saturating_duration_since(started);
-        self.setup.metrics.calls.added(added);
+        self.setup.metrics.calls.record_added_time(added);
     }
 
     /// Ends a flight whose target answered.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,13 +1,13 @@
 //! Everything that a node counts, in the format of Prometheus.
 
 mod admission;
-mod build;
 mod calls;
 mod control;
 mod documents;
 mod faults;
 mod from_event;
 mod peers;
+mod register;
 mod tokens;
 
 use std::ops::Deref;
@@ -18,8 +18,8 @@
 pub use admission::AdmissionMetrics;
 pub use calls::{CallMetrics, Listener, Stage};
 pub use control::{ControlKind, ControlMetrics};
-pub use documents::{DocumentMetrics, PlatformRead};
-pub use faults::{FaultMetrics, Rejected};
+pub use documents::{DocumentMetrics, PlatformReadResult};
+pub use faults::{FaultMetrics, RejectedInput};
 pub use peers::{PeerMetrics, PeerState};
 pub use tokens::{TokenEvent, TokenMetrics};
 
--- a/crates/node/src/metrics/admission.rs
+++ b/crates/node/src/metrics/admission.rs
@@ -4,8 +4,8 @@
 
 use prometheus::{Error, Histogram, IntGauge, Registry};
 
-use super::build;
 use super::calls::gauge_value;
+use super::register;
 
 /// Upper bounds in seconds.
 const WAIT_BUCKETS: [f64; 9] = [0.000_1, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0];
@@ -22,18 +22,18 @@
 impl AdmissionMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         Ok(Self {
-            queue: build::gauge(reg, "queue_length", "Calls that wait for a slot.")?,
-            limit: build::gauge(
+            queue: register::gauge(reg, "queue_length", "Calls that wait for a slot.")?,
+            limit: register::gauge(
                 reg,
                 "concurrency_limit",
                 "Calls that the target may work on at once.",
             )?,
-            level: build::gauge(
+            level: register::gauge(
                 reg,
                 "admission_level",
                 "Admission level in force; 0 sheds nothing.",
             )?,
-            wait: build::histogram(
+            wait: register::histogram(
                 reg,
                 "queue_wait_seconds",
                 "Time that admitted calls waited for a slot.",
@@ -43,7 +43,7 @@
     }
 
     /// Sets the number of waiting calls.
-    pub fn set_queue(&self, calls: usize) {
+    pub fn set_queue_length(&self, calls: usize) {
         self.queue.set(gauge_value(calls));
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Notes how long an admitted call waited.
-    pub fn waited(&self, time: Duration) {
+    pub fn record_queue_wait(&self, time: Duration) {
         self.wait.observe(time.as_secs_f64());
     }
 }
--- a/crates/node/src/metrics/calls.rs
+++ b/crates/node/src/metrics/calls.rs
@@ -7,7 +7,7 @@
 use coltsfootport_core::outcome::Outcome;
 use prometheus::{Error, Histogram, IntCounter, IntCounterVec, IntGaugeVec, Registry};
 
-use super::build;
+use super::register;
 
 /// Upper bounds in seconds; 0.61 ms is what the fleet may add to 99 of 100 calls.
 const ADDED_BUCKETS: [f64; 12] = [
@@ -52,36 +52,41 @@
 impl CallMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            answered: build::counters(
+            answered: register::counter_vec(
                 reg,
                 "calls_total",
                 "Calls answered, by listener, rank of class, outcome and error kind.",
                 &["listener", "class", "outcome", "error"],
             )?,
-            retries: build::counters(
+            retries: register::counter_vec(
                 reg,
                 "retries_total",
                 "Attempts that this node sent again, by the error before.",
                 &["error"],
             )?,
-            allowance_spent: build::counter(
+            allowance_spent: register::counter(
                 reg,
                 "allowance_spent_total",
                 "Retry allowance that was used up or did not come back.",
             )?,
-            in_flight: build::gauges(reg, "in_flight", "Calls in flight, by stage.", &["stage"])?,
-            added: build::histogram(
+            in_flight: register::gauge_vec(
+                reg,
+                "in_flight",
+                "Calls in flight, by stage.",
+                &["stage"],
+            )?,
+            added: register::histogram(
                 reg,
                 "added_seconds",
                 "Time that this node added to a call, without the target's and the peer's.",
                 &ADDED_BUCKETS,
             )?,
-            without_context: build::counter(
+            without_context: register::counter(
                 reg,
                 "egress_without_context_total",
                 "Calls of the own target that carried no context and began new requests.",
             )?,
-            late_answers: build::counter(
+            late_answers: register::counter(
                 reg,
                 "late_answers_total",
                 "Answers to attempts that this node had given up, dropped.",
@@ -94,7 +99,7 @@
     }
 
     /// Counts an answer; `error` is absent where the target made it.
-    pub fn answered(
+    pub fn record_answer(
         &self,
         listener: Listener,
         class: Class,
@@ -109,12 +114,12 @@
     }
 
     /// Counts an attempt that is sent again after `error`.
-    pub fn retried(&self, error: ErrorKind) {
+    pub fn record_retry(&self, error: ErrorKind) {
         self.retries.with_label_values(&[error.as_str()]).inc();
     }
 
     /// Counts retry allowance that was used up or did not come back.
-    pub fn allowance_spent(&self, retries: u64) {
+    pub fn record_spent_allowance(&self, retries: u64) {
         self.allowance_spent.inc_by(retries);
     }
 
@@ -126,17 +131,17 @@
     }
 
     /// Notes the time that this node added to one call.
-    pub fn added(&self, time: Duration) {
+    pub fn record_added_time(&self, time: Duration) {
         self.added.observe(time.as_secs_f64());
     }
 
     /// Counts a call of the own target that carried no context.
-    pub fn without_context(&self) {
+    pub fn record_call_without_context(&self) {
         self.without_context.inc();
     }
 
     /// Counts an answer to an attempt that was given up.
-    pub fn late_answer(&self) {
+    pub fn record_late_answer(&self) {
         self.late_answers.inc();
     }
 }
--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -2,7 +2,7 @@
 
 use prometheus::{Error, IntCounterVec, Registry};
 
-use super::build;
+use super::register;
 
 /// Kind of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -31,13 +31,13 @@
 impl ControlMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            sent: build::counters(
+            sent: register::counter_vec(
                 reg,
                 "control_sent_bytes_total",
                 "Bytes of control messages sent to peers, by kind.",
                 &["kind"],
             )?,
-            received: build::counters(
+            received: register::counter_vec(
                 reg,
                 "control_received_bytes_total",
                 "Bytes of control messages received from peers, by kind.",
@@ -45,21 +45,21 @@
             )?,
         };
         for kind in ControlKind::ALL {
-            metrics.sent(kind, 0);
-            metrics.received(kind, 0);
+            metrics.record_sent(kind, 0);
+            metrics.record_received(kind, 0);
         }
         Ok(metrics)
     }
 
     /// Counts bytes sent.
-    pub fn sent(&self, kind: ControlKind, bytes: usize) {
+    pub fn record_sent(&self, kind: ControlKind, bytes: usize) {
         self.sent
             .with_label_values(&[kind.as_str()])
             .inc_by(bytes as u64);
     }
 
     /// Counts bytes received.
-    pub fn received(&self, kind: ControlKind, bytes: usize) {
+    pub fn record_received(&self, kind: ControlKind, bytes: usize) {
         self.received
             .with_label_values(&[kind.as_str()])
             .inc_by(bytes as u64);
--- a/crates/node/src/metrics/documents.rs
+++ b/crates/node/src/metrics/documents.rs
@@ -3,15 +3,15 @@
 use coltsfootport_core::id::ServiceName;
 use prometheus::{Error, IntCounterVec, IntGauge, IntGaugeVec, Registry};
 
-use super::build;
+use super::register;
 
 /// How a read of the platform ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum PlatformRead {
+pub enum PlatformReadResult {
     /// It brought something newer.
-    News,
+    Updated,
     /// It brought nothing newer.
-    Nothing,
+    Unchanged,
     /// It failed or came too late.
     Failed,
 }
@@ -29,36 +29,36 @@
 impl DocumentMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            in_force: build::gauges(
+            in_force: register::gauge_vec(
                 reg,
                 "document_revision",
                 "Revision of the document in force, by service.",
                 &["service"],
             )?,
-            rejected: build::counters(
+            rejected: register::counter_vec(
                 reg,
                 "documents_rejected_total",
                 "Invalid revisions of a document, by service.",
                 &["service"],
             )?,
-            store: build::gauge(
+            store: register::gauge(
                 reg,
                 "platform_revision",
                 "Revision of the configuration service, as last read or heard of.",
             )?,
-            reads: build::counters(
+            reads: register::counter_vec(
                 reg,
                 "platform_reads_total",
                 "Calls to the platform, by their end.",
                 &["end"],
             )?,
-            reader: build::gauge(
+            reader: register::gauge(
                 reg,
                 "platform_reader",
                 "1 while this node reads the platform for its failure domain.",
             )?,
         };
-        for end in PlatformRead::ALL {
+        for end in PlatformReadResult::ALL {
             metrics.reads.with_label_values(&[end.as_str()]).inc_by(0);
         }
         Ok(metrics)
@@ -73,7 +73,7 @@
     }
 
     /// Counts an invalid revision of a service's document.
-    pub fn rejected(&self, service: &ServiceName) {
+    pub fn record_rejected(&self, service: &ServiceName) {
         self.rejected.with_label_values(&[service.as_str()]).inc();
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Counts a call to the platform.
-    pub fn read(&self, end: PlatformRead) {
+    pub fn record_read(&self, end: PlatformReadResult) {
         self.reads.with_label_values(&[end.as_str()]).inc();
     }
 
@@ -93,15 +93,15 @@
     }
 }
 
-impl PlatformRead {
+impl PlatformReadResult {
     /// Every end.
-    pub const ALL: [Self; 3] = [Self::News, Self::Nothing, Self::Failed];
+    pub const ALL: [Self; 3] = [Self::Updated, Self::Unchanged, Self::Failed];
 
     /// The label in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::News => "news",
-            Self::Nothing => "nothing",
+            Self::Updated => "news",
+            Self::Unchanged => "nothing",
             Self::Failed => "failed",
         }
     }
--- a/crates/node/src/metrics/faults.rs
+++ b/crates/node/src/metrics/faults.rs
@@ -3,11 +3,11 @@
 use coltsfootport_core::invariant::Invariant;
 use prometheus::{Error, IntCounter, IntCounterVec, Registry};
 
-use super::build;
+use super::register;
 
 /// Input that was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Rejected {
+pub enum RejectedInput {
     /// A frame that is malformed, too long or fails its checksum.
     Frame,
     /// A peer's certificate that is not of the fleet.
@@ -31,19 +31,19 @@
 impl FaultMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            breaches: build::counters(
+            breaches: register::counter_vec(
                 reg,
                 "invariant_breaches_total",
                 "Breaches of an invariant: each one is a defect of coltsfootport.",
                 &["invariant"],
             )?,
-            rejected: build::counters(
+            rejected: register::counter_vec(
                 reg,
                 "rejected_total",
                 "Input from outside that was rejected, by what it was.",
                 &["what"],
             )?,
-            stamps: build::counter(
+            stamps: register::counter(
                 reg,
                 "clock_stamps_ignored_total",
                 "Time line stamps of peers that lay too far ahead.",
@@ -55,7 +55,7 @@
                 .with_label_values(&[invariant.as_str()])
                 .inc_by(0);
         }
-        for what in Rejected::ALL {
+        for what in RejectedInput::ALL {
             metrics
                 .rejected
                 .with_label_values(&[what.as_str()])
@@ -65,7 +65,7 @@
     }
 
     /// Counts a breach.
-    pub fn breached(&self, invariant: Invariant) {
+    pub fn record_breach(&self, invariant: Invariant) {
         self.breaches.with_label_values(&[invariant.as_str()]).inc();
     }
 
@@ -75,17 +75,17 @@
     }
 
     /// Counts rejected input.
-    pub fn rejected(&self, what: Rejected) {
+    pub fn record_rejected(&self, what: RejectedInput) {
         self.rejected.with_label_values(&[what.as_str()]).inc();
     }
 
     /// Counts a peer's stamp that was ignored.
-    pub fn stamp_ignored(&self) {
+    pub fn record_ignored_stamp(&self) {
         self.stamps.inc();
     }
 }
 
-impl Rejected {
+impl RejectedInput {
     /// Everything that can be rejected.
     pub const ALL: [Self; 5] = [
         Self::Frame,
--- a/crates/node/src/metrics/from_event.rs
+++ b/crates/node/src/metrics/from_event.rs
@@ -8,12 +8,13 @@
 
 impl Metrics {
     /// Counts an event, so that the time line and the counters can't tell different stories.
-    pub fn note(&self, event: &Event) {
+    pub fn record_event(&self, event: &Event) {
         match event {
             Event::Admitted { elapsed_us, .. } => {
-                self.admission.waited(Duration::from_micros(*elapsed_us));
+                self.admission
+                    .record_queue_wait(Duration::from_micros(*elapsed_us));
             }
-            Event::Retried { error, .. } => self.calls.retried(*error),
+            Event::Retried { error, .. } => self.calls.record_retry(*error),
             Event::TokenMinted { count, .. } => {
                 self.tokens.count(TokenEvent::Minted, (*count).into());
             }
@@ -23,10 +24,10 @@
             Event::DocumentInForce { service, revision } => {
                 self.documents.set_in_force(service, *revision);
             }
-            Event::DocumentRejected { service, .. } => self.documents.rejected(service),
+            Event::DocumentRejected { service, .. } => self.documents.record_rejected(service),
             Event::ReaderBecame => self.documents.set_reader(true),
             Event::ReaderCeased => self.documents.set_reader(false),
-            Event::InvariantBreached { invariant } => self.faults.breached(*invariant),
+            Event::InvariantBreached { invariant } => self.faults.record_breach(*invariant),
             _ => {}
         }
     }
--- a/crates/node/src/metrics/peers.rs
+++ b/crates/node/src/metrics/peers.rs
@@ -2,8 +2,8 @@
 
 use prometheus::{Error, IntGaugeVec, Registry};
 
-use super::build;
 use super::calls::gauge_value;
+use super::register;
 
 /// State of a peer as seen by this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -29,7 +29,7 @@
 impl PeerMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            peers: build::gauges(reg, "peers", "Peers of this node, by state.", &["state"])?,
+            peers: register::gauge_vec(reg, "peers", "Peers of this node, by state.", &["state"])?,
         };
         for state in PeerState::ALL {
             metrics.set(state, 0);
--- a/crates/node/src/metrics/build.rs
+++ b/crates/node/src/metrics/register.rs
@@ -7,29 +7,29 @@
 };
 
 pub(super) fn counter(reg: &Registry, name: &str, help: &str) -> Result<IntCounter, Error> {
-    registered(reg, IntCounter::with_opts(opts(name, help))?)
+    register(reg, IntCounter::with_opts(opts(name, help))?)
 }
 
-pub(super) fn counters(
+pub(super) fn counter_vec(
     reg: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> Result<IntCounterVec, Error> {
-    registered(reg, IntCounterVec::new(opts(name, help), labels)?)
+    register(reg, IntCounterVec::new(opts(name, help), labels)?)
 }
 
 pub(super) fn gauge(reg: &Registry, name: &str, help: &str) -> Result<IntGauge, Error> {
-    registered(reg, IntGauge::with_opts(opts(name, help))?)
+    register(reg, IntGauge::with_opts(opts(name, help))?)
 }
 
-pub(super) fn gauges(
+pub(super) fn gauge_vec(
     reg: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> Result<IntGaugeVec, Error> {
-    registered(reg, IntGaugeVec::new(opts(name, help), labels)?)
+    register(reg, IntGaugeVec::new(opts(name, help), labels)?)
 }
 
 pub(super) fn histogram(
@@ -39,14 +39,14 @@
     buckets: &[f64],
 ) -> Result<Histogram, Error> {
     let opts = HistogramOpts::new(name, help).namespace("coltsfootport");
-    registered(reg, Histogram::with_opts(opts.buckets(buckets.to_vec()))?)
+    register(reg, Histogram::with_opts(opts.buckets(buckets.to_vec()))?)
 }
 
 fn opts(name: &str, help: &str) -> Opts {
     Opts::new(name, help).namespace("coltsfootport")
 }
 
-fn registered<M>(reg: &Registry, metric: M) -> Result<M, Error>
+fn register<M>(reg: &Registry, metric: M) -> Result<M, Error>
 where
     M: Collector + Clone + 'static,
 {
--- a/crates/node/src/metrics/tokens.rs
+++ b/crates/node/src/metrics/tokens.rs
@@ -2,8 +2,8 @@
 
 use prometheus::{Error, IntCounterVec, IntGauge, Registry};
 
-use super::build;
 use super::calls::gauge_value;
+use super::register;
 
 /// What happened to a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -31,9 +31,9 @@
 impl TokenMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            events: build::counters(reg, "tokens_total", "Events of tokens.", &["event"])?,
-            kept: build::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
-            capacity: build::gauge(
+            events: register::counter_vec(reg, "tokens_total", "Events of tokens.", &["event"])?,
+            kept: register::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
+            capacity: register::gauge(
                 reg,
                 "once_table_capacity",
                 "Tokens that can be remembered; a full table refuses new ones.",
@@ -56,7 +56,7 @@
     }
 
     /// Sets the fill of the table.
-    pub fn set_table(&self, kept: usize, capacity: usize) {
+    pub fn set_table_size(&self, kept: usize, capacity: usize) {
         self.kept.set(gauge_value(kept));
         self.capacity.set(gauge_value(capacity));
     }
--- a/crates/node/src/node/meter.rs
+++ b/crates/node/src/node/meter.rs
@@ -14,10 +14,10 @@
         let Some(status) = gate.status().await else {
             return;
         };
-        metrics.admission.set_queue(status.queued as usize);
+        metrics.admission.set_queue_length(status.queued as usize);
         metrics.admission.set_limit(status.limit as usize);
         metrics.admission.set_level(status.level.position().into());
-        metrics.tokens.set_table(status.records, capacity);
+        metrics.tokens.set_table_size(status.records, capacity);
         let peers = routes.peers().await;
         set_peers(&metrics, &peers);
         let at_peers: u32 = peers.iter().map(|peer| peer.in_flight).sum();
--- a/crates/node/src/peers/hub.rs
+++ b/crates/node/src/peers/hub.rs
@@ -14,7 +14,7 @@
 use super::server::serve_connection;
 use super::{Link, PeerServices};
 use crate::data::HostReport;
-use crate::metrics::Rejected;
+use crate::metrics::RejectedInput;
 use crate::wire::{ControlReply, ControlRequest, HelloFrame};
 
 /// Actor that owns the connections to and from peers. Connections are opened on first use.
@@ -396,7 +396,7 @@
         return None;
     };
     if report.node != node.0 {
-        services.metrics.faults.rejected(Rejected::Name);
+        services.metrics.faults.record_rejected(RejectedInput::Name);
         return None;
     }
     services.routes.record_report(HostReport::from(report));
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -134,7 +134,7 @@
         if let LinkError::Lost(e) = e
             && let Some(what) = e.rejected()
         {
-            self.metrics.faults.rejected(what);
+            self.metrics.faults.record_rejected(what);
         }
     }
 
@@ -176,9 +176,9 @@
         let kind = request.kind();
         let request = PeerRequest::Control(request);
         let written = write_frame(&mut tx, &request, Bytes::new()).await?;
-        self.metrics.control.sent(kind, written);
+        self.metrics.control.record_sent(kind, written);
         let head = read_head(&mut rx, self.limits.body).await?;
-        self.metrics.control.received(kind, head.bytes);
+        self.metrics.control.record_received(kind, head.bytes);
         match head.value {
             PeerReply::Control(reply) => Ok(reply),
             PeerReply::Call(_) => Err(FrameError::Malformed.into()),
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -17,7 +17,7 @@
 use crate::data::{Answer, HostReport};
 use crate::gate::GateHandle;
 use crate::host::Host;
-use crate::metrics::{Metrics, Rejected};
+use crate::metrics::{Metrics, RejectedInput};
 use crate::recorder::Recorder;
 use crate::routes::RoutesHandle;
 use crate::spread::SpreadHandle;
@@ -99,7 +99,10 @@
                         serve_connection(connection, services).await;
                     }
                     // A peer without a certificate of the fleet fails the handshake before it can open a stream.
-                    Ok(Err(_)) | Err(_) => services.metrics.faults.rejected(Rejected::Certificate),
+                    Ok(Err(_)) | Err(_) => services
+                        .metrics
+                        .faults
+                        .record_rejected(RejectedInput::Certificate),
                 }
             });
         }
@@ -119,7 +122,7 @@
             let metrics = services.metrics.clone();
             let result = serve_stream(tx, rx, identity, services).await;
             if let Some(rejected) = result.err().and_then(|e| e.rejected()) {
-                metrics.faults.rejected(rejected);
+                metrics.faults.record_rejected(rejected);
             }
         });
     }
@@ -169,7 +172,10 @@
             Ok(IncomingRequest::Call(frame, body))
         }
         PeerRequest::Control(request) => {
-            services.metrics.control.received(request.kind(), bytes);
+            services
+                .metrics
+                .control
+                .record_received(request.kind(), bytes);
             Ok(IncomingRequest::Control(request))
         }
     }
@@ -232,7 +238,7 @@
     let bytes_sent = timeout(REPLY_DELIVERY_TIMEOUT, writing)
         .await
         .unwrap_or(Err(FrameError::Slow))?;
-    services.metrics.control.sent(kind, bytes_sent);
+    services.metrics.control.record_sent(kind, bytes_sent);
     Ok(())
 }
 
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -66,7 +66,7 @@
 
     /// Records an event now.
     pub fn record(&self, request: Option<RequestId>, event: Event) {
-        self.metrics.note(&event);
+        self.metrics.record_event(&event);
         let at = self.stamp();
         let record = Record {
             at,
@@ -95,7 +95,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .observe(peer, wall);
         if observed == Observed::TooFarAhead {
-            self.metrics.faults.stamp_ignored();
+            self.metrics.faults.record_ignored_stamp();
         }
     }
 
--- a/crates/node/src/spread/read.rs
+++ b/crates/node/src/spread/read.rs
@@ -6,7 +6,7 @@
 
 use super::platform_client::{ConfigEntry, ConfigPage, InstancePage};
 use super::{SpreadMessage, SpreadTask};
-use crate::metrics::PlatformRead;
+use crate::metrics::PlatformReadResult;
 
 impl SpreadTask {
     /// Starts the platform reads that are due.
@@ -75,11 +75,11 @@
     /// Records the result of a read: whether it returned changes, or `None` if it failed.
     fn record_read(&mut self, has_changes: Option<bool>) {
         let result = match has_changes {
-            Some(true) => PlatformRead::News,
-            Some(false) => PlatformRead::Nothing,
-            None => PlatformRead::Failed,
+            Some(true) => PlatformReadResult::Updated,
+            Some(false) => PlatformReadResult::Unchanged,
+            None => PlatformReadResult::Failed,
         };
-        self.setup.metrics.documents.read(result);
+        self.setup.metrics.documents.record_read(result);
         self.reachable = has_changes.is_some();
         if self.reachable {
             self.last_read = Some(self.now());
--- a/crates/node/src/wire/frame.rs
+++ b/crates/node/src/wire/frame.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{CallFrame, ControlReply, ControlRequest, ReplyFrame};
-use crate::metrics::Rejected;
+use crate::metrics::RejectedInput;
 
 /// The first message on a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -53,14 +53,14 @@
 
 impl FrameError {
     /// What the frame is counted as; `None` where the other end or the network just went away.
-    pub fn rejected(&self) -> Option<Rejected> {
+    pub fn rejected(&self) -> Option<RejectedInput> {
         match self {
             Self::Cut => None,
             Self::TooLarge(_) | Self::Malformed | Self::Checksum | Self::Slow => {
-                Some(Rejected::Frame)
+                Some(RejectedInput::Frame)
             }
-            Self::Name => Some(Rejected::Name),
-            Self::Reply => Some(Rejected::Reply),
+            Self::Name => Some(RejectedInput::Name),
+            Self::Reply => Some(RejectedInput::Reply),
         }
     }
 }
--- a/crates/node/tests/operations_page.rs
+++ b/crates/node/tests/operations_page.rs
@@ -38,11 +38,11 @@
     // Counters with labels appear with their first count.
     metrics
         .calls
-        .answered(Listener::Callers, Class::LOWEST, Outcome::Ran, None);
-    metrics.calls.retried(ErrorKind::Shed);
+        .record_answer(Listener::Callers, Class::LOWEST, Outcome::Ran, None);
+    metrics.calls.record_retry(ErrorKind::Shed);
     metrics.documents.set_in_force(&"bidding".into(), 1);
-    metrics.documents.rejected(&"bidding".into());
-    metrics.faults.stamp_ignored();
+    metrics.documents.record_rejected(&"bidding".into());
+    metrics.faults.record_ignored_stamp();
     let text = metrics.encode();
     let helps = text
         .lines()
--- a/crates/node/tests/operators.rs
+++ b/crates/node/tests/operators.rs
@@ -301,7 +301,7 @@
                 "coltsfootport_invariant_breaches_total{{invariant=\"{label}\"}} {breaches}\n"
             );
             assert!(text(&answer).contains(&line), "{line}");
-            metrics.faults.breached(invariant);
+            metrics.faults.record_breach(invariant);
         }
     }
 }
