--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -9,7 +9,7 @@
     fn now(&self) -> Instant;
 
     /// Time of day, only for stamps that people read.
-    fn wall(&self) -> SystemTime;
+    fn system_time(&self) -> SystemTime;
 }
 
 /// A clock shared by all tasks of a process.
@@ -24,12 +24,12 @@
         Instant::now()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn system_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
 
 /// Microseconds from `since` to `now`, zero where `since` is later.
-pub fn micros(now: Instant, since: Instant) -> u64 {
+pub fn elapsed_micros(now: Instant, since: Instant) -> u64 {
     now.saturating_duration_since(since).as_micros() as u64
 }
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -17,7 +17,7 @@
 use super::RetryBudget;
 use super::call_progress::{CallProgress, Step};
 use super::tokens::TokenIssuer;
-use crate::clock::{SharedClock, micros};
+use crate::clock::{SharedClock, elapsed_micros};
 use crate::data::{AttemptId, Call, OnceCall, Refused, Reply, Verdict};
 use crate::host::Host;
 use crate::metrics::Metrics;
@@ -188,7 +188,7 @@
                 let event = Event::Lost {
                     peer: route.node.clone(),
                     attempt: call.attempt_number,
-                    elapsed_us: micros(setup.clock.now(), sent),
+                    elapsed_us: elapsed_micros(setup.clock.now(), sent),
                 };
                 setup.recorder.record(Some(call.request), event);
                 route.guard.finish(RouteResult::Lost, None);
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -17,7 +17,7 @@
 use super::prepare::PreparedCall;
 use super::tokens::TokenIssuer;
 use super::{CallerResponse, Dispatcher, InboundCall, Origin};
-use crate::clock::{SharedClock, micros};
+use crate::clock::{SharedClock, elapsed_micros};
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, GateHandle, OwnCall};
 use crate::http::{BodyError, CallerConnection, HttpAnswer, names, read_whole};
@@ -112,7 +112,7 @@
         self.metrics
             .calls
             .record_answer(listener, class, outcome, error);
-        let elapsed_us = micros(self.clock.now(), started);
+        let elapsed_us = elapsed_micros(self.clock.now(), started);
         let event = match &response.verdict {
             Verdict::Answered(answer) => Event::Answered {
                 status: answer.status.as_u16(),
--- a/crates/node/src/gate/deciding.rs
+++ b/crates/node/src/gate/deciding.rs
@@ -5,7 +5,7 @@
 use coltsfootport_core::timeline::Event;
 
 use super::{Entered, FlightEnd, FlightGuard, FlightPhase, Gate};
-use crate::clock::micros;
+use crate::clock::elapsed_micros;
 
 impl Gate {
     /// Carries out what admission and the lifecycle decided since the last message.
@@ -38,7 +38,7 @@
         flight.phase = FlightPhase::Admitted;
         let event = Event::Admitted {
             class: flight.class,
-            elapsed_us: micros(self.clock.now(), flight.entered),
+            elapsed_us: elapsed_micros(self.clock.now(), flight.entered),
         };
         self.recorder.record(Some(flight.request), event);
         let Some(reply) = flight.reply.take() else {
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 use super::{Departure, Entered, Flight, FlightEnd, FlightKey, FlightPhase, Gate};
-use crate::clock::micros;
+use crate::clock::elapsed_micros;
 
 impl Gate {
     pub(super) fn dispatch(&mut self, key: FlightKey) -> Result<(), ErrorKind> {
@@ -35,7 +35,7 @@
         flight.phase = FlightPhase::Dispatched;
         let event = Event::Dispatched {
             attempt: flight.sending,
-            elapsed_us: micros(now, flight.entered),
+            elapsed_us: elapsed_micros(now, flight.entered),
         };
         self.recorder.record(Some(flight.request), event);
         Ok(())
@@ -67,7 +67,7 @@
                 FlightEnd::Withdrawn(ErrorKind::Cancelled)
             }
         };
-        let elapsed_us = micros(self.clock.now(), flight.entered);
+        let elapsed_us = elapsed_micros(self.clock.now(), flight.entered);
         self.recorder
             .record(Some(flight.request), Event::Cancelled { elapsed_us });
         self.end(key, end);
--- a/crates/node/src/mesh/boot_clock.rs
+++ b/crates/node/src/mesh/boot_clock.rs
@@ -33,7 +33,7 @@
         self.base + time_since_boot().saturating_sub(self.base_uptime)
     }
 
-    fn wall(&self) -> SystemTime {
+    fn system_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -79,7 +79,7 @@
 
     /// A stamp for a message that leaves now.
     pub fn stamp(&self) -> Stamp {
-        let wall = self.clock.wall();
+        let wall = self.clock.system_time();
         self.hlc
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -88,7 +88,7 @@
 
     /// Takes note of a stamp that a peer sent.
     pub fn observe(&self, peer: Stamp) {
-        let wall = self.clock.wall();
+        let wall = self.clock.system_time();
         let observed = self
             .hlc
             .lock()
--- a/crates/node/tests/mesh_journal.rs
+++ b/crates/node/tests/mesh_journal.rs
@@ -28,7 +28,7 @@
         *self.0.lock().expect("no panic")
     }
 
-    fn wall(&self) -> SystemTime {
+    fn system_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
