--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -165,13 +165,13 @@
         let done = tokio::time::timeout_at(give_up_at.into(), exchange).await;
         match done.unwrap_or(Attempt::Expired) {
             Attempt::Replied(reply) if reply.attempt != call.attempt => {
-                setup.recorder.breach(Invariant::AnswerToWrongCall);
+                setup.recorder.report_breach(Invariant::AnswerToWrongCall);
                 route.guard.finish(RouteResult::Lost, None);
                 Attempt::Lost
             }
             Attempt::Replied(reply) => {
                 if let Err(breach) = budget.reclaim(granted, reply.allowance_left) {
-                    setup.recorder.breach(breach);
+                    setup.recorder.report_breach(breach);
                 }
                 budget.record_downstream_level(reply.report.level);
                 route
--- a/crates/node/src/gate/deciding.rs
+++ b/crates/node/src/gate/deciding.rs
@@ -87,10 +87,10 @@
 
     fn check(&mut self) {
         if let Err(breach) = self.admission.check() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
         }
         if let Some(breach) = self.once.take_breach() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
         }
     }
 }
--- a/crates/node/src/gate/ending.rs
+++ b/crates/node/src/gate/ending.rs
@@ -29,7 +29,7 @@
             self.once.dispatch(record, flight.deadline, now)?;
         }
         if let Some(breach) = self.lifecycle.dispatched() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
             return Err(ErrorKind::Leaving);
         }
         flight.phase = FlightPhase::Dispatched;
--- a/crates/node/src/gate/serving.rs
+++ b/crates/node/src/gate/serving.rs
@@ -38,7 +38,7 @@
             return;
         };
         if let Err(breach) = flight.allowance.reclaim(granted, left) {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
         }
     }
 
--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -100,7 +100,7 @@
     }
 
     /// Reports a breached invariant: counted, recorded, and fatal in builds for tests.
-    pub fn breach(&self, invariant: Invariant) {
+    pub fn report_breach(&self, invariant: Invariant) {
         self.record(None, Event::InvariantBreached { invariant });
         if cfg!(debug_assertions) {
             eprintln!("invariant breached: {}", invariant.as_str());
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -179,7 +179,7 @@
                 }
             }
             Offer::Unchanged => return,
-            Offer::Refused(breach) => return self.setup.recorder.breach(breach),
+            Offer::Refused(breach) => return self.setup.recorder.report_breach(breach),
         };
         self.setup.recorder.record(None, event);
     }
