--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,21 +1,21 @@
-//! The clock of a process, passed in wherever time is read.
+//! Clock of the process, passed to all code that reads the time.
 
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-/// Source of time at the edge of the process.
+/// Source of the current time.
 pub trait Clock: Send + Sync {
-    /// Monotonic time, for deadlines and ages.
+    /// Returns the monotonic time, for deadlines and ages.
     fn now(&self) -> Instant;
 
-    /// Time of day, only for stamps that people read.
+    /// Returns the wall clock time, only for timestamps shown to users.
     fn system_time(&self) -> SystemTime;
 }
 
-/// A clock shared by all tasks of a process.
+/// Clock shared by all tasks of the process.
 pub type SharedClock = Arc<dyn Clock>;
 
-/// The clock of the operating system.
+/// Clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Microseconds from `since` to `now`, zero where `since` is later.
+/// Returns the microseconds from `since` to `now`, or zero if `since` is later.
 pub fn elapsed_micros(now: Instant, since: Instant) -> u64 {
     now.saturating_duration_since(since).as_micros() as u64
 }
