--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: JSON with comments, one module for each section.
+//! Settings of a node, read from JSON with comments. Each section has its own module.
 
 mod admission;
 mod advertise;
