--- a/crates/node/src/config/admission.rs
+++ b/crates/node/src/config/admission.rs
@@ -1,39 +1,39 @@
-//! Section `admission`: which calls the node lets through to its target.
+//! Section `admission`: admission control in front of the target.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::{FaultKind, Need, Section};
 
-/// How the limit of concurrent calls is found.
+/// How the concurrency limit is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// No limit: every call goes to the target. For comparison only.
+    /// No limit: every call is sent to the target. For comparison only.
     Off,
-    /// The initial limit, never changed.
+    /// Fixed limit, equal to the initial limit.
     Static,
-    /// A limit learnt from delays and completions.
+    /// Limit adjusted by the observed service times and completions.
     #[default]
     Adaptive,
 }
 
-/// Admission of calls to the target.
+/// Settings of admission control in front of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// How the limit is found.
+    /// How the concurrency limit is set.
     pub mode: AdmissionMode,
-    /// Concurrent calls at the start.
+    /// Initial concurrency limit.
     pub initial_limit: u32,
-    /// Lowest limit that is ever learnt.
+    /// Lower bound of the adaptive limit.
     pub min_limit: u32,
-    /// Highest limit that is ever learnt.
+    /// Upper bound of the adaptive limit.
     pub max_limit: u32,
-    /// Most calls that wait for their turn.
+    /// Maximum number of queued calls.
     pub queue_length: u32,
     /// Whether calls are shed by class and request before the limit is reached.
     pub level_shedding: bool,
-    /// Whether a call is refused that can't finish in its remaining time.
+    /// Whether calls that can't finish before their deadline are refused.
     pub deadline_check: bool,
-    /// Time over which the limit of a target that has just started rises to its full value.
+    /// Time over which the limit of a newly started target ramps up to its full value.
     pub cold_start: Duration,
 }
 
@@ -61,13 +61,13 @@
 
     pub(super) fn read(mut section: Section<'_, '_>, default: Self) -> Self {
         let initial_limit = section.integer("initial_limit", 1..=65_535, default.initial_limit);
-        let least = default.min_limit.min(initial_limit);
-        let most = default.max_limit.max(initial_limit);
+        let min_default = default.min_limit.min(initial_limit);
+        let max_default = default.max_limit.max(initial_limit);
         let settings = Self {
             mode: section.choice("mode", &Self::MODES, default.mode),
             initial_limit,
-            min_limit: section.integer("min_limit", 1..=65_535, least),
-            max_limit: section.integer("max_limit", 1..=65_535, most),
+            min_limit: section.integer("min_limit", 1..=65_535, min_default),
+            max_limit: section.integer("max_limit", 1..=65_535, max_default),
             queue_length: section.integer("queue_length", 0..=65_535, default.queue_length),
             level_shedding: section.boolean("level_shedding", default.level_shedding),
             deadline_check: section.boolean("deadline_check", default.deadline_check),
@@ -78,13 +78,13 @@
         settings
     }
 
-    /// Puts the default limits in place of limits that contradict each other.
+    /// Replaces all three limits by their defaults if they contradict each other.
     fn with_consistent_limits(self, section: &mut Section<'_, '_>) -> Self {
         if self.min_limit <= self.initial_limit && self.initial_limit <= self.max_limit {
             return self;
         }
         let message = format!(
-            "min_limit {} <= initial_limit {} <= max_limit {} doesn't hold; the defaults serve",
+            "min_limit {} <= initial_limit {} <= max_limit {} doesn't hold; using the defaults",
             self.min_limit, self.initial_limit, self.max_limit
         );
         section.fault(
