--- a/crates/node/src/config/advertise.rs
+++ b/crates/node/src/config/advertise.rs
@@ -1,4 +1,4 @@
-//! Section `advertise`: addresses that others connect to, where these differ from `listen`.
+//! Section `advertise`: public addresses of the node, if they differ from those in `listen`.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use super::ListenSettings;
 
-/// Addresses told to others, for nodes behind an address translation or a proxy.
+/// Advertised addresses, for nodes behind network address translation or a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdvertiseSettings {
-    /// Address of the peers listener as other nodes reach it.
+    /// Address at which other nodes reach the peers listener.
     pub peers: Option<SocketAddr>,
-    /// Address of the operators listener as operators reach it.
+    /// Address at which operators reach the operators listener.
     pub operators: Option<SocketAddr>,
 }
 
@@ -27,15 +27,14 @@
         Self { peers, operators }
     }
 
-    /// Reports an address that nobody can connect to.
+    /// Reports an unspecified address such as `0.0.0.0:7101`, to which no other node can connect.
     ///
-    /// Others would be told an address such as `0.0.0.0:7101` and fail to connect: the node would run and never be
-    /// called. Refusing the settings shows it at the start.
+    /// A node that advertised it would run but never be called. Rejecting the settings reveals the mistake at startup.
     pub(super) fn check(&self, listen: &ListenSettings, root: &mut Section<'_, '_>) {
         let peers = self.peers.unwrap_or(listen.peers);
         if peers.ip().is_unspecified() {
-            let message = "\"advertise.peers\" must give the address that other nodes connect to, \
-                           because \"listen.peers\" is not one address";
+            let message = "\"advertise.peers\" must be set to the address that other nodes connect to, \
+                           because \"listen.peers\" is an unspecified address";
             root.fault("advertise", Need::Required, FaultKind::Invalid, message);
         }
     }
