--- a/crates/node/src/config/convert.rs
+++ b/crates/node/src/config/convert.rs
@@ -1,4 +1,4 @@
-//! Settings as the core's decisions take them.
+//! Conversions from the settings to the configuration types of the core crate.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
             mode: settings.mode.into(),
             initial_limit: settings.initial_limit,
             min_limit: settings.min_limit,
-            // Each call at the target has a connection of its own.
+            // Each call that the target is running occupies one connection.
             max_limit: settings.max_limit.min(connections),
             queue_length: settings.queue_length as usize,
             level_shedding: settings.level_shedding,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The failure domain whose targets come first; the empty name is nobody's.
+/// Returns the failure domain whose targets are preferred. The empty name matches no failure domain.
 fn preferred_domain(settings: &Settings) -> DomainName {
     if settings.routing.domain_first {
         settings.node.domain.clone()
@@ -150,7 +150,8 @@
     }
 }
 
-/// The configuration service and the list are read apart but share the rates.
+/// The configuration service and the instance list are read by separate calls but share the rate limits.
 const CALLS_PER_READ: u32 = 2;
 
+/// Interval between announcements of a shutdown.
 const ANNOUNCE_EVERY: Duration = Duration::from_millis(100);
