--- a/crates/node/src/config/fleet_key.rs
+++ b/crates/node/src/config/fleet_key.rs
@@ -1,23 +1,23 @@
-//! One entry of `fleet_keys`: a key that authenticates tokens and contexts.
+//! Entry of `fleet_keys`: a key that authenticates tokens and contexts.
 
 use coltsfootport_core::jsonc::{Item, Section};
 
 use super::Secret;
 
-/// A key shared by all nodes of the fleet.
+/// Key shared by all nodes of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetKey {
-    /// Number that names the key within the fleet.
+    /// Id of the key, unique in the fleet.
     pub id: u8,
-    /// The key, 16 to 64 bytes.
+    /// Secret of 16 to 64 bytes.
     pub secret: Secret<Vec<u8>>,
 }
 
 impl FleetKey {
-    /// Shortest key, in bytes: one that can't be found by trying.
+    /// Minimum length of a key in bytes, long enough to prevent brute-force attacks.
     const MIN_BYTES: usize = 16;
 
-    /// Longest key, in bytes: the block of SHA-256, above which a key is hashed first.
+    /// Maximum length of a key in bytes: the block size of SHA-256. HMAC hashes longer keys first.
     const MAX_BYTES: usize = 64;
 
     pub(super) fn read(mut section: Section<'_, '_>) -> Option<Self> {
@@ -39,7 +39,7 @@
         match decode_hex(text).filter(|bytes| lengths.contains(&bytes.len())) {
             Some(bytes) => Ok(Secret::new(bytes)),
             None => Err(format!(
-                "a secret has {} to {} bytes, each as two hexadecimal digits",
+                "expected {} to {} bytes, each as two hexadecimal digits",
                 FleetKey::MIN_BYTES,
                 FleetKey::MAX_BYTES
             )),
