--- a/crates/node/src/config/limits.rs
+++ b/crates/node/src/config/limits.rs
@@ -1,25 +1,25 @@
-//! Section `limits`: bounds of sizes and counts.
+//! Section `limits`: maximum sizes, counts and times.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// Bounds that keep memory and sockets of a node finite, whatever callers send.
+/// Limits that bound the memory and sockets of a node regardless of what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitsSettings {
-    /// Largest body of a request or an answer, in bytes.
+    /// Maximum size of the body of a request or an answer in bytes.
     pub body_bytes: u32,
-    /// Largest head of a request or an answer, in bytes.
+    /// Maximum size of the head of a request or an answer in bytes.
     pub header_bytes: u32,
-    /// Most connections from callers and the target.
+    /// Maximum number of connections from callers, and of connections from the target.
     pub connections: u32,
-    /// Most calls that the node works on at a time, entering, passing or at its target.
+    /// Maximum number of concurrent calls from callers, and of concurrent calls from the target.
     pub in_flight: u32,
-    /// Most streams that one peer may have open.
+    /// Maximum number of open streams per peer.
     pub peer_streams: u32,
-    /// Longest time for the head of a request to arrive.
+    /// Maximum time for a request's head, its body, or a peer's frame to arrive.
     pub header_timeout: Duration,
-    /// Time after which a connection without calls is closed.
+    /// Time after which a connection is closed if a peer sends nothing or a caller doesn't read its answer.
     pub idle_timeout: Duration,
 }
 
