--- a/crates/node/src/config/listen.rs
+++ b/crates/node/src/config/listen.rs
@@ -1,19 +1,19 @@
-//! Section `listen`: the addresses of the node's listeners.
+//! Section `listen`: addresses of the node's listeners.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use coltsfootport_core::jsonc::{FaultKind, Item, Need, Section};
 
-/// Addresses of the four listeners; port 0 lets the system choose one.
+/// Addresses of the four listeners. With port 0, the operating system chooses a port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// HTTP for callers outside the graph.
+    /// HTTP listener for callers outside the service graph.
     pub callers: SocketAddr,
-    /// HTTP for the node's own target, on the loopback interface only.
+    /// HTTP listener for calls of the local target; must be on a loopback address.
     pub egress: SocketAddr,
-    /// QUIC for other nodes.
+    /// QUIC listener for other nodes.
     pub peers: SocketAddr,
-    /// HTTP for operators.
+    /// HTTP listener for operators.
     pub operators: SocketAddr,
 }
 
@@ -36,8 +36,8 @@
         let peers = section.required("peers").and_then(Item::address);
         let operators = section.required("operators").and_then(Item::address);
         if egress.is_some_and(|address| !address.ip().is_loopback()) {
-            // The egress listener trusts its contexts. On another interface any process of the network could make calls
-            // in the name of a call in flight, seen only as spent allowances; loopback leaves it to the own target.
+            // The egress listener trusts the contexts that it receives. On any other interface, every process on the
+            // network could make calls on behalf of a call in flight, which would show only as spent retry allowances.
             let message = "the egress listener must have a loopback address";
             section.fault("egress", Need::Required, FaultKind::Invalid, message);
         }
