--- a/crates/node/src/config/loaded_settings.rs
+++ b/crates/node/src/config/loaded_settings.rs
@@ -1,14 +1,14 @@
-//! Settings together with what was wrong in them.
+//! Settings together with the warnings found while parsing them.
 
 use coltsfootport_core::jsonc::Fault;
 
 use super::Settings;
 
-/// Settings that a node can start with.
+/// Valid settings and the warnings about them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadedSettings {
-    /// The settings, with defaults in place of wrong values.
+    /// Settings in which invalid values are replaced by defaults.
     pub settings: Settings,
-    /// Wrong keys and values, to be logged at the start and shown by `status`.
+    /// Invalid keys and values, logged at startup and shown by `status`.
     pub warnings: Vec<Fault>,
 }
