--- a/crates/node/src/config/log.rs
+++ b/crates/node/src/config/log.rs
@@ -1,15 +1,15 @@
-//! Section `log`: the log on standard error.
+//! Section `log`: logging to standard error.
 
 use coltsfootport_core::jsonc::Section;
 
 use crate::log::{LogFormat, LogLevel};
 
-/// The log.
+/// Settings of the logger.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
-    /// How a record is written.
+    /// Format of log lines.
     pub format: LogFormat,
-    /// The least important record that is written.
+    /// Minimum severity of the lines that are written.
     pub level: LogLevel,
 }
 
