--- a/crates/node/src/config/node.rs
+++ b/crates/node/src/config/node.rs
@@ -1,14 +1,14 @@
-//! Section `node`: who this node is.
+//! Section `node`: identity of the node.
 
 use coltsfootport_core::id::{DomainName, NodeName, RegionName, ServiceName};
 use coltsfootport_core::jsonc::{Item, Section};
 
-/// Names of the node and of its place.
+/// Identity and location of the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeSettings {
     /// Name of the node, unique in the fleet.
     pub name: NodeName,
-    /// Service of the target beside it.
+    /// Service of the node's target.
     pub service: ServiceName,
     /// Failure domain of the instance.
     pub domain: DomainName,
