--- a/crates/node/src/config/once.rs
+++ b/crates/node/src/config/once.rs
@@ -1,19 +1,19 @@
-//! Section `once`: the records that keep a token from running twice.
+//! Section `once`: records that prevent a call with a token from running twice.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// Records of tokens that ran or were refused here, held in memory.
+/// Settings of the in-memory table of tokens whose calls have run or been refused at this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OnceSettings {
-    /// Most records; a full table refuses new tokens.
+    /// Maximum number of records. A full table refuses new tokens.
     pub capacity: u32,
-    /// Age at which a token is refused.
+    /// Maximum age of a token; older tokens are refused.
     pub retention: Duration,
-    /// How much longer than `retention` a record is kept.
+    /// Additional time for which a record is kept after its token has expired.
     pub record_margin: Duration,
-    /// Largest answer that is kept for a repeat, in bytes.
+    /// Maximum size in bytes of an answer that is stored for repeated calls.
     pub answer_bytes: u32,
 }
 
