--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -1,20 +1,20 @@
-//! Section `platform`: the configuration service and the instance list.
+//! Section `platform`: access to the configuration service and the instance list.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::{Item, Section};
 
-/// Where and how often the platform is read. Nothing is ever written to it.
+/// Settings of the reads from the platform, to which the node never writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
     /// Address of the platform's HTTP interface.
     pub address: SocketAddr,
-    /// How long one watch waits at the platform for something newer.
+    /// Time for which the platform holds a watch while there is no change.
     pub watch: Duration,
-    /// Mean time between own reads of a node that is no reader of its failure domain.
+    /// Mean time between reads by a node that is not a reader of its failure domain.
     pub fallback_read: Duration,
-    /// Longest time for an answer, beyond the wait of a watch.
+    /// Timeout of a read, in addition to the time for which a watch is held.
     pub timeout: Duration,
 }
 
