--- a/crates/node/src/config/retries.rs
+++ b/crates/node/src/config/retries.rs
@@ -1,19 +1,19 @@
-//! Section `retries`: retries that the system itself makes.
+//! Section `retries`: retries made by the nodes.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// Retries within the system; the bound for one request is in the document of its service.
+/// Settings of retries made by the nodes. The limit per request is set in the service's document.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetriesSettings {
-    /// Whether the allowance of a request bounds its retries; off only to measure what it brings.
+    /// Whether retries are limited by the retry allowance of the request. Disabled only to measure its effect.
     pub allowance_enabled: bool,
-    /// Retries towards one service as a share of its successful calls.
+    /// Retries added to the budget of a service by each successful call.
     pub edge_ratio: f64,
-    /// Retries towards one service that may come at once, beyond the share.
+    /// Maximum number of retries in the budget of a service, which can be made in a burst.
     pub edge_burst: u32,
-    /// Mean wait before a retry.
+    /// Upper bound of the random delay before the first retry; it doubles with each further retry.
     pub backoff: Duration,
 }
 
