--- a/crates/node/src/config/routing.rs
+++ b/crates/node/src/config/routing.rs
@@ -1,21 +1,21 @@
-//! Section `routing`: the choice of a target.
+//! Section `routing`: selection of targets.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// The choice of a target among the nodes of a service.
+/// Settings for the selection of a target among the nodes of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingSettings {
-    /// Nodes of each service that this node connects to.
+    /// Minimum number of nodes of each service to which this node connects, if that many exist.
     pub subset: u32,
-    /// Whether targets of the own failure domain come first while they have room.
+    /// Whether targets in the local failure domain are preferred while they have capacity.
     pub domain_first: bool,
-    /// Largest share of the known targets of a service that may be ejected at a time.
+    /// Maximum fraction of a service's subset that may be ejected at once.
     pub eject_share: f64,
-    /// Failures in a row after which a target is ejected.
+    /// Consecutive failures after which a target is ejected.
     pub eject_failures: u32,
-    /// Time for which a target is ejected first; it grows with each ejection in a row.
+    /// Duration of the first ejection; grows with each consecutive one.
     pub eject_time: Duration,
 }
 
