--- a/crates/node/src/config/runtime.rs
+++ b/crates/node/src/config/runtime.rs
@@ -1,11 +1,11 @@
-//! Section `runtime`: threads of the process.
+//! Section `runtime`: settings of the async runtime.
 
 use coltsfootport_core::jsonc::Section;
 
-/// Threads of the process.
+/// Settings of the async runtime.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RuntimeSettings {
-    /// Worker threads; 0 runs everything on the main thread.
+    /// Number of worker threads; 0 runs all tasks on the main thread.
     pub worker_threads: u32,
 }
 
