--- a/crates/node/src/config/secret.rs
+++ b/crates/node/src/config/secret.rs
@@ -1,10 +1,10 @@
-//! A value that must not reach logs.
+//! Wrapper that keeps a value out of logs.
 
 use std::fmt;
 
-/// A secret, whose debug form hides it.
+/// Secret value whose `Debug` output hides it.
 ///
-/// Settings are printed whole in logs and test failures; without this a key would be readable wherever a log goes.
+/// Complete settings are printed in logs and test failures, which would otherwise disclose the keys.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Secret<T>(T);
 
@@ -14,7 +14,7 @@
         Self(value)
     }
 
-    /// The secret itself, for the code that uses it.
+    /// Returns the secret.
     pub fn expose(&self) -> &T {
         &self.0
     }
