--- a/crates/node/src/config/settings.rs
+++ b/crates/node/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! All settings of one node.
+//! Complete settings of a node.
 
 use std::net::SocketAddr;
 
@@ -11,55 +11,55 @@
     TlsSettings,
 };
 
-/// All settings of one node, as read at its start.
+/// Complete settings of a node, read once at startup.
 ///
-/// The default is a start for update syntax only: it has no names, keys or certificates.
+/// The default has no names, keys or certificates and is only meant for struct update syntax.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Who this node is.
+    /// Identity of the node.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Addresses of the listeners.
     pub listen: ListenSettings,
-    /// What others are told to connect to, where that differs.
+    /// Advertised addresses, if they differ from `listen`.
     pub advertise: AdvertiseSettings,
-    /// The target beside the node.
+    /// Target of the node.
     pub target: TargetSettings,
-    /// The platform's configuration service and instance list.
+    /// Access to the platform's configuration service and instance list.
     pub platform: PlatformSettings,
     /// Certificates of the fleet.
     pub tls: TlsSettings,
-    /// Keys that authenticate tokens and contexts: the first one signs, all of them verify.
+    /// Keys that authenticate tokens and contexts. The first one signs; all of them verify.
     pub fleet_keys: Vec<FleetKey>,
-    /// Bounds of sizes and counts.
+    /// Maximum sizes, counts and times.
     pub limits: LimitsSettings,
-    /// Retries within the system.
+    /// Retries made by the nodes.
     pub retries: RetriesSettings,
-    /// Admission of calls to the target.
+    /// Admission control in front of the target.
     pub admission: AdmissionSettings,
-    /// The records that keep a token from running twice.
+    /// Records that prevent a call with a token from running twice.
     pub once: OnceSettings,
-    /// The choice of targets.
+    /// Selection of targets.
     pub routing: RoutingSettings,
-    /// The spread of documents between nodes.
+    /// Dissemination of documents between nodes.
     pub spread: SpreadSettings,
-    /// A planned stop.
+    /// Graceful shutdown.
     pub shutdown: ShutdownSettings,
-    /// Logs.
+    /// Logging.
     pub log: LogSettings,
-    /// The ring of events that `timeline` shows.
+    /// Ring buffer of events shown by `timeline`.
     pub timeline: TimelineSettings,
-    /// Threads of the process.
+    /// Async runtime.
     pub runtime: RuntimeSettings,
 }
 
 impl Settings {
-    /// Most fleet keys: one in use, and others during a rotation.
+    /// Maximum number of fleet keys. More than one is needed only during a rotation.
     const MAX_FLEET_KEYS: usize = 8;
 
-    /// Reads settings.
+    /// Parses settings.
     ///
-    /// A wrong key or value that a default can replace is a warning; without usable names, addresses, certificates and
-    /// keys the text is refused with every fault in it.
+    /// An unknown key, or an invalid value that has a default, yields a warning. If a name, address, certificate or key
+    /// is missing or invalid, all faults of the text are returned as the error.
     pub fn parse(text: &str) -> Result<LoadedSettings, Vec<Fault>> {
         let parsed = jsonc::parse(text, Self::read);
         match parsed.value {
@@ -71,12 +71,12 @@
         }
     }
 
-    /// The address at which other nodes reach this one.
+    /// Returns the address at which other nodes reach this one.
     pub fn advertised_peers(&self) -> SocketAddr {
         self.advertise.peers.unwrap_or(self.listen.peers)
     }
 
-    /// The address at which operators reach this node.
+    /// Returns the address at which operators reach this node.
     pub fn advertised_operators(&self) -> SocketAddr {
         self.advertise.operators.unwrap_or(self.listen.operators)
     }
@@ -89,12 +89,12 @@
         let platform = read_required(&mut root, "platform", PlatformSettings::read);
         let tls = read_required(&mut root, "tls", TlsSettings::read);
         let fleet_keys = read_fleet_keys(&mut root);
-        let hints = target.clone().unwrap_or_default();
+        let target_or_default = target.clone().unwrap_or_default();
         let settings = Self {
             advertise,
             limits: root.section("limits", LimitsSettings::read),
             retries: root.section("retries", RetriesSettings::read),
-            admission: read_admission(&mut root, &hints),
+            admission: read_admission(&mut root, &target_or_default),
             once: root.section("once", OnceSettings::read),
             routing: root.section("routing", RoutingSettings::read),
             spread: root.section("spread", SpreadSettings::read),
@@ -149,20 +149,20 @@
     Some(keys)
 }
 
-/// How far the limit may grow above the target's slots by default: by a quarter.
-const GROWTH_NUMERATOR: u32 = 5;
-const GROWTH_DENOMINATOR: u32 = 4;
+/// Default maximum limit as a multiple of the target's slots: five quarters.
+const MAX_LIMIT_NUMERATOR: u32 = 5;
+const MAX_LIMIT_DENOMINATOR: u32 = 4;
 
-/// Reads `admission`, which begins with the target's slots and cold start unless it says otherwise.
+/// Reads `admission`, with defaults derived from the target's slots and cold start time.
 fn read_admission(root: &mut Section<'_, '_>, target: &TargetSettings) -> AdmissionSettings {
     let initial_limit = target.slots;
     let default = AdmissionSettings {
         initial_limit,
-        // Below its slots a target only idles: one that takes longer for each call looks congested, and a limit that follows
-        // it down gives up goodput that a fixed limit keeps.
+        // A limit below the slots leaves slots idle. A target whose calls take longer looks congested, and lowering the
+        // limit for that reason would lose goodput that a fixed limit keeps.
         min_limit: initial_limit,
-        // Far above its slots calls only queue inside the target, out of the reach of order and deadlines.
-        max_limit: (initial_limit * GROWTH_NUMERATOR).div_ceil(GROWTH_DENOMINATOR),
+        // Far above the slots, calls would only queue inside the target, where neither priorities nor deadlines apply.
+        max_limit: (initial_limit * MAX_LIMIT_NUMERATOR).div_ceil(MAX_LIMIT_DENOMINATOR),
         cold_start: target.cold_start,
         ..Default::default()
     };
