--- a/crates/node/src/config/shutdown.rs
+++ b/crates/node/src/config/shutdown.rs
@@ -1,15 +1,16 @@
-//! Section `shutdown`: a planned stop.
+//! Section `shutdown`: graceful shutdown.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// A planned stop: announce, refuse new work, finish what is in flight, end.
+/// Durations of a graceful shutdown, in which the node announces that it is leaving, refuses new calls and finishes the
+/// calls in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSettings {
-    /// Time between the announcement and the refusal of new work.
+    /// Minimum time between the first announcement and the end of the process.
     pub announce: Duration,
-    /// Longest wait for the calls in flight.
+    /// Time after which the unfinished calls are logged; they are still completed.
     pub drain: Duration,
 }
 
