--- a/crates/node/src/config/spread.rs
+++ b/crates/node/src/config/spread.rs
@@ -1,21 +1,21 @@
-//! Section `spread`: how documents spread between nodes.
+//! Section `spread`: dissemination of documents between nodes.
 
 use std::time::Duration;
 
 use coltsfootport_core::jsonc::Section;
 
-/// The spread of documents from the platform to all nodes.
+/// Settings for the dissemination of documents from the platform to all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpreadSettings {
-    /// Nodes of each failure domain that watch the platform.
+    /// Number of nodes in each failure domain that watch the platform.
     pub readers_per_domain: u32,
-    /// Nodes to which news is pushed and with which digests are exchanged.
+    /// Number of peers to which updates are pushed and with which digests are exchanged.
     pub gossip_peers: u32,
-    /// Mean time between two exchanges of digests.
+    /// Mean interval between digests.
     pub digest: Duration,
-    /// Nodes assumed to start together while the list is not known; spreads their first reads.
+    /// Fleet size assumed until the instance list is known, by which the first reads are spread over time.
     pub start_fleet: u32,
-    /// Time given to peers at the start before the platform's word alone is enough.
+    /// Time to wait for peers at startup before the platform's data alone is used.
     pub start_wait: Duration,
 }
 
