--- a/crates/node/src/config/target.rs
+++ b/crates/node/src/config/target.rs
@@ -1,4 +1,4 @@
-//! Section `target`: the target beside the node.
+//! Section `target`: address and capacity of the node's target.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -6,20 +6,22 @@
 use coltsfootport_core::jsonc::{Item, Section};
 use smol_str::SmolStr;
 
-/// The target beside the node and what is known of it; the sizes are hints for the start.
+/// Address and capacity of the node's target.
+///
+/// `slots` and `cold_start` are hints, from which the defaults of `admission` are derived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetSettings {
     /// Address of the target's HTTP listener.
     pub address: SocketAddr,
-    /// Calls that the target works on at a time.
+    /// Number of calls that the target can run concurrently.
     pub slots: u32,
-    /// Most connections that the node holds open to the target.
+    /// Maximum number of idle connections kept open to the target.
     pub connections: u32,
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Path of the target's health endpoint; absent where it has none.
+    /// Path of the target's health endpoint, if it has one.
     pub health_path: Option<SmolStr>,
-    /// Time that the target takes from its start to full speed.
+    /// Time that the target needs after its start to reach full speed.
     pub cold_start: Duration,
 }
 
@@ -62,6 +64,6 @@
 fn read_path(item: Item<'_, '_>) -> Option<SmolStr> {
     item.parsed(|text| match text.starts_with('/') {
         true => Ok(SmolStr::new(text)),
-        false => Err("a path starts with \"/\"".to_owned()),
+        false => Err("a path must start with \"/\"".to_owned()),
     })
 }
