--- a/crates/node/src/config/timeline.rs
+++ b/crates/node/src/config/timeline.rs
@@ -1,11 +1,11 @@
-//! Section `timeline`: the ring of events.
+//! Section `timeline`: ring buffer of events.
 
 use coltsfootport_core::jsonc::Section;
 
-/// The bounded ring of events that `timeline` merges over all nodes.
+/// Settings of the ring buffer of events, which the `timeline` command merges over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimelineSettings {
-    /// Events that are kept; the oldest ones go first.
+    /// Maximum number of events; the oldest ones are dropped first.
     pub capacity: u32,
 }
 
