--- a/crates/node/src/config/tls.rs
+++ b/crates/node/src/config/tls.rs
@@ -1,4 +1,4 @@
-//! Section `tls`: certificates of the fleet, as PEM text because instances have no disks.
+//! Section `tls`: certificates of the fleet, given as PEM text because instances have no disks.
 
 use coltsfootport_core::jsonc::{FaultKind, Item, Need, Section};
 use rustls::crypto::ring::sign::any_supported_type;
@@ -8,12 +8,12 @@
 
 use super::Secret;
 
-/// Certificates for the connections between nodes.
+/// Certificates and key for connections between nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// Certificates of the authorities that the fleet trusts; several during a rotation.
+    /// Certificates of the authorities that the fleet trusts. During a rotation there are several.
     pub ca_pem: String,
-    /// Certificate of this node, with the chain below the authority.
+    /// Certificate of this node, followed by the intermediate certificates.
     pub cert_pem: String,
     /// Private key of the certificate.
     pub key_pem: Secret<String>,
@@ -27,8 +27,8 @@
         if let (Some(cert_pem), Some(key_pem)) = (&cert_pem, &key_pem)
             && !is_key_pair(cert_pem, key_pem)
         {
-            // Taken as it is, the node would start and every peer would refuse its connections.
-            let message = "the certificate and the private key are no pair";
+            // Otherwise the node would start, but every peer would refuse its connections.
+            let message = "the private key does not match the certificate";
             section.fault("key_pem", Need::Required, FaultKind::Invalid, message);
         }
         section.finish();
@@ -49,7 +49,7 @@
         match refused {
             0 => Ok(text),
             _ => Err(format!(
-                "{refused} of the certificates can't be used as an authority"
+                "{refused} of the certificates can't be used as a certificate authority"
             )),
         }
     })
@@ -64,7 +64,7 @@
         let key = parse_private_key(text)?;
         match any_supported_type(&key) {
             Ok(_) => Ok(text),
-            Err(_) => Err("the private key is of no supported type".to_owned()),
+            Err(_) => Err("unsupported type of private key".to_owned()),
         }
     })
 }
@@ -73,18 +73,18 @@
     let list: Result<Vec<_>, _> = rustls_pemfile::certs(&mut text.as_bytes()).collect();
     match list {
         Ok(list) if !list.is_empty() => Ok(list),
-        _ => Err("the text holds no certificate in PEM form".to_owned()),
+        _ => Err("no certificate in PEM format found".to_owned()),
     }
 }
 
 fn parse_private_key(text: &str) -> Result<PrivateKeyDer<'static>, String> {
     match rustls_pemfile::private_key(&mut text.as_bytes()) {
         Ok(Some(key)) => Ok(key),
-        _ => Err("the text holds no private key in PEM form".to_owned()),
+        _ => Err("no private key in PEM format found".to_owned()),
     }
 }
 
-/// Whether a private key belongs to the first of the certificates.
+/// Returns whether a private key matches the first certificate.
 fn is_key_pair(cert_pem: &str, key_pem: &str) -> bool {
     let (Ok(chain), Ok(key)) = (parse_certificates(cert_pem), parse_private_key(key_pem)) else {
         return false;
