--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The coltsfootport node and its commands: overload control beside each target instance.
+//! Node of coltsfootport, which provides overload control for a target, and its commands.
 
 pub mod cli;
 pub mod clock;
