--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! The root logger.
+//! Root logger of the process.
 
 use std::io;
 
@@ -10,38 +10,38 @@
 
 use coltsfootport_core::id::{NodeName, RequestId, ServiceName};
 
-/// Lines that may wait for the writer; further ones are dropped and their number is logged.
-const QUEUED_LINES: usize = 4096;
+/// Capacity of the queue to the writer thread. Further lines are dropped and their number is logged.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for people, coloured where standard error is a terminal.
+    /// Human-readable text, coloured if standard error is a terminal.
     Terminal,
 }
 
-/// The least severe lines that are written.
+/// Minimum severity of the lines that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Work was lost or an invariant does not hold.
+    /// Work was lost or an invariant was breached.
     Error,
-    /// The node runs on with less than it should have.
+    /// The node continues in a degraded state.
     Warning,
-    /// Changes of state: lifecycle, documents, peers.
+    /// State changes of the lifecycle, documents and peers.
     #[default]
     Info,
-    /// One or more lines a request.
+    /// One or more lines per request.
     Debug,
 }
 
-/// Starts the root logger, which writes to standard error.
+/// Creates the root logger, which writes to standard error.
 ///
-/// Lines still queued are written when the guard is dropped, so it must live as long as the process.
+/// Dropping the guard writes the lines that are still queued, so it must live as long as the process.
 pub fn start(
     format: LogFormat,
     level: LogLevel,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Starts a root logger that writes JSON lines to `out`; see [`start`].
+/// Creates a root logger that writes JSON lines to `out`; see [`start`].
 pub fn start_json<W>(
     out: W,
     level: LogLevel,
@@ -70,7 +70,7 @@
     build_root(Json::default(out).fuse(), level, node, service)
 }
 
-/// A logger whose lines carry the id of the request.
+/// Returns a child logger that adds the id of the request to each line.
 pub fn with_request_id(log: &Logger, request: RequestId) -> Logger {
     log.new(o!("request" => request.to_string()))
 }
@@ -84,9 +84,11 @@
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
-    // A reader of standard error that stalls would stop a task that writes to it, and with it all calls of the node.
-    // The queue takes the writing to a thread and drops lines when it is full.
-    let (queue, guard) = Async::new(drain).chan_size(QUEUED_LINES).build_with_guard();
+    // If the reader of standard error stalls, a task that writes to it blocks, and with it all calls of the node. Lines
+    // are therefore queued for a separate writer thread and dropped if the queue is full.
+    let (queue, guard) = Async::new(drain)
+        .chan_size(QUEUE_CAPACITY)
+        .build_with_guard();
     let drain = LevelFilter::new(queue, level.into()).fuse();
     let fields = o!("service" => service.to_string(), "node" => node.to_string());
     (Logger::root(drain, fields), guard)
