--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Everything that a node counts, in the format of Prometheus.
+//! Prometheus metrics of a node.
 
 mod admission;
 mod calls;
@@ -23,24 +23,24 @@
 pub use peers::{PeerMetrics, PeerState};
 pub use tokens::{TokenEvent, TokenMetrics};
 
-/// All metrics of a node; clones share the same values and cost one count.
+/// Handle to all metrics of a node. Clones share the same values and are cheap.
 #[derive(Clone, Debug)]
 pub struct Metrics(Arc<MetricSet>);
 
-/// The metrics by subject.
+/// Metrics grouped by subject.
 #[derive(Debug)]
 pub struct MetricSet {
-    /// Calls, retries and the time added to them.
+    /// Calls, retries and added latency.
     pub calls: CallMetrics,
-    /// Admission in front of the target.
+    /// Admission control in front of the target.
     pub admission: AdmissionMetrics,
     /// Idempotency tokens.
     pub tokens: TokenMetrics,
-    /// Documents and reads of the platform.
+    /// Documents and reads from the platform.
     pub documents: DocumentMetrics,
     /// Peers by state.
     pub peers: PeerMetrics,
-    /// Traffic between nodes other than calls.
+    /// Control traffic between nodes.
     pub control: ControlMetrics,
     /// Rejected input and breached invariants.
     pub faults: FaultMetrics,
@@ -48,11 +48,11 @@
 }
 
 impl Metrics {
-    /// Metrics in a registry of their own, all at 0.
+    /// Creates the metrics in a new registry, all with value 0.
     ///
     /// # Errors
     ///
-    /// A metric's name or labels are malformed or used twice: a defect of this module.
+    /// Fails if the name or labels of a metric are malformed or used twice, which is a defect of this module.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         Ok(Self(Arc::new(MetricSet {
@@ -67,12 +67,12 @@
         })))
     }
 
-    /// The current values in the text format.
+    /// Returns the current values in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         match TextEncoder::new().encode_utf8(&self.registry.gather(), &mut text) {
             Ok(()) => text,
-            Err(fault) => format!("# {fault}\n"),
+            Err(err) => format!("# {err}\n"),
         }
     }
 }
