--- a/crates/node/src/metrics/admission.rs
+++ b/crates/node/src/metrics/admission.rs
@@ -1,4 +1,4 @@
-//! Metrics of admission.
+//! Metrics of admission control.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::calls::gauge_value;
 use super::register;
 
-/// Upper bounds in seconds.
+/// Upper bounds of the buckets in seconds.
 const WAIT_BUCKETS: [f64; 9] = [0.000_1, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0];
 
-/// Admission in front of the target.
+/// Metrics of admission control in front of the target.
 #[derive(Clone, Debug)]
 pub struct AdmissionMetrics {
     queue: IntGauge,
@@ -42,12 +42,12 @@
         })
     }
 
-    /// Sets the number of waiting calls.
+    /// Sets the number of queued calls.
     pub fn set_queue_length(&self, calls: usize) {
         self.queue.set(gauge_value(calls));
     }
 
-    /// Sets the number of calls that the target may work on at once.
+    /// Sets the concurrency limit of the target.
     pub fn set_limit(&self, calls: usize) {
         self.limit.set(gauge_value(calls));
     }
@@ -57,7 +57,7 @@
         self.level.set(i64::from(level));
     }
 
-    /// Notes how long an admitted call waited.
+    /// Records the time that an admitted call spent in the queue.
     pub fn record_queue_wait(&self, time: Duration) {
         self.wait.observe(time.as_secs_f64());
     }
