--- a/crates/node/src/metrics/calls.rs
+++ b/crates/node/src/metrics/calls.rs
@@ -9,35 +9,35 @@
 
 use super::register;
 
-/// Upper bounds in seconds; 0.61 ms is what the fleet may add to 99 of 100 calls.
+/// Upper bounds of the buckets in seconds. 0.61 ms is the most that the fleet may add to 99 % of calls.
 const ADDED_BUCKETS: [f64; 12] = [
     0.000_05, 0.000_1, 0.000_2, 0.000_3, 0.000_4, 0.000_61, 0.001, 0.002, 0.005, 0.02, 0.1, 1.0,
 ];
 
-/// Label of answers that the target made.
+/// Value of the label `error` for answers of the target.
 const NO_ERROR: &str = "none";
 
-/// Where a call arrived.
+/// Listener at which a call arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Listener {
-    /// From a caller outside the graph.
+    /// Listener for callers outside the service graph.
     Callers,
-    /// From the own target.
+    /// Listener for calls of the local target.
     Egress,
-    /// From a peer.
+    /// Listener for peers.
     Peers,
 }
 
-/// Where a call in flight is.
+/// Stage of a call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// Sent to a peer and not yet answered.
+    /// Sent to a peer and not answered yet.
     AtPeers,
-    /// Dispatched to the own target and not yet answered.
+    /// Dispatched to the local target and not answered yet.
     AtTarget,
 }
 
-/// Calls, retries and the time added to them.
+/// Metrics of calls, retries and added latency.
 #[derive(Clone, Debug)]
 pub struct CallMetrics {
     answered: IntCounterVec,
@@ -98,7 +98,7 @@
         Ok(metrics)
     }
 
-    /// Counts an answer; `error` is absent where the target made it.
+    /// Counts an answer; `error` is `None` for answers of the target.
     pub fn record_answer(
         &self,
         listener: Listener,
@@ -113,12 +113,12 @@
         self.answered.with_label_values(&labels).inc();
     }
 
-    /// Counts an attempt that is sent again after `error`.
+    /// Counts a retry of an attempt that failed with `error`.
     pub fn record_retry(&self, error: ErrorKind) {
         self.retries.with_label_values(&[error.as_str()]).inc();
     }
 
-    /// Counts retry allowance that was used up or did not come back.
+    /// Counts retry allowance that was used or not returned.
     pub fn record_spent_allowance(&self, retries: u64) {
         self.allowance_spent.inc_by(retries);
     }
@@ -130,24 +130,24 @@
             .set(gauge_value(calls));
     }
 
-    /// Notes the time that this node added to one call.
+    /// Records the latency that this node added to a call.
     pub fn record_added_time(&self, time: Duration) {
         self.added.observe(time.as_secs_f64());
     }
 
-    /// Counts a call of the own target that carried no context.
+    /// Counts a call of the local target without a context.
     pub fn record_call_without_context(&self) {
         self.without_context.inc();
     }
 
-    /// Counts an answer to an attempt that was given up.
+    /// Counts an answer to an attempt that this node had given up.
     pub fn record_late_answer(&self) {
         self.late_answers.inc();
     }
 }
 
 impl Listener {
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Callers => "callers",
@@ -158,7 +158,7 @@
 }
 
 impl Stage {
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::AtPeers => "at-peers",
@@ -167,7 +167,7 @@
     }
 }
 
-/// A count as the value of a gauge.
+/// Converts a count to the value of a gauge.
 pub(super) fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
