--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -1,4 +1,4 @@
-//! Metrics of the traffic between nodes other than calls.
+//! Metrics of the control traffic between nodes.
 
 use prometheus::{Error, IntCounterVec, Registry};
 
@@ -7,21 +7,21 @@
 /// Kind of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ControlKind {
-    /// First message of a connection.
+    /// First message on a connection, and announcements of a changed state.
     Hello,
-    /// Load, level and lifecycle of a node.
+    /// Load, admission level and lifecycle state of a node.
     Report,
-    /// What revisions a node holds.
+    /// Revisions that a node holds.
     Digest,
     /// Documents and instance lists.
     Documents,
-    /// Refusal of a token by its home.
+    /// Request to the home of a token to refuse it permanently, and the reply.
     Burn,
     /// Cancellation of a call.
     Cancel,
 }
 
-/// Traffic between nodes other than calls.
+/// Metrics of all traffic between nodes other than calls.
 #[derive(Clone, Debug)]
 pub struct ControlMetrics {
     sent: IntCounterVec,
@@ -51,14 +51,14 @@
         Ok(metrics)
     }
 
-    /// Counts bytes sent.
+    /// Counts sent bytes.
     pub fn record_sent(&self, kind: ControlKind, bytes: usize) {
         self.sent
             .with_label_values(&[kind.as_str()])
             .inc_by(bytes as u64);
     }
 
-    /// Counts bytes received.
+    /// Counts received bytes.
     pub fn record_received(&self, kind: ControlKind, bytes: usize) {
         self.received
             .with_label_values(&[kind.as_str()])
@@ -67,7 +67,7 @@
 }
 
 impl ControlKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 6] = [
         Self::Hello,
         Self::Report,
@@ -77,7 +77,7 @@
         Self::Cancel,
     ];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Hello => "hello",
