--- a/crates/node/src/metrics/documents.rs
+++ b/crates/node/src/metrics/documents.rs
@@ -1,27 +1,27 @@
-//! Metrics of documents and of the platform.
+//! Metrics of documents and of reads from the platform.
 
 use coltsfootport_core::id::ServiceName;
 use prometheus::{Error, IntCounterVec, IntGauge, IntGaugeVec, Registry};
 
 use super::register;
 
-/// How a read of the platform ended.
+/// Result of a read from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlatformReadResult {
-    /// It brought something newer.
+    /// The read returned newer data.
     Updated,
-    /// It brought nothing newer.
+    /// The read returned no newer data.
     Unchanged,
-    /// It failed or came too late.
+    /// The read failed or timed out.
     Failed,
 }
 
-/// Documents and reads of the platform.
+/// Metrics of documents and of reads from the platform.
 #[derive(Clone, Debug)]
 pub struct DocumentMetrics {
     in_force: IntGaugeVec,
     rejected: IntCounterVec,
-    store: IntGauge,
+    platform_revision: IntGauge,
     reads: IntCounterVec,
     reader: IntGauge,
 }
@@ -41,7 +41,7 @@
                 "Invalid revisions of a document, by service.",
                 &["service"],
             )?,
-            store: register::gauge(
+            platform_revision: register::gauge(
                 reg,
                 "platform_revision",
                 "Revision of the configuration service, as last read or heard of.",
@@ -58,13 +58,16 @@
                 "1 while this node reads the platform for its failure domain.",
             )?,
         };
-        for end in PlatformReadResult::ALL {
-            metrics.reads.with_label_values(&[end.as_str()]).inc_by(0);
+        for result in PlatformReadResult::ALL {
+            metrics
+                .reads
+                .with_label_values(&[result.as_str()])
+                .inc_by(0);
         }
         Ok(metrics)
     }
 
-    /// Sets the revision in force of a service's document.
+    /// Sets the revision of a service's document that is in force.
     pub fn set_in_force(&self, service: &ServiceName, revision: u64) {
         let revision = i64::try_from(revision).unwrap_or(i64::MAX);
         self.in_force
@@ -79,25 +82,26 @@
 
     /// Sets the revision of the configuration service.
     pub fn set_platform_revision(&self, revision: u64) {
-        self.store.set(i64::try_from(revision).unwrap_or(i64::MAX));
+        self.platform_revision
+            .set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
 
-    /// Counts a call to the platform.
-    pub fn record_read(&self, end: PlatformReadResult) {
-        self.reads.with_label_values(&[end.as_str()]).inc();
+    /// Counts a read from the platform.
+    pub fn record_read(&self, result: PlatformReadResult) {
+        self.reads.with_label_values(&[result.as_str()]).inc();
     }
 
-    /// Sets whether this node reads the platform for its failure domain.
+    /// Sets whether this node is a reader of the platform for its failure domain.
     pub fn set_reader(&self, reader: bool) {
         self.reader.set(i64::from(reader));
     }
 }
 
 impl PlatformReadResult {
-    /// Every end.
+    /// All results.
     pub const ALL: [Self; 3] = [Self::Updated, Self::Unchanged, Self::Failed];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Updated => "news",
