--- a/crates/node/src/metrics/faults.rs
+++ b/crates/node/src/metrics/faults.rs
@@ -5,22 +5,22 @@
 
 use super::register;
 
-/// Input that was rejected.
+/// Kind of input that was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectedInput {
-    /// A frame that is malformed, too long or fails its checksum.
+    /// Frame that is malformed, too large or has a wrong checksum.
     Frame,
-    /// A peer's certificate that is not of the fleet.
+    /// Certificate of a peer that does not belong to the fleet.
     Certificate,
-    /// A peer that speaks under the name of another node.
+    /// Peer that uses the name of another node.
     Name,
-    /// A reply to another call, or one that gives back more than it was given.
+    /// Reply to another call, or one that returns more retry allowance than was granted.
     Reply,
-    /// A token that is forged or malformed.
+    /// Token that is forged or malformed.
     Token,
 }
 
-/// Rejected input and breached invariants.
+/// Metrics of rejected input and breached invariants.
 #[derive(Clone, Debug)]
 pub struct FaultMetrics {
     breaches: IntCounterVec,
@@ -64,12 +64,12 @@
         Ok(metrics)
     }
 
-    /// Counts a breach.
+    /// Counts a breach of an invariant.
     pub fn record_breach(&self, invariant: Invariant) {
         self.breaches.with_label_values(&[invariant.as_str()]).inc();
     }
 
-    /// Breaches of an invariant since the start.
+    /// Returns the number of breaches of an invariant since startup.
     pub fn breaches(&self, invariant: Invariant) -> u64 {
         self.breaches.with_label_values(&[invariant.as_str()]).get()
     }
@@ -79,14 +79,14 @@
         self.rejected.with_label_values(&[what.as_str()]).inc();
     }
 
-    /// Counts a peer's stamp that was ignored.
+    /// Counts a timeline stamp of a peer that was ignored because it was too far ahead.
     pub fn record_ignored_stamp(&self) {
         self.stamps.inc();
     }
 }
 
 impl RejectedInput {
-    /// Everything that can be rejected.
+    /// All kinds.
     pub const ALL: [Self; 5] = [
         Self::Frame,
         Self::Certificate,
@@ -95,7 +95,7 @@
         Self::Token,
     ];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Frame => "frame",
