--- a/crates/node/src/metrics/from_event.rs
+++ b/crates/node/src/metrics/from_event.rs
@@ -1,4 +1,4 @@
-//! Counters that follow from the events of the time line.
+//! Updates metrics from timeline events.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::{Metrics, TokenEvent};
 
 impl Metrics {
-    /// Counts an event, so that the time line and the counters can't tell different stories.
+    /// Updates the metrics that depend on a timeline event, so that metrics and timeline can't disagree.
     pub fn record_event(&self, event: &Event) {
         match event {
             Event::Admitted { elapsed_us, .. } => {
