--- a/crates/node/src/metrics/peers.rs
+++ b/crates/node/src/metrics/peers.rs
@@ -5,22 +5,22 @@
 use super::calls::gauge_value;
 use super::register;
 
-/// State of a peer as seen by this node.
+/// State of a peer from the point of view of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PeerState {
-    /// Known, with no connection yet.
+    /// Known but not connected yet.
     Known,
     /// Connected.
     Up,
-    /// Out of reach.
+    /// Unreachable.
     Down,
-    /// Leaving; takes no new work.
+    /// Shutting down; accepts no new calls.
     Leaving,
-    /// Left out by routing for its failures.
+    /// Temporarily excluded from routing after repeated failures.
     Ejected,
 }
 
-/// Peers by state.
+/// Metrics of peers by state.
 #[derive(Clone, Debug)]
 pub struct PeerMetrics {
     peers: IntGaugeVec,
@@ -46,7 +46,7 @@
 }
 
 impl PeerState {
-    /// Every state.
+    /// All states.
     pub const ALL: [Self; 5] = [
         Self::Known,
         Self::Up,
@@ -55,7 +55,7 @@
         Self::Ejected,
     ];
 
-    /// The label in metrics and `status`.
+    /// Returns the name used in metrics and by `status`.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Known => "known",
