--- a/crates/node/src/metrics/register.rs
+++ b/crates/node/src/metrics/register.rs
@@ -1,4 +1,4 @@
-//! Registration of single metrics.
+//! Creates metrics and registers them under the `coltsfootport` namespace.
 
 use prometheus::core::Collector;
 use prometheus::{
