--- a/crates/node/src/metrics/tokens.rs
+++ b/crates/node/src/metrics/tokens.rs
@@ -5,22 +5,22 @@
 use super::calls::gauge_value;
 use super::register;
 
-/// What happened to a token.
+/// Event in the life of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TokenEvent {
-    /// Handed to a caller.
+    /// Issued to a caller.
     Minted,
-    /// Seen for the first time at its home, and let through.
+    /// Received by its home for the first time and accepted.
     Begun,
-    /// Answered again from memory.
+    /// Answered with a stored answer.
     Replayed,
-    /// Joined to its running call.
+    /// Joined to the running call of the same token.
     Joined,
-    /// Refused for good up to a try.
+    /// Permanently refused up to a given try.
     Burned,
 }
 
-/// Idempotency tokens.
+/// Metrics of idempotency tokens.
 #[derive(Clone, Debug)]
 pub struct TokenMetrics {
     events: IntCounterVec,
@@ -48,14 +48,14 @@
         Ok(metrics)
     }
 
-    /// Counts an event of `tokens` tokens.
+    /// Counts an event that concerns `tokens` tokens.
     pub fn count(&self, event: TokenEvent, tokens: u64) {
         self.events
             .with_label_values(&[event.as_str()])
             .inc_by(tokens);
     }
 
-    /// Sets the fill of the table.
+    /// Sets the number of stored tokens and the capacity of the table.
     pub fn set_table_size(&self, kept: usize, capacity: usize) {
         self.kept.set(gauge_value(kept));
         self.capacity.set(gauge_value(capacity));
@@ -63,7 +63,7 @@
 }
 
 impl TokenEvent {
-    /// Every event.
+    /// All events.
     pub const ALL: [Self; 5] = [
         Self::Minted,
         Self::Begun,
@@ -72,7 +72,7 @@
         Self::Burned,
     ];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Minted => "minted",
