--- a/crates/node/src/recorder.rs
+++ b/crates/node/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records events of this node in its time line.
+//! Recorder of timeline events of this node.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -12,10 +12,10 @@
 use crate::metrics::Metrics;
 use crate::operators::TimelinePage;
 
-/// Records events; cheap to clone.
+/// Handle for recording events; cheap to clone.
 ///
-/// The hybrid logical clock is the one piece of state that tasks share: a stamp must be had at the place where a message is
-/// written, and asking a task for it would cost each call two more switches.
+/// The hybrid logical clock is the only state that tasks share. A stamp is needed wherever a message is written, and
+/// requesting it from another task would cost each call two more context switches.
 #[derive(Clone)]
 pub struct Recorder {
     node: NodeName,
@@ -25,7 +25,7 @@
     tx: mpsc::UnboundedSender<RecorderMessage>,
 }
 
-/// The task that owns the ring of events.
+/// Task that owns the ring buffer of events.
 #[derive(Debug)]
 pub struct RecorderTask {
     ring: Ring,
@@ -39,7 +39,7 @@
 }
 
 impl Recorder {
-    /// A recorder and the task behind it, which keeps the last `capacity` events.
+    /// Creates a recorder and its task, which keeps the last `capacity` events.
     pub fn new(
         node: NodeName,
         clock: SharedClock,
@@ -64,7 +64,7 @@
         )
     }
 
-    /// Records an event now.
+    /// Records an event with the current time.
     pub fn record(&self, request: Option<RequestId>, event: Event) {
         self.metrics.record_event(&event);
         let at = self.stamp();
@@ -77,7 +77,7 @@
         let _ = self.tx.send(RecorderMessage::Record(record));
     }
 
-    /// A stamp for a message that leaves now.
+    /// Advances the hybrid logical clock and returns a stamp for an event or an outgoing message.
     pub fn stamp(&self) -> Stamp {
         let wall = self.clock.system_time();
         self.hlc
@@ -86,7 +86,7 @@
             .tick(wall)
     }
 
-    /// Takes note of a stamp that a peer sent.
+    /// Advances the hybrid logical clock to a stamp received from a peer, unless it is too far ahead.
     pub fn observe(&self, peer: Stamp) {
         let wall = self.clock.system_time();
         let observed = self
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Reports a breached invariant: counted, recorded, and fatal in builds for tests.
+    /// Counts and records the breach of an invariant. Aborts the process in debug builds.
     pub fn report_breach(&self, invariant: Invariant) {
         self.record(None, Event::InvariantBreached { invariant });
         if cfg!(debug_assertions) {
@@ -108,12 +108,12 @@
         }
     }
 
-    /// The time of the process's clock.
+    /// Returns the current time of the process's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The recorded events that pass a filter.
+    /// Returns the recorded events that match a filter.
     pub async fn select(&self, filter: Filter) -> TimelinePage {
         let (reply, records) = oneshot::channel();
         if self
@@ -128,7 +128,7 @@
 }
 
 impl RecorderTask {
-    /// Runs until every recorder is gone.
+    /// Runs until all recorders are dropped.
     pub async fn run(mut self) {
         while let Some(message) = self.rx.recv().await {
             match message {
