--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: defaults, what is warned of, what is refused, and the `check` command.
+//! Tests of the settings of a node: defaults, warnings, errors and the `check` command.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use coltsfootport_core::jsonc::Fault;
 use rcgen::{CertificateParams, KeyPair};
 
-/// PEM texts of one certificate, escaped for JSON.
+/// Self-signed certificate and its private key as PEM text, escaped for JSON.
 struct Pem {
     certificate: String,
     key: String,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Settings with only what must be given, and a place to add more.
+/// Returns settings with the required keys only, and a placeholder at which `with_sections` inserts further sections.
 fn minimal(pem: &Pem) -> String {
     format!(
         r#"{{
@@ -45,15 +45,15 @@
   "target": {{ "address": "127.0.0.1:9000" }},
   "platform": {{ "address": "127.0.0.1:8500" }},
   "tls": {{ "ca_pem": "{certificate}", "cert_pem": "{certificate}", "key_pem": "{key}" }},
-  "fleet_keys": [{{ "id": 1, "secret_hex": "000102030405060708090a0b0c0d0e0f" }}] // MORE
+  "fleet_keys": [{{ "id": 1, "secret_hex": "000102030405060708090a0b0c0d0e0f" }}] // SECTIONS
 }}"#,
         certificate = pem.certificate,
         key = pem.key
     )
 }
 
-fn with_more(pem: &Pem, more: &str) -> String {
-    minimal(pem).replace("// MORE", &format!(", {more}"))
+fn with_sections(pem: &Pem, sections: &str) -> String {
+    minimal(pem).replace("// SECTIONS", &format!(", {sections}"))
 }
 
 fn keys(faults: &[Fault]) -> Vec<&str> {
@@ -103,11 +103,11 @@
 
 #[test]
 fn given_values_replace_defaults() {
-    let more = r#""advertise": { "peers": "127.0.0.1:7999" },
+    let sections = r#""advertise": { "peers": "127.0.0.1:7999" },
         "admission": { "mode": "static", "level_shedding": false },
         "retries": { "allowance_enabled": false, "edge_ratio": 1 },
         "log": { "level": "warning" }, "spread": { "digest_ms": 250 }"#;
-    let text = with_more(&Pem::generate(), more).replace(
+    let text = with_sections(&Pem::generate(), sections).replace(
         r#""address": "127.0.0.1:9000""#,
         r#""address": "[::1]:9000", "cold_start_ms": 7"#,
     );
@@ -119,7 +119,7 @@
     assert!(settings.target.address.is_ipv6());
     assert_eq!(settings.admission.mode, AdmissionMode::Static);
     assert!(!settings.admission.level_shedding && settings.admission.deadline_check);
-    // The target's own time holds where the section doesn't say otherwise.
+    // The section doesn't set a cold start time, so that of the target applies.
     assert_eq!(settings.admission.cold_start, Duration::from_millis(7));
     assert!(!settings.retries.allowance_enabled);
     assert_eq!(settings.retries.edge_ratio, 1.0);
@@ -127,58 +127,58 @@
     assert_eq!(settings.spread.digest, Duration::from_millis(250));
 }
 
-struct Warned {
-    more: &'static str,
+struct WarningCase {
+    sections: &'static str,
     keys: &'static [&'static str],
 }
 
-const WARNED: [Warned; 12] = [
-    Warned {
-        more: r#""limit": { "body_bytes": 5 }"#,
+const WARNING_CASES: [WarningCase; 12] = [
+    WarningCase {
+        sections: r#""limit": { "body_bytes": 5 }"#,
         keys: &["limit"],
     },
-    Warned {
-        more: r#""limits": { "body_byte": 5 }"#,
+    WarningCase {
+        sections: r#""limits": { "body_byte": 5 }"#,
         keys: &["limits.body_byte"],
     },
-    Warned {
-        more: r#""limits": []"#,
+    WarningCase {
+        sections: r#""limits": []"#,
         keys: &["limits"],
     },
-    Warned {
-        more: r#""limits": { "header_bytes": 1 }"#,
+    WarningCase {
+        sections: r#""limits": { "header_bytes": 1 }"#,
         keys: &["limits.header_bytes"],
     },
-    Warned {
-        more: r#""once": { "capacity": 0, "retention_ms": 10, "answer_bytes": 1e3 }"#,
+    WarningCase {
+        sections: r#""once": { "capacity": 0, "retention_ms": 10, "answer_bytes": 1e3 }"#,
         keys: &["once.capacity", "once.retention_ms", "once.answer_bytes"],
     },
-    Warned {
-        more: r#""routing": { "eject_share": 1.5 }"#,
+    WarningCase {
+        sections: r#""routing": { "eject_share": 1.5 }"#,
         keys: &["routing.eject_share"],
     },
-    Warned {
-        more: r#""retries": { "edge_ratio": "much" }"#,
+    WarningCase {
+        sections: r#""retries": { "edge_ratio": "much" }"#,
         keys: &["retries.edge_ratio"],
     },
-    Warned {
-        more: r#""admission": { "mode": "adaptiv" }"#,
+    WarningCase {
+        sections: r#""admission": { "mode": "adaptiv" }"#,
         keys: &["admission.mode"],
     },
-    Warned {
-        more: r#""admission": { "initial_limit": 40, "max_limit": 20 }"#,
+    WarningCase {
+        sections: r#""admission": { "initial_limit": 40, "max_limit": 20 }"#,
         keys: &["admission.initial_limit"],
     },
-    Warned {
-        more: r#""log": { "format": "text" }"#,
+    WarningCase {
+        sections: r#""log": { "format": "text" }"#,
         keys: &["log.format"],
     },
-    Warned {
-        more: r#""runtime": { "worker_threads": 65 }"#,
+    WarningCase {
+        sections: r#""runtime": { "worker_threads": 65 }"#,
         keys: &["runtime.worker_threads"],
     },
-    Warned {
-        more: r#""shutdown": { "drain_ms": -1 }"#,
+    WarningCase {
+        sections: r#""shutdown": { "drain_ms": -1 }"#,
         keys: &["shutdown.drain_ms"],
     },
 ];
@@ -189,91 +189,91 @@
     let expected = Settings::parse(&minimal(&pem))
         .expect("valid settings")
         .settings;
-    for case in &WARNED {
-        let loaded = Settings::parse(&with_more(&pem, case.more)).expect(case.more);
-        assert_eq!(keys(&loaded.warnings), case.keys, "{}", case.more);
-        assert_eq!(loaded.settings, expected, "{}", case.more);
+    for case in &WARNING_CASES {
+        let loaded = Settings::parse(&with_sections(&pem, case.sections)).expect(case.sections);
+        assert_eq!(keys(&loaded.warnings), case.keys, "{}", case.sections);
+        assert_eq!(loaded.settings, expected, "{}", case.sections);
     }
 }
 
-struct Refused {
+struct ErrorCase {
     old: &'static str,
     new: &'static str,
     keys: &'static [&'static str],
 }
 
-const REFUSED: [Refused; 15] = [
-    Refused {
+const ERROR_CASES: [ErrorCase; 15] = [
+    ErrorCase {
         old: r#""name": "bidding-1", "#,
         new: "",
         keys: &["node.name"],
     },
-    Refused {
+    ErrorCase {
         old: r#""ba-1""#,
         new: r#""ba 1""#,
         keys: &["node.domain"],
     },
-    Refused {
+    ErrorCase {
         old: "\"node\"",
         new: "\"nodes\"",
         keys: &["node", "nodes"],
     },
-    Refused {
+    ErrorCase {
         old: "127.0.0.1:8080",
         new: "localhost:8080",
         keys: &["listen.callers"],
     },
-    Refused {
+    ErrorCase {
         old: "127.0.0.1:8081",
         new: "10.0.0.7:8081",
         keys: &["listen.egress"],
     },
-    Refused {
+    ErrorCase {
         old: "127.0.0.1:7101",
         new: "0.0.0.0:7101",
         keys: &["advertise"],
     },
-    Refused {
-        old: "// MORE",
+    ErrorCase {
+        old: "// SECTIONS",
         new: ", \"advertise\": 1",
         keys: &["advertise"],
     },
-    Refused {
-        old: "// MORE",
+    ErrorCase {
+        old: "// SECTIONS",
         new: r#", "advertise": { "operators": "10.0.0.7:0" }"#,
         keys: &["advertise.operators"],
     },
-    Refused {
+    ErrorCase {
         old: "127.0.0.1:9000",
         new: "127.0.0.1:0",
         keys: &["target.address"],
     },
-    Refused {
+    ErrorCase {
         old: "127.0.0.1:8500",
         new: "0.0.0.0:8500",
         keys: &["platform.address"],
     },
-    Refused {
+    ErrorCase {
         old: r#""id": 1"#,
         new: r#""id": 0"#,
         keys: &["fleet_keys[0].id"],
     },
-    Refused {
+    ErrorCase {
         old: "0d0e0f",
         new: "0d0e0",
         keys: &["fleet_keys[0].secret_hex"],
     },
-    Refused {
-        old: "] // MORE",
+    ErrorCase {
+        old: "] // SECTIONS",
         new: r#", { "id": 1, "secret_hex": "00000000000000000000000000000000" }]"#,
         keys: &["fleet_keys"],
     },
-    Refused {
+    ErrorCase {
         old: "BEGIN CERTIFICATE",
         new: "BEGIN",
         keys: &["tls.ca_pem", "tls.cert_pem"],
     },
-    Refused {
+    ErrorCase {
         old: "PRIVATE KEY-",
         new: "KEY-",
         keys: &["tls.key_pem"],
@@ -283,7 +283,7 @@
 #[test]
 fn without_usable_names_addresses_and_keys_settings_are_refused() {
     let text = minimal(&Pem::generate());
-    for case in &REFUSED {
+    for case in &ERROR_CASES {
         assert!(text.contains(case.old), "{}", case.old);
         let faults = Settings::parse(&text.replace(case.old, case.new)).expect_err(case.new);
         assert_eq!(keys(&faults), case.keys, "{}: {faults:#?}", case.new);
@@ -299,9 +299,8 @@
     );
 }
 
-/// Symptom: a node starts and no other node accepts its connections.
-/// Sequence: a certificate is replaced in the settings and its private key is not.
-/// Cause: each text is valid by itself, only the pair is not.
+/// Guards against a node that starts although no other node accepts its connections. This happens if the certificate in
+/// the settings is replaced but its private key is not: each is valid by itself, but they don't match.
 #[test]
 fn a_private_key_of_another_certificate_is_refused() {
     let mixed = Pem {
@@ -312,21 +311,20 @@
     assert_eq!(keys(&faults), ["tls.key_pem"]);
 }
 
-/// Symptom: a key of the fleet can be read in the logs.
-/// Sequence: a node logs its settings at the start, or a test prints them.
-/// Cause: the derived debug form shows every field.
+/// Guards against the disclosure of a fleet key when a node logs its settings at startup or a test prints them. A derived
+/// `Debug` implementation would print every field.
 #[test]
 fn secrets_are_hidden_in_the_debug_form() {
     let pem = Pem::generate();
     let settings = Settings::parse(&minimal(&pem))
         .expect("valid settings")
         .settings;
-    let shown = format!("{settings:?}");
+    let debug_output = format!("{settings:?}");
     let bytes = format!("{:?}", settings.fleet_keys[0].secret.expose());
-    assert!(shown.contains("(secret)"));
+    assert!(debug_output.contains("(secret)"));
     assert!(
-        !shown.contains("PRIVATE KEY") && !shown.contains(&bytes),
-        "{shown}"
+        !debug_output.contains("PRIVATE KEY") && !debug_output.contains(&bytes),
+        "{debug_output}"
     );
 }
 
@@ -341,7 +339,7 @@
 #[test]
 fn example_settings_lack_nothing_but_keys_of_their_own() {
     let pem = Pem::generate();
-    let own = [
+    let replacements = [
         (
             "REPLACE: certificate of the fleet's authority",
             pem.certificate.as_str(),
@@ -370,7 +368,7 @@
             check::check(CheckKind::Settings, &path, &text),
             Exit::Invalid
         );
-        let text = own
+        let text = replacements
             .iter()
             .fold(text, |text, (old, new)| text.replace(old, new));
         let faults = check::find_faults(CheckKind::Settings, &text);
@@ -395,12 +393,11 @@
     assert_eq!(check::check(CheckKind::Document, &path, &text), Exit::Ok);
 }
 
-/// Symptom: settings are warned of at each start though `check` had passed them.
-/// Sequence: a value with a default is mistyped; `check` runs before the settings are published.
-/// Cause: only faults that refuse the settings counted.
+/// Guards against settings that pass `check` but yield a warning at each start, such as those with a mistyped key that
+/// has a default. This happens if `check` only counts faults for which a start fails.
 #[test]
 fn check_counts_what_a_start_would_only_warn_of() {
-    let text = with_more(&Pem::generate(), r#""limits": { "body_byte": 5 }"#);
+    let text = with_sections(&Pem::generate(), r#""limits": { "body_byte": 5 }"#);
     assert_eq!(
         check::check(CheckKind::Settings, Path::new("a.jsonc"), &text),
         Exit::Invalid
