--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -1,4 +1,4 @@
-//! The form of log lines.
+//! Tests of the format of log lines and of the log levels.
 
 mod support;
 
@@ -9,7 +9,8 @@
 
 use support::{lines_of, sink};
 
-fn lines(level: LogLevel) -> Vec<Value> {
+/// Logs one line at each level and returns those that were written.
+fn log_lines(level: LogLevel) -> Vec<Value> {
     let (out, rx) = sink();
     let (log, guard) = start_json(out, level, &"bidding-1".into(), &"bidding".into());
     error!(log, "one"; "invariant" => "dispatched-twice");
@@ -23,7 +24,7 @@
 
 #[test]
 fn lines_carry_node_service_and_request() {
-    let lines = lines(LogLevel::Info);
+    let lines = log_lines(LogLevel::Info);
     for line in &lines {
         assert_eq!(
             (&line["node"], &line["service"]),
@@ -48,7 +49,7 @@
     ];
     for (text, level, expected) in cases {
         assert_eq!(serde_json::from_str::<LogLevel>(text).unwrap(), level);
-        assert_eq!(lines(level).len(), expected, "{text}");
+        assert_eq!(log_lines(level).len(), expected, "{text}");
     }
     assert_eq!(
         serde_json::from_str::<LogFormat>("\"terminal\"").unwrap(),
