--- a/crates/node/src/metrics/calls.rs
+++ b/crates/node/src/metrics/calls.rs
@@ -44,8 +44,8 @@
     retries: IntCounterVec,
     allowance_spent: IntCounter,
     in_flight: IntGaugeVec,
-    added: Histogram,
-    without_context: IntCounter,
+    added_time: Histogram,
+    calls_without_context: IntCounter,
     late_answers: IntCounter,
 }
 
@@ -75,13 +75,13 @@
                 "Calls in flight, by stage.",
                 &["stage"],
             )?,
-            added: register::histogram(
+            added_time: register::histogram(
                 reg,
                 "added_seconds",
                 "Time that this node added to a call, without the target's and the peer's.",
                 &ADDED_BUCKETS,
             )?,
-            without_context: register::counter(
+            calls_without_context: register::counter(
                 reg,
                 "egress_without_context_total",
                 "Calls of the own target that carried no context and began new requests.",
@@ -132,12 +132,12 @@
 
     /// Records the latency that this node added to a call.
     pub fn record_added_time(&self, time: Duration) {
-        self.added.observe(time.as_secs_f64());
+        self.added_time.observe(time.as_secs_f64());
     }
 
     /// Counts a call of the local target without a context.
     pub fn record_call_without_context(&self) {
-        self.without_context.inc();
+        self.calls_without_context.inc();
     }
 
     /// Counts an answer to an attempt that this node had given up.
