--- a/crates/node/src/metrics/documents.rs
+++ b/crates/node/src/metrics/documents.rs
@@ -19,7 +19,7 @@
 /// Metrics of documents and of reads from the platform.
 #[derive(Clone, Debug)]
 pub struct DocumentMetrics {
-    in_force: IntGaugeVec,
+    revision_in_force: IntGaugeVec,
     rejected: IntCounterVec,
     platform_revision: IntGauge,
     reads: IntCounterVec,
@@ -29,7 +29,7 @@
 impl DocumentMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            in_force: register::gauge_vec(
+            revision_in_force: register::gauge_vec(
                 reg,
                 "document_revision",
                 "Revision of the document in force, by service.",
@@ -70,7 +70,7 @@
     /// Sets the revision of a service's document that is in force.
     pub fn set_in_force(&self, service: &ServiceName, revision: u64) {
         let revision = i64::try_from(revision).unwrap_or(i64::MAX);
-        self.in_force
+        self.revision_in_force
             .with_label_values(&[service.as_str()])
             .set(revision);
     }
