--- a/crates/node/src/metrics/faults.rs
+++ b/crates/node/src/metrics/faults.rs
@@ -25,7 +25,7 @@
 pub struct FaultMetrics {
     breaches: IntCounterVec,
     rejected: IntCounterVec,
-    stamps: IntCounter,
+    ignored_stamps: IntCounter,
 }
 
 impl FaultMetrics {
@@ -43,7 +43,7 @@
                 "Input from outside that was rejected, by what it was.",
                 &["what"],
             )?,
-            stamps: register::counter(
+            ignored_stamps: register::counter(
                 reg,
                 "clock_stamps_ignored_total",
                 "Time line stamps of peers that lay too far ahead.",
@@ -81,7 +81,7 @@
 
     /// Counts a timeline stamp of a peer that was ignored because it was too far ahead.
     pub fn record_ignored_stamp(&self) {
-        self.stamps.inc();
+        self.ignored_stamps.inc();
     }
 }
 
