--- a/crates/node/src/metrics/tokens.rs
+++ b/crates/node/src/metrics/tokens.rs
@@ -24,16 +24,16 @@
 #[derive(Clone, Debug)]
 pub struct TokenMetrics {
     events: IntCounterVec,
-    kept: IntGauge,
-    capacity: IntGauge,
+    table_size: IntGauge,
+    table_capacity: IntGauge,
 }
 
 impl TokenMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
             events: register::counter_vec(reg, "tokens_total", "Events of tokens.", &["event"])?,
-            kept: register::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
-            capacity: register::gauge(
+            table_size: register::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
+            table_capacity: register::gauge(
                 reg,
                 "once_table_capacity",
                 "Tokens that can be remembered; a full table refuses new ones.",
@@ -56,9 +56,9 @@
     }
 
     /// Sets the number of stored tokens and the capacity of the table.
-    pub fn set_table_size(&self, kept: usize, capacity: usize) {
-        self.kept.set(gauge_value(kept));
-        self.capacity.set(gauge_value(capacity));
+    pub fn set_table_size(&self, tokens: usize, capacity: usize) {
+        self.table_size.set(gauge_value(tokens));
+        self.table_capacity.set(gauge_value(capacity));
     }
 }
 
