--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: JSON with comments, one module for each section.
+//! Settings of a node, read from JSON with comments. Each section has its own module.
 
 mod admission;
 mod advertise;
@@ -6,7 +6,7 @@
 mod fleet_key;
 mod limits;
 mod listen;
-mod loaded;
+mod loaded_settings;
 mod log;
 mod node;
 mod once;
@@ -27,7 +27,7 @@
 pub use fleet_key::FleetKey;
 pub use limits::LimitsSettings;
 pub use listen::ListenSettings;
-pub use loaded::Loaded;
+pub use loaded_settings::LoadedSettings;
 pub use log::LogSettings;
 pub use node::NodeSettings;
 pub use once::OnceSettings;
--- a/crates/node/src/entry/dispatcher.rs
+++ b/crates/node/src/entry/dispatcher.rs
@@ -17,7 +17,7 @@
 use super::RetryBudget;
 use super::call_progress::{CallProgress, Step};
 use super::tokens::TokenIssuer;
-use crate::clock::{SharedClock, micros};
+use crate::clock::{SharedClock, elapsed_micros};
 use crate::data::{AttemptId, Call, OnceCall, Refused, Reply, Verdict};
 use crate::host::Host;
 use crate::metrics::Metrics;
@@ -165,13 +165,13 @@
         let done = tokio::time::timeout_at(give_up_at.into(), exchange).await;
         match done.unwrap_or(Attempt::Expired) {
             Attempt::Replied(reply) if reply.attempt != call.attempt => {
-                setup.recorder.breach(Invariant::AnswerToWrongCall);
+                setup.recorder.report_breach(Invariant::AnswerToWrongCall);
                 route.guard.finish(RouteResult::Lost, None);
                 Attempt::Lost
             }
             Attempt::Replied(reply) => {
                 if let Err(breach) = budget.reclaim(granted, reply.allowance_left) {
-                    setup.recorder.breach(breach);
+                    setup.recorder.report_breach(breach);
                 }
                 budget.record_downstream_level(reply.report.level);
                 route
@@ -188,7 +188,7 @@
                 let event = Event::Lost {
                     peer: route.node.clone(),
                     attempt: call.attempt_number,
-                    elapsed_us: micros(setup.clock.now(), sent),
+                    elapsed_us: elapsed_micros(setup.clock.now(), sent),
                 };
                 setup.recorder.record(Some(call.request), event);
                 route.guard.finish(RouteResult::Lost, None);
--- a/crates/node/src/entry/service.rs
+++ b/crates/node/src/entry/service.rs
@@ -17,11 +17,11 @@
 use super::prepare::PreparedCall;
 use super::tokens::TokenIssuer;
 use super::{CallerResponse, Dispatcher, InboundCall, Origin};
-use crate::clock::{SharedClock, micros};
+use crate::clock::{SharedClock, elapsed_micros};
 use crate::data::{Refused, Verdict};
 use crate::gate::{ContextHandle, DownstreamPermit, GateHandle};
 use crate::http::{BodyError, CallerConnection, ResponseBody, names, read_to_end};
-use crate::metrics::{Listener, Metrics, Rejected};
+use crate::metrics::{Listener, Metrics, RejectedInput};
 use crate::recorder::Recorder;
 use crate::spread::Published;
 
@@ -109,8 +109,10 @@
             Err(_) => ClassifiedResponse::unsent(RequestId::random(), ErrorKind::Shed, identity),
         };
         let (outcome, error) = (response.outcome(), response.error());
-        self.metrics.calls.answered(listener, class, outcome, error);
-        let elapsed_us = micros(self.clock.now(), started);
+        self.metrics
+            .calls
+            .record_answer(listener, class, outcome, error);
+        let elapsed_us = elapsed_micros(self.clock.now(), started);
         let event = match &response.verdict {
             Verdict::Answered(answer) => Event::Answered {
                 status: answer.status.as_u16(),
@@ -287,7 +289,7 @@
         identity: Identity,
     ) -> ClassifiedResponse {
         if kind == ErrorKind::BadToken {
-            self.metrics.faults.rejected(Rejected::Token);
+            self.metrics.faults.record_rejected(RejectedInput::Token);
         }
         let mut refusal = ClassifiedResponse::unsent(request, kind, identity);
         let refused_token = identity != Identity::None && needs_fresh_token(&refusal.response);
@@ -302,7 +304,7 @@
             return Ok(Origin::Caller);
         }
         let Some(text) = inbound.single_header(&names::CONTEXT)? else {
-            self.metrics.calls.without_context();
+            self.metrics.calls.record_call_without_context();
             return Ok(Origin::WithoutContext);
         };
         let handle: ContextHandle = text.parse().map_err(|_| ErrorKind::UnknownContext)?;
--- a/crates/node/src/gate/completion.rs
+++ b/crates/node/src/gate/completion.rs
@@ -12,7 +12,7 @@
 use super::{
     AdmissionDecision, Completion, CompletionReply, Gate, InFlightCall, InFlightKey, InFlightPhase,
 };
-use crate::clock::micros;
+use crate::clock::elapsed_micros;
 
 impl Gate {
     pub(super) fn dispatch(&mut self, key: InFlightKey) -> Result<(), ErrorKind> {
@@ -31,13 +31,13 @@
             self.once.dispatch(record, call.deadline, now)?;
         }
         if let Some(breach) = self.lifecycle.dispatched() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
             return Err(ErrorKind::Leaving);
         }
         call.phase = InFlightPhase::Dispatched;
         let event = Event::Dispatched {
             attempt: call.sending,
-            elapsed_us: micros(now, call.arrived_at),
+            elapsed_us: elapsed_micros(now, call.arrived_at),
         };
         self.recorder.record(Some(call.request), event);
         Ok(())
@@ -69,7 +69,7 @@
                 Completion::Withdrawn(ErrorKind::Cancelled)
             }
         };
-        let elapsed_us = micros(self.clock.now(), call.arrived_at);
+        let elapsed_us = elapsed_micros(self.clock.now(), call.arrived_at);
         self.recorder
             .record(Some(call.request), Event::Cancelled { elapsed_us });
         self.remove(key, completion);
--- a/crates/node/src/gate/decisions.rs
+++ b/crates/node/src/gate/decisions.rs
@@ -5,7 +5,7 @@
 use coltsfootport_core::timeline::Event;
 
 use super::{AdmissionDecision, Completion, Gate, InFlightGuard, InFlightPhase};
-use crate::clock::micros;
+use crate::clock::elapsed_micros;
 
 impl Gate {
     /// Applies what admission and the lifecycle have decided since the last message.
@@ -38,7 +38,7 @@
         call.phase = InFlightPhase::Admitted;
         let event = Event::Admitted {
             class: call.class,
-            elapsed_us: micros(self.clock.now(), call.arrived_at),
+            elapsed_us: elapsed_micros(self.clock.now(), call.arrived_at),
         };
         self.recorder.record(Some(call.request), event);
         let Some(reply) = call.reply.take() else {
@@ -87,10 +87,10 @@
 
     fn check_invariants(&mut self) {
         if let Err(breach) = self.admission.check() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
         }
         if let Some(breach) = self.once.take_breach() {
-            self.recorder.breach(breach);
+            self.recorder.report_breach(breach);
         }
     }
 }
--- a/crates/node/src/metrics/admission.rs
+++ b/crates/node/src/metrics/admission.rs
@@ -1,16 +1,16 @@
-//! Metrics of admission.
+//! Metrics of admission control.
 
 use std::time::Duration;
 
 use prometheus::{Error, Histogram, IntGauge, Registry};
 
-use super::build;
 use super::calls::gauge_value;
+use super::register;
 
-/// Upper bounds in seconds.
+/// Upper bounds of the buckets in seconds.
 const WAIT_BUCKETS: [f64; 9] = [0.000_1, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0];
 
-/// Admission in front of the target.
+/// Metrics of admission control in front of the target.
 #[derive(Clone, Debug)]
 pub struct AdmissionMetrics {
     queue: IntGauge,
@@ -22,18 +22,18 @@
 impl AdmissionMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         Ok(Self {
-            queue: build::gauge(reg, "queue_length", "Calls that wait for a slot.")?,
-            limit: build::gauge(
+            queue: register::gauge(reg, "queue_length", "Calls that wait for a slot.")?,
+            limit: register::gauge(
                 reg,
                 "concurrency_limit",
                 "Calls that the target may work on at once.",
             )?,
-            level: build::gauge(
+            level: register::gauge(
                 reg,
                 "admission_level",
                 "Admission level in force; 0 sheds nothing.",
             )?,
-            wait: build::histogram(
+            wait: register::histogram(
                 reg,
                 "queue_wait_seconds",
                 "Time that admitted calls waited for a slot.",
@@ -42,12 +42,12 @@
         })
     }
 
-    /// Sets the number of waiting calls.
-    pub fn set_queue(&self, calls: usize) {
+    /// Sets the number of queued calls.
+    pub fn set_queue_length(&self, calls: usize) {
         self.queue.set(gauge_value(calls));
     }
 
-    /// Sets the number of calls that the target may work on at once.
+    /// Sets the concurrency limit of the target.
     pub fn set_limit(&self, calls: usize) {
         self.limit.set(gauge_value(calls));
     }
@@ -57,8 +57,8 @@
         self.level.set(i64::from(level));
     }
 
-    /// Notes how long an admitted call waited.
-    pub fn waited(&self, time: Duration) {
+    /// Records the time that an admitted call spent in the queue.
+    pub fn record_queue_wait(&self, time: Duration) {
         self.wait.observe(time.as_secs_f64());
     }
 }
--- a/crates/node/src/metrics/faults.rs
+++ b/crates/node/src/metrics/faults.rs
@@ -3,47 +3,47 @@
 use coltsfootport_core::invariant::Invariant;
 use prometheus::{Error, IntCounter, IntCounterVec, Registry};
 
-use super::build;
+use super::register;
 
-/// Input that was rejected.
+/// Kind of input that was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Rejected {
-    /// A frame that is malformed, too long or fails its checksum.
+pub enum RejectedInput {
+    /// Frame that is malformed, too large or has a wrong checksum.
     Frame,
-    /// A peer's certificate that is not of the fleet.
+    /// Certificate of a peer that does not belong to the fleet.
     Certificate,
-    /// A peer that speaks under the name of another node.
+    /// Peer that uses the name of another node.
     Name,
-    /// A reply to another call, or one that gives back more than it was given.
+    /// Reply to another call, or one that returns more retry allowance than was granted.
     Reply,
-    /// A token that is forged or malformed.
+    /// Token that is forged or malformed.
     Token,
 }
 
-/// Rejected input and breached invariants.
+/// Metrics of rejected input and breached invariants.
 #[derive(Clone, Debug)]
 pub struct FaultMetrics {
     breaches: IntCounterVec,
     rejected: IntCounterVec,
-    stamps: IntCounter,
+    ignored_stamps: IntCounter,
 }
 
 impl FaultMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            breaches: build::counters(
+            breaches: register::counter_vec(
                 reg,
                 "invariant_breaches_total",
                 "Breaches of an invariant: each one is a defect of coltsfootport.",
                 &["invariant"],
             )?,
-            rejected: build::counters(
+            rejected: register::counter_vec(
                 reg,
                 "rejected_total",
                 "Input from outside that was rejected, by what it was.",
                 &["what"],
             )?,
-            stamps: build::counter(
+            ignored_stamps: register::counter(
                 reg,
                 "clock_stamps_ignored_total",
                 "Time line stamps of peers that lay too far ahead.",
@@ -55,7 +55,7 @@
                 .with_label_values(&[invariant.as_str()])
                 .inc_by(0);
         }
-        for what in Rejected::ALL {
+        for what in RejectedInput::ALL {
             metrics
                 .rejected
                 .with_label_values(&[what.as_str()])
@@ -64,29 +64,29 @@
         Ok(metrics)
     }
 
-    /// Counts a breach.
-    pub fn breached(&self, invariant: Invariant) {
+    /// Counts a breach of an invariant.
+    pub fn record_breach(&self, invariant: Invariant) {
         self.breaches.with_label_values(&[invariant.as_str()]).inc();
     }
 
-    /// Breaches of an invariant since the start.
+    /// Returns the number of breaches of an invariant since startup.
     pub fn breaches(&self, invariant: Invariant) -> u64 {
         self.breaches.with_label_values(&[invariant.as_str()]).get()
     }
 
     /// Counts rejected input.
-    pub fn rejected(&self, what: Rejected) {
+    pub fn record_rejected(&self, what: RejectedInput) {
         self.rejected.with_label_values(&[what.as_str()]).inc();
     }
 
-    /// Counts a peer's stamp that was ignored.
-    pub fn stamp_ignored(&self) {
-        self.stamps.inc();
+    /// Counts a timeline stamp of a peer that was ignored because it was too far ahead.
+    pub fn record_ignored_stamp(&self) {
+        self.ignored_stamps.inc();
     }
 }
 
-impl Rejected {
-    /// Everything that can be rejected.
+impl RejectedInput {
+    /// All kinds.
     pub const ALL: [Self; 5] = [
         Self::Frame,
         Self::Certificate,
@@ -95,7 +95,7 @@
         Self::Token,
     ];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Frame => "frame",
--- a/crates/node/src/metrics/tokens.rs
+++ b/crates/node/src/metrics/tokens.rs
@@ -2,38 +2,38 @@
 
 use prometheus::{Error, IntCounterVec, IntGauge, Registry};
 
-use super::build;
 use super::calls::gauge_value;
+use super::register;
 
-/// What happened to a token.
+/// Event in the life of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TokenEvent {
-    /// Handed to a caller.
+    /// Issued to a caller.
     Minted,
-    /// Seen for the first time at its home, and let through.
+    /// Received by its home for the first time and accepted.
     Begun,
-    /// Answered again from memory.
+    /// Answered with a stored answer.
     Replayed,
-    /// Joined to its running call.
+    /// Joined to the running call of the same token.
     Joined,
-    /// Refused for good up to a try.
+    /// Permanently refused up to a given try.
     Burned,
 }
 
-/// Idempotency tokens.
+/// Metrics of idempotency tokens.
 #[derive(Clone, Debug)]
 pub struct TokenMetrics {
     events: IntCounterVec,
-    kept: IntGauge,
-    capacity: IntGauge,
+    table_size: IntGauge,
+    table_capacity: IntGauge,
 }
 
 impl TokenMetrics {
     pub(super) fn new(reg: &Registry) -> Result<Self, Error> {
         let metrics = Self {
-            events: build::counters(reg, "tokens_total", "Events of tokens.", &["event"])?,
-            kept: build::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
-            capacity: build::gauge(
+            events: register::counter_vec(reg, "tokens_total", "Events of tokens.", &["event"])?,
+            table_size: register::gauge(reg, "once_table_size", "Tokens that are remembered.")?,
+            table_capacity: register::gauge(
                 reg,
                 "once_table_capacity",
                 "Tokens that can be remembered; a full table refuses new ones.",
@@ -48,22 +48,22 @@
         Ok(metrics)
     }
 
-    /// Counts an event of `tokens` tokens.
+    /// Counts an event that concerns `tokens` tokens.
     pub fn count(&self, event: TokenEvent, tokens: u64) {
         self.events
             .with_label_values(&[event.as_str()])
             .inc_by(tokens);
     }
 
-    /// Sets the fill of the table.
-    pub fn set_table(&self, kept: usize, capacity: usize) {
-        self.kept.set(gauge_value(kept));
-        self.capacity.set(gauge_value(capacity));
+    /// Sets the number of stored tokens and the capacity of the table.
+    pub fn set_table_size(&self, tokens: usize, capacity: usize) {
+        self.table_size.set(gauge_value(tokens));
+        self.table_capacity.set(gauge_value(capacity));
     }
 }
 
 impl TokenEvent {
-    /// Every event.
+    /// All events.
     pub const ALL: [Self; 5] = [
         Self::Minted,
         Self::Begun,
@@ -72,7 +72,7 @@
         Self::Burned,
     ];
 
-    /// The label in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Minted => "minted",
--- a/crates/node/src/spread/task.rs
+++ b/crates/node/src/spread/task.rs
@@ -182,7 +182,7 @@
                 }
             }
             OfferOutcome::Unchanged => return,
-            OfferOutcome::Refused(breach) => return self.setup.recorder.breach(breach),
+            OfferOutcome::Refused(breach) => return self.setup.recorder.report_breach(breach),
         };
         self.setup.recorder.record(None, event);
     }
--- a/crates/node/src/wire/frame.rs
+++ b/crates/node/src/wire/frame.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{CallFrame, ControlReply, ControlRequest, ReplyFrame};
-use crate::metrics::Rejected;
+use crate::metrics::RejectedInput;
 
 /// First message on a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -53,14 +53,14 @@
 
 impl FrameError {
     /// Returns the metrics label for a rejected frame; `None` if only the peer or the network failed.
-    pub fn rejected(&self) -> Option<Rejected> {
+    pub fn rejected(&self) -> Option<RejectedInput> {
         match self {
             Self::Truncated => None,
             Self::TooLarge(_) | Self::Malformed | Self::Checksum | Self::Timeout => {
-                Some(Rejected::Frame)
+                Some(RejectedInput::Frame)
             }
-            Self::SenderMismatch => Some(Rejected::Name),
-            Self::ReplyMismatch => Some(Rejected::Reply),
+            Self::SenderMismatch => Some(RejectedInput::Name),
+            Self::ReplyMismatch => Some(RejectedInput::Reply),
         }
     }
 }
