--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -21,7 +21,7 @@
 use crate::entry::EntryService;
 use crate::gate::GateHandle;
 use crate::http::{Listener, ListenerStage};
-use crate::operators::{self, QUERY_QUEUE};
+use crate::operators::{self, QUERY_QUEUE_CAPACITY};
 use crate::peers::TlsError;
 use crate::routes::RoutesHandle;
 use crate::spread::{Published, SpreadHandle};
@@ -131,7 +131,7 @@
     spread: &SpreadHandle,
 ) -> Result<watch::Receiver<bool>, NodeError> {
     let socket = bind("operators", base.settings.listen.operators).await?;
-    let (queries_tx, queries) = mpsc::channel(QUERY_QUEUE);
+    let (queries_tx, queries) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     let (stop, stopping) = watch::channel(false);
     let desk = Desk::new(DeskSetup {
         settings: base.settings.clone(),
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators listener: status, metrics, time line and drain over HTTP.
+//! The operators listener: node status, metrics, timeline and drain over HTTP.
 
 mod acceptor;
 mod handlers;
@@ -7,7 +7,7 @@
 mod status_report;
 
 pub use query::{DrainReply, HealthReport, NodeAddress, OperatorQuery, TimelinePage};
-pub use server::{QUERY_QUEUE, serve};
+pub use server::{QUERY_QUEUE_CAPACITY, serve};
 pub use status_report::{
     AdmissionStatus, DocumentStatus, InvariantCount, PeerStatus, PlatformStatus, StatusReport,
     TokenStatus,
--- a/crates/node/src/operators/server.rs
+++ b/crates/node/src/operators/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server on the operators listener.
+//! HTTP server of the operators listener.
 
 use std::io;
 
@@ -11,14 +11,14 @@
 use super::query::OperatorQuery;
 use crate::metrics::Metrics;
 
-/// Questions that may wait for the node's tasks; further ones are answered `503`.
-pub const QUERY_QUEUE: usize = 64;
+/// Capacity of the query queue to the node tasks; requests beyond it are answered with `503`.
+pub const QUERY_QUEUE_CAPACITY: usize = 64;
 
-/// Answers operators until the task that runs this is dropped.
+/// Serves the operators listener until the future is dropped.
 ///
 /// # Errors
 ///
-/// The listener is no longer usable.
+/// Fails if the listener is no longer usable.
 pub async fn serve(
     listener: TcpListener,
     queries: mpsc::Sender<OperatorQuery>,
--- a/crates/node/tests/operators.rs
+++ b/crates/node/tests/operators.rs
@@ -10,8 +10,8 @@
 use coltsfootport::http_client::fetch;
 use coltsfootport::metrics::Metrics;
 use coltsfootport::operators::{
-    DrainReply, HealthReport, NodeAddress, OperatorQuery, QUERY_QUEUE, StatusReport, TimelinePage,
-    serve,
+    DrainReply, HealthReport, NodeAddress, OperatorQuery, QUERY_QUEUE_CAPACITY, StatusReport,
+    TimelinePage, serve,
 };
 use coltsfootport_core::id::RequestId;
 use coltsfootport_core::invariant::Invariant;
@@ -126,7 +126,7 @@
 }
 
 fn start(listener: TcpListener, mut state: State, metrics: Metrics) {
-    let (tx, mut rx) = mpsc::channel(QUERY_QUEUE);
+    let (tx, mut rx) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     tokio::spawn(async move {
         while let Some(query) = rx.recv().await {
             state.answer(query);
@@ -263,7 +263,7 @@
 #[tokio::test]
 async fn a_node_that_can_t_answer_says_so() {
     let (gone, gone_addr) = listen().await;
-    let (tx, rx) = mpsc::channel(QUERY_QUEUE);
+    let (tx, rx) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     drop(rx);
     tokio::spawn(serve(gone, tx, Metrics::new().unwrap()));
     let (full, full_addr) = listen().await;
@@ -272,7 +272,7 @@
     tx.try_send(OperatorQuery::Health(reply)).unwrap();
     tokio::spawn(serve(full, tx, Metrics::new().unwrap()));
     let (stuck, stuck_addr) = listen().await;
-    let (tx, _never_read) = mpsc::channel(QUERY_QUEUE);
+    let (tx, _never_read) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     tokio::spawn(serve(stuck, tx, Metrics::new().unwrap()));
     let paths = ["/status", "/timeline", "/nodes", "/health"];
     let cases = [
