--- a/crates/node/src/operators/acceptor.rs
+++ b/crates/node/src/operators/acceptor.rs
@@ -1,4 +1,4 @@
-//! The operators listener with a pause after failures.
+//! TCP acceptor of the operators listener; waits after a failed accept.
 
 use std::io;
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Time without new connections after one could not be accepted.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next accept after one has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Accepts the connections of operators.
+/// Accepts connections on the operators listener and backs off after errors.
 pub(super) struct OperatorsAcceptor {
     inner: TcpAcceptor,
 }
@@ -41,10 +41,11 @@
     ) -> io::Result<Accepted<Self::Conn>> {
         let accepted = self.inner.accept(fuse_factory).await;
         if accepted.is_err() {
-            // When the process is out of file descriptors, accepting fails at once and the server tries again at once:
-            // a loop that takes the whole core away from the calls just when they are many. One would notice a node
-            // that is slow and busy without work. The pause bounds the loop to a few turns a second.
-            sleep(FAILURE_PAUSE).await;
+            // When the process runs out of file descriptors, `accept` fails immediately and the server retries
+            // immediately. Without the delay this busy loop would take a whole core away from calls, at the time when
+            // there are most of them: the node is slow and busy although it does little work. The delay limits the loop
+            // to about ten attempts per second.
+            sleep(ACCEPT_RETRY_DELAY).await;
         }
         accepted
     }
