--- a/crates/node/src/operators/query.rs
+++ b/crates/node/src/operators/query.rs
@@ -1,4 +1,4 @@
-//! Questions of operators to the node's tasks.
+//! Queries from the operators listener to the node tasks, and their replies.
 
 use std::net::SocketAddr;
 
@@ -10,62 +10,62 @@
 
 use super::status_report::StatusReport;
 
-/// A question with the channel for its answer.
+/// A query with the channel for its reply.
 ///
-/// Whoever asked may be gone by the time of the answer, so a failed send of it is no fault.
+/// The requester may have disconnected before the reply is sent, so a failed send on the channel is not an error.
 #[derive(Debug)]
 pub enum OperatorQuery {
-    /// The state of the node.
+    /// Returns the state of the node.
     Status(oneshot::Sender<StatusReport>),
-    /// Records of the time line.
+    /// Returns records of the timeline.
     Timeline {
-        /// Which records.
+        /// Selects the records.
         filter: Filter,
-        /// Takes the answer.
+        /// Receives the matching records.
         reply: oneshot::Sender<TimelinePage>,
     },
-    /// The operators addresses of all nodes known here, this one included.
+    /// Returns the operators addresses of all nodes known to this node, including its own.
     Nodes(oneshot::Sender<Vec<NodeAddress>>),
-    /// Whether the node takes new work.
+    /// Returns whether the node accepts new work.
     Health(oneshot::Sender<HealthReport>),
-    /// Begin a graceful shutdown.
+    /// Starts a graceful shutdown.
     Drain(oneshot::Sender<DrainReply>),
 }
 
-/// Records that meet a filter.
+/// Timeline records that match a filter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TimelinePage {
     /// The records, oldest first.
     pub records: Vec<Record>,
-    /// Records that this node has dropped since its start to make room.
+    /// Number of records that the node has dropped since it started because the timeline was full.
     pub dropped: u64,
 }
 
-/// Where a node answers operators.
+/// A node and the address of its operators listener.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAddress {
-    /// The node.
+    /// Name of the node.
     pub node: NodeName,
-    /// The service of its target.
+    /// Service of the node's target.
     pub service: ServiceName,
-    /// Its operators listener.
+    /// Address of the operators listener.
     pub operators: SocketAddr,
 }
 
-/// Whether a node takes new work.
+/// Readiness of a node, returned by `GET /health`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// True while new work is taken.
+    /// Whether the node accepts new work.
     pub ready: bool,
-    /// Phase of the lifecycle.
+    /// Lifecycle phase of the node.
     pub phase: SmolStr,
 }
 
-/// What became of the wish to drain.
+/// Reply to `POST /drain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainReply {
-    /// False where the node was leaving already.
+    /// False if the node was already shutting down.
     pub begun: bool,
-    /// Calls that are still to be finished.
+    /// Number of calls still in flight.
     pub in_flight: u64,
 }
