--- a/crates/node/src/operators/status_report.rs
+++ b/crates/node/src/operators/status_report.rs
@@ -1,106 +1,106 @@
-//! The state of a node as shown to operators.
+//! Status report of a node, returned by `GET /status`.
 
 use coltsfootport_core::id::{DomainName, NodeName, ServiceName};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The state of a node at one moment.
+/// Snapshot of the state of a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The node's name.
+    /// Name of the node.
     pub node: NodeName,
-    /// This run of the node, 32 hexadecimal digits.
+    /// Identifier of the current process lifetime of the node, 32 hexadecimal digits.
     pub incarnation: SmolStr,
-    /// The service of its target.
+    /// Service of the node's target.
     pub service: ServiceName,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: DomainName,
-    /// Phase of its lifecycle.
+    /// Lifecycle phase of the node.
     pub phase: SmolStr,
-    /// One entry a document that the node knows of.
+    /// Documents known to the node, one entry per service.
     pub documents: Vec<DocumentStatus>,
-    /// Its view of the platform.
+    /// The node's view of the platform.
     pub platform: PlatformStatus,
-    /// One entry a node that it sends calls to.
+    /// Nodes that this node sends calls to.
     pub peers: Vec<PeerStatus>,
-    /// Admission in front of its target.
+    /// Admission control in front of the target.
     pub admission: AdmissionStatus,
-    /// Its table of idempotency tokens.
+    /// Usage of the idempotency token table.
     pub tokens: TokenStatus,
-    /// Breaches of each invariant since the start.
+    /// Violation count of each invariant since the node started.
     pub invariants: Vec<InvariantCount>,
 }
 
-/// One service's document at a node.
+/// State of the document of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentStatus {
-    /// The service.
+    /// Service that the document configures.
     pub service: ServiceName,
-    /// Highest revision that the node has heard of.
+    /// Highest revision known to the node.
     pub revision: u64,
-    /// Revision that it acts on; absent while none was valid.
+    /// Active revision; absent until a valid revision has been received.
     pub in_force: Option<u64>,
-    /// Faults of the highest revision with their positions, where it was rejected.
+    /// Errors in the highest revision with their positions, if that revision was rejected.
     pub rejected: Vec<SmolStr>,
 }
 
-/// The platform as seen by a node.
+/// Platform state as seen by a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformStatus {
     /// Whether the last read succeeded.
     pub reachable: bool,
-    /// Milliseconds since the last read that succeeded; absent before the first.
+    /// Milliseconds since the last successful read; absent before the first.
     pub last_read_ms: Option<u64>,
-    /// Revision of the store as last read or heard of.
+    /// Latest known store revision, read from the platform or received from a peer.
     pub revision: u64,
-    /// Whether this node reads for its failure domain.
+    /// Whether this node reads the platform on behalf of its failure domain.
     pub reader: bool,
 }
 
-/// A peer as seen by a node.
+/// Peer state as seen by a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The peer.
+    /// Name of the peer.
     pub node: NodeName,
-    /// The service of its target.
+    /// Service of the peer's target.
     pub service: ServiceName,
-    /// State of the connection and of the peer.
+    /// Combined state of the peer and the connection to it.
     pub state: SmolStr,
-    /// Calls that this node has sent there and not seen answered.
+    /// Calls sent to the peer that have not been answered yet.
     pub in_flight: u32,
-    /// Whether routing leaves the peer out for its failures.
+    /// Whether routing excludes the peer because of its failures.
     pub ejected: bool,
 }
 
-/// Admission in front of a target.
+/// State of admission control in front of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
-    /// How the limit is found.
+    /// How the concurrency limit is determined.
     pub mode: SmolStr,
-    /// Calls that the target may work on at once.
+    /// Maximum number of calls that the target processes concurrently.
     pub limit: u32,
-    /// Calls that it works on now.
+    /// Calls that the target is processing.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls waiting in the queue.
     pub queued: u32,
-    /// Admission level; 0 sheds nothing.
+    /// Admission level; at 0 no calls are shed.
     pub level: u32,
 }
 
-/// The table of idempotency tokens.
+/// Usage of the idempotency token table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenStatus {
-    /// Tokens that are remembered.
+    /// Tokens stored in the table.
     pub kept: u64,
-    /// Tokens that can be remembered.
+    /// Maximum number of tokens in the table.
     pub capacity: u64,
 }
 
-/// Breaches of an invariant.
+/// Violation count of an invariant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvariantCount {
     /// Label of the invariant.
     pub invariant: SmolStr,
-    /// Breaches since the start.
+    /// Violations since the node started.
     pub breaches: u64,
 }
