--- a/crates/node/src/commands.rs
+++ b/crates/node/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, each with a function `run` that the binary calls.
+//! Implementations of the subcommands; the binary calls the `run` function of each module.
 
 pub mod call;
 pub mod check;
--- a/crates/node/src/commands/call/attempt.rs
+++ b/crates/node/src/commands/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of `call`, and the question for a token before it.
+//! Sends a single attempt of `call` and requests idempotency tokens.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,68 +11,68 @@
 use crate::http_client::{self, FetchError};
 
 use super::answer::Answer;
-use super::policy::AttemptEnd;
+use super::policy::AttemptResult;
 
-/// Time beyond the deadline that the node has to say that the deadline passed.
-const GRACE: Duration = Duration::from_millis(500);
+/// Extra time after the deadline for the node to report that the deadline passed.
+const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// The answer to a question for tokens.
+/// Response body of `POST /coltsfootport/tokens`.
 #[derive(Debug, Deserialize)]
-struct Tokens {
+struct TokensResponse {
     tokens: Vec<String>,
 }
 
-/// Sends one attempt.
+/// Sends one attempt and waits for the complete answer.
 pub(super) async fn send(
     addr: SocketAddr,
     req: Result<Request<Full<Bytes>>, http::Error>,
-    left: Duration,
-) -> AttemptEnd {
+    time_left: Duration,
+) -> AttemptResult {
     let req = match req {
         Ok(req) => req,
-        Err(fault) => {
-            eprintln!("coltsfootport: call: {fault}");
-            return AttemptEnd::NotSent;
+        Err(err) => {
+            eprintln!("coltsfootport: call: {err}");
+            return AttemptResult::NotSent;
         }
     };
-    match http_client::fetch(addr, req, left + GRACE).await {
-        Ok(answer) => AttemptEnd::Answered(answer.into()),
-        Err(fault) => {
-            eprintln!("coltsfootport: call: {fault}");
-            match fault {
-                FetchError::NotSent(..) => AttemptEnd::NotSent,
-                FetchError::Lost(..) => AttemptEnd::Lost,
+    match http_client::fetch(addr, req, time_left + DEADLINE_GRACE).await {
+        Ok(answer) => AttemptResult::Answered(answer.into()),
+        Err(err) => {
+            eprintln!("coltsfootport: call: {err}");
+            match err {
+                FetchError::NotSent(..) => AttemptResult::NotSent,
+                FetchError::Lost(..) => AttemptResult::Lost,
             }
         }
     }
 }
 
-/// Asks for one token; the call itself is not sent by this.
+/// Requests one token from the node; does not send the call itself.
 ///
 /// # Errors
 ///
-/// The answer without a token, or none.
-pub(super) async fn token(
+/// Returns the answer if it has a status other than `200`, and `None` if there is no usable answer.
+pub(super) async fn request_token(
     addr: SocketAddr,
     service: &str,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<String, Option<Answer>> {
-    let target = format!("/coltsfootport/tokens?service={service}&count=1");
-    let req = Request::post(target)
+    let path = format!("/coltsfootport/tokens?service={service}&count=1");
+    let req = Request::post(path)
         .body(Full::new(Bytes::new()))
         .map_err(|_| None)?;
-    let answer = match http_client::fetch(addr, req, left).await {
+    let answer = match http_client::fetch(addr, req, time_left).await {
         Ok(answer) => answer,
-        Err(fault) => {
-            eprintln!("coltsfootport: call: no token: {fault}");
+        Err(err) => {
+            eprintln!("coltsfootport: call: failed to get a token: {err}");
             return Err(None);
         }
     };
     if answer.status() != StatusCode::OK {
         return Err(Some(answer.into()));
     }
-    let tokens = serde_json::from_slice::<Tokens>(answer.body()).ok();
+    let tokens = serde_json::from_slice::<TokensResponse>(answer.body()).ok();
     tokens
-        .and_then(|answer| answer.tokens.into_iter().next())
+        .and_then(|response| response.tokens.into_iter().next())
         .ok_or(None)
 }
--- a/crates/node/src/commands/call/policy.rs
+++ b/crates/node/src/commands/call/policy.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt of `call`.
+//! Retry policy of `call`.
 
 use std::time::Duration;
 
@@ -7,35 +7,35 @@
 
 use super::answer::Answer;
 
-/// Wait before the second try, where the answer asked for none; doubled at each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff before the second attempt if the answer requested none; doubled for each further attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Doublings of the wait at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The token of a call and the number of its next sending.
+/// Idempotency token of a call with the number of its next try.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credential {
     /// The idempotency token.
     pub token: String,
-    /// Number of the sending, from 1.
-    pub sending: u32,
+    /// Try number of the token, starting at 1; sent as `coltsfootport-try`.
+    pub try_number: u32,
 }
 
-/// How an attempt ended.
+/// Result of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
-    /// A whole answer came.
+pub enum AttemptResult {
+    /// A complete answer was received.
     Answered(Answer),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// Something may have been sent and no whole answer came.
+    /// The request may have been sent, but no complete answer was received.
     Lost,
 }
 
-impl AttemptEnd {
-    /// The whole answer, where one came.
-    pub fn answer(self) -> Option<Answer> {
+impl AttemptResult {
+    /// Returns the complete answer, if one was received.
+    pub fn into_answer(self) -> Option<Answer> {
         match self {
             Self::Answered(answer) => Some(answer),
             Self::NotSent | Self::Lost => None,
@@ -43,18 +43,18 @@
     }
 }
 
-/// What to do after an attempt.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// The call is over, and this is known about it.
+pub enum NextStep {
+    /// Finish the call with this outcome.
     Stop(Outcome),
-    /// Send again after this time.
-    Again(Duration),
+    /// Retry after this delay.
+    Retry(Duration),
 }
 
-/// Decides on further attempts, and keeps account of what may have run.
+/// Decides whether to retry, and tracks whether any earlier attempt may have run.
 #[derive(Clone, Debug)]
-pub struct Policy {
+pub struct RetryPolicy {
     retries_left: u32,
     doublings: u32,
     safe_method: bool,
@@ -62,26 +62,26 @@
     credential: Option<Credential>,
 }
 
-/// Earlier attempts whose fate is open.
+/// Whether earlier attempts with an unknown outcome may have run.
 #[derive(Clone, Copy, Debug, Default)]
 struct MayHaveRun {
-    /// Attempts that carried the present token.
-    under_token: bool,
-    /// Attempts that carried none.
+    /// An attempt that carried the current token.
+    with_token: bool,
+    /// An attempt that carried no token.
     without_token: bool,
 }
 
-impl Policy {
-    /// A policy for a call that is sent again at most `retries` times.
+impl RetryPolicy {
+    /// Creates a policy that allows at most `retries` retries.
     ///
-    /// A method is safe where a second run does no harm.
+    /// `safe_method` states that running the request twice does no harm.
     pub fn new(retries: u32, safe_method: bool, credential: Option<Credential>) -> Self {
-        // Sendings of a given token before this process are open too.
+        // The outcome of tries with this token before this process started is unknown as well.
         let sent_before = credential
             .as_ref()
-            .is_some_and(|credential| credential.sending > 1);
+            .is_some_and(|credential| credential.try_number > 1);
         let may_have_run = MayHaveRun {
-            under_token: sent_before,
+            with_token: sent_before,
             without_token: false,
         };
         Self {
@@ -93,96 +93,113 @@
         }
     }
 
-    /// What the next attempt has to carry.
+    /// Returns the token and try number for the next attempt.
     pub fn credential(&self) -> Option<&Credential> {
         self.credential.as_ref()
     }
 
-    /// Decides after an attempt with `left` time left; `jitter` is random in 0 to 1.
-    pub fn after(&mut self, end: &AttemptEnd, left: Duration, jitter: f64) -> Next {
-        let outcome = self.outcome(end);
-        if outcome == Outcome::Ran || !self.may_send_again(end) {
-            return Next::Stop(outcome);
+    /// Returns the next step after an attempt with `time_left` until the deadline; `jitter` is a random number between 0
+    /// and 1.
+    pub fn next_step(
+        &mut self,
+        result: &AttemptResult,
+        time_left: Duration,
+        jitter: f64,
+    ) -> NextStep {
+        let outcome = self.update_outcome(result);
+        if outcome == Outcome::Ran || !self.may_retry(result) {
+            return NextStep::Stop(outcome);
         }
-        let pause = self.pause(end, jitter);
-        if self.retries_left == 0 || pause >= left {
-            return Next::Stop(outcome);
+        let backoff = self.backoff(result, jitter);
+        if self.retries_left == 0 || backoff >= time_left {
+            return NextStep::Stop(outcome);
         }
         self.retries_left -= 1;
-        self.renew(end);
-        Next::Again(pause)
+        self.update_credential(result);
+        NextStep::Retry(backoff)
     }
 
-    /// What is known about the call after this attempt and all before it.
-    fn outcome(&mut self, end: &AttemptEnd) -> Outcome {
-        let said = match end {
-            AttemptEnd::Answered(answer) => answer.outcome.unwrap_or(Outcome::Unknown),
-            AttemptEnd::NotSent => Outcome::NotRun,
-            AttemptEnd::Lost => Outcome::Unknown,
+    /// Returns the outcome of the call as known after this and all earlier attempts.
+    fn update_outcome(&mut self, result: &AttemptResult) -> Outcome {
+        let reported = match result {
+            AttemptResult::Answered(answer) => answer.outcome.unwrap_or(Outcome::Unknown),
+            AttemptResult::NotSent => Outcome::NotRun,
+            AttemptResult::Lost => Outcome::Unknown,
         };
-        // A lost attempt may still run. Without a token, a later `not-run` speaks of the later attempt alone; taken for
-        // the whole call it would tell a broker that no bid stands while one does. With a token, the home refuses
-        // every sending up to the one that it answered, so its `not-run` covers the lost ones too.
-        let under_token = self.credential.is_some();
-        let answered = matches!(end, AttemptEnd::Answered(_));
-        match said {
+        // A lost attempt may still run. Without a token, a later `not-run` only covers that later attempt: if it were
+        // taken as the outcome of the whole call, a broker would be told that no bid was placed although one was. With
+        // a token, the home node rejects every try up to the one that it answered, so its `not-run` covers the lost
+        // tries as well.
+        let has_token = self.credential.is_some();
+        let answered = matches!(result, AttemptResult::Answered(_));
+        match reported {
             Outcome::Ran => return Outcome::Ran,
-            Outcome::NotRun if under_token && answered => self.may_have_run.under_token = false,
+            Outcome::NotRun if has_token && answered => self.may_have_run.with_token = false,
             Outcome::NotRun => {}
-            Outcome::Unknown if under_token => self.may_have_run.under_token = true,
+            Outcome::Unknown if has_token => self.may_have_run.with_token = true,
             Outcome::Unknown => self.may_have_run.without_token = true,
         }
         match self.may_have_run {
             MayHaveRun {
-                under_token: false,
+                with_token: false,
                 without_token: false,
             } => Outcome::NotRun,
             _ => Outcome::Unknown,
         }
     }
 
-    fn may_send_again(&self, end: &AttemptEnd) -> bool {
-        let harmless = self.safe_method || self.credential.is_some();
-        match end {
-            AttemptEnd::NotSent => true,
-            AttemptEnd::Lost => harmless,
-            AttemptEnd::Answered(answer) => match answer.outcome {
+    fn may_retry(&self, result: &AttemptResult) -> bool {
+        let repeatable = self.safe_method || self.credential.is_some();
+        match result {
+            AttemptResult::NotSent => true,
+            AttemptResult::Lost => repeatable,
+            AttemptResult::Answered(answer) => match answer.outcome {
                 Some(Outcome::Ran) => false,
                 Some(Outcome::NotRun) => {
                     answer.retry_after.is_some() || answer.fresh_token.is_some()
                 }
-                Some(Outcome::Unknown) => harmless && answer.error != Some(ErrorKind::TokenExpired),
+                Some(Outcome::Unknown) => {
+                    repeatable && answer.error != Some(ErrorKind::TokenExpired)
+                }
                 None => false,
             },
         }
     }
 
-    /// The wait that the answer asked for, or else a growing one; each lengthened by chance so that callers whose
-    /// attempts failed together don't come back together.
-    fn pause(&mut self, end: &AttemptEnd, jitter: f64) -> Duration {
-        if let AttemptEnd::Answered(answer) = end {
-            if let Some(asked) = answer.retry_after {
-                return asked.mul_f64(1.0 + jitter / 10.0);
+    /// Returns the delay requested by the answer, or an exponential backoff. Both are extended by random jitter so that
+    /// callers whose attempts failed at the same time don't retry at the same time.
+    fn backoff(&mut self, result: &AttemptResult, jitter: f64) -> Duration {
+        if let AttemptResult::Answered(answer) = result {
+            if let Some(requested) = answer.retry_after {
+                return requested.mul_f64(1.0 + jitter / 10.0);
             }
             if answer.outcome == Some(Outcome::NotRun) && answer.fresh_token.is_some() {
                 return Duration::ZERO;
             }
         }
-        let pause = FIRST_PAUSE * 2_u32.pow(self.doublings);
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.doublings);
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
-        pause.mul_f64(1.0 + jitter)
+        backoff.mul_f64(1.0 + jitter)
     }
 
-    fn renew(&mut self, end: &AttemptEnd) {
-        let fresh = match end {
-            AttemptEnd::Answered(answer) if answer.outcome == Some(Outcome::NotRun) => {
+    /// Switches to the replacement token of the answer, or else advances the try number.
+    fn update_credential(&mut self, result: &AttemptResult) {
+        let fresh = match result {
+            AttemptResult::Answered(answer) if answer.outcome == Some(Outcome::NotRun) => {
                 answer.fresh_token.clone()
             }
             _ => None,
         };
         match (fresh, &mut self.credential) {
-            (Some(token), credential) => *credential = Some(Credential { token, sending: 1 }),
-            (None, Some(credential)) => credential.sending = credential.sending.saturating_add(1),
+            (Some(token), credential) => {
+                *credential = Some(Credential {
+                    token,
+                    try_number: 1,
+                })
+            }
+            (None, Some(credential)) => {
+                credential.try_number = credential.try_number.saturating_add(1)
+            }
             (None, None) => {}
         }
     }
--- a/crates/node/src/commands/call/request.rs
+++ b/crates/node/src/commands/call/request.rs
@@ -1,4 +1,4 @@
-//! What `call` sends.
+//! The HTTP request that `call` sends.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,56 +14,59 @@
 
 use super::policy::Credential;
 
-/// A request of `call`, without what changes from attempt to attempt.
+/// Request of `call` without the headers that differ between attempts.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// Callers listener of the node.
+    /// Address of the callers listener of the node.
     pub addr: SocketAddr,
-    /// The service, first segment of the path.
+    /// Service, taken from the first path segment.
     pub service: String,
     method: Method,
-    target: PathAndQuery,
+    path: PathAndQuery,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// The options of `call` make no request.
+/// Error in the options of `call`.
 #[derive(Debug, thiserror::Error)]
-pub enum CallFault {
-    /// The URL has another form.
+pub enum CallRequestError {
+    /// The URL does not have the required form.
     #[error("`{0}` is not of the form http://IP:PORT/SERVICE/PATH")]
     Url(String),
-    /// The method is malformed.
-    #[error("`{0}` is no method")]
+    /// The method is not a valid HTTP token.
+    #[error("invalid HTTP method `{0}`")]
     Method(String),
     /// A header is malformed.
     #[error("`{0}` is not of the form NAME: VALUE")]
     Header(String),
-    /// The body can't be read.
+    /// The file with the body can't be read.
     #[error("{0}: {1}")]
     Body(String, std::io::Error),
 }
 
 impl CallRequest {
-    /// Whether a second run does no harm (RFC 9110, section 9.2.1).
+    /// Whether the method is safe as defined in RFC 9110, section 9.2.1, so that running it twice does no harm.
     pub fn is_safe(&self) -> bool {
         self.method.is_safe()
     }
 
-    /// The HTTP request of one attempt with `left` time left.
-    pub(super) fn attempt(
+    /// Builds the HTTP request of one attempt with `time_left` until the deadline.
+    pub(super) fn build_attempt(
         &self,
         credential: Option<&Credential>,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<Request<Full<Bytes>>, http::Error> {
         let mut req = Request::builder()
             .method(self.method.clone())
-            .uri(self.target.as_str())
-            .header("coltsfootport-deadline-ms", left.as_millis().to_string());
-        if let Some(Credential { token, sending }) = credential {
+            .uri(self.path.as_str())
+            .header(
+                "coltsfootport-deadline-ms",
+                time_left.as_millis().to_string(),
+            );
+        if let Some(Credential { token, try_number }) = credential {
             req = req
                 .header("coltsfootport-token", token)
-                .header("coltsfootport-try", *sending);
+                .header("coltsfootport-try", *try_number);
         }
         for (name, value) in &self.headers {
             req = req.header(name, value);
@@ -73,30 +76,34 @@
 }
 
 impl TryFrom<&CallOptions> for CallRequest {
-    type Error = CallFault;
+    type Error = CallRequestError;
 
     fn try_from(options: &CallOptions) -> Result<Self, Self::Error> {
-        let (addr, target) = url(&options.url).ok_or(CallFault::Url(options.url.clone()))?;
-        let service = target.path().split('/').nth(1).unwrap_or_default();
+        let (addr, path) =
+            parse_url(&options.url).ok_or(CallRequestError::Url(options.url.clone()))?;
+        let service = path.path().split('/').nth(1).unwrap_or_default();
         if service.is_empty() {
-            return Err(CallFault::Url(options.url.clone()));
+            return Err(CallRequestError::Url(options.url.clone()));
         }
         Ok(Self {
             addr,
             service: service.to_owned(),
-            method: method(&options.method)?,
+            method: parse_method(&options.method)?,
             headers: options
                 .header
                 .iter()
-                .map(|text| header(text))
+                .map(|text| parse_header(text))
                 .collect::<Result<_, _>>()?,
-            body: options.data.as_deref().map_or(Ok(Bytes::new()), body)?,
-            target,
+            body: options
+                .data
+                .as_deref()
+                .map_or(Ok(Bytes::new()), read_body)?,
+            path,
         })
     }
 }
 
-fn url(text: &str) -> Option<(SocketAddr, PathAndQuery)> {
+fn parse_url(text: &str) -> Option<(SocketAddr, PathAndQuery)> {
     let parts = text.parse::<Uri>().ok()?.into_parts();
     if parts.scheme != Some(Scheme::HTTP) {
         return None;
@@ -105,22 +112,22 @@
     Some((addr, parts.path_and_query?))
 }
 
-fn method(text: &str) -> Result<Method, CallFault> {
-    Method::from_bytes(text.as_bytes()).map_err(|_| CallFault::Method(text.to_owned()))
+fn parse_method(text: &str) -> Result<Method, CallRequestError> {
+    Method::from_bytes(text.as_bytes()).map_err(|_| CallRequestError::Method(text.to_owned()))
 }
 
-fn header(text: &str) -> Result<(HeaderName, HeaderValue), CallFault> {
-    let fault = || CallFault::Header(text.to_owned());
-    let (name, value) = text.split_once(':').ok_or_else(fault)?;
-    let name = name.trim().parse().map_err(|_| fault())?;
-    let value = value.trim().parse().map_err(|_| fault())?;
+fn parse_header(text: &str) -> Result<(HeaderName, HeaderValue), CallRequestError> {
+    let invalid = || CallRequestError::Header(text.to_owned());
+    let (name, value) = text.split_once(':').ok_or_else(invalid)?;
+    let name = name.trim().parse().map_err(|_| invalid())?;
+    let value = value.trim().parse().map_err(|_| invalid())?;
     Ok((name, value))
 }
 
-fn body(text: &str) -> Result<Bytes, CallFault> {
+fn read_body(text: &str) -> Result<Bytes, CallRequestError> {
     let Some(path) = text.strip_prefix('@') else {
         return Ok(Bytes::copy_from_slice(text.as_bytes()));
     };
     let read = input::read(Path::new(path)).map(Bytes::from);
-    read.map_err(|fault| CallFault::Body(path.to_owned(), fault))
+    read.map_err(|err| CallRequestError::Body(path.to_owned(), err))
 }
--- a/crates/node/src/commands/call/session.rs
+++ b/crates/node/src/commands/call/session.rs
@@ -1,4 +1,4 @@
-//! All attempts of one `call`.
+//! Runs all attempts of one `call`.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -10,23 +10,23 @@
 
 use super::answer::Answer;
 use super::attempt;
-use super::policy::{AttemptEnd, Credential, Next, Policy};
+use super::policy::{AttemptResult, Credential, NextStep, RetryPolicy};
 use super::request::CallRequest;
 
-/// What became of a call.
+/// Final result of a call.
 #[derive(Debug)]
-pub(super) struct Verdict {
-    /// What is known about it.
+pub(super) struct CallResult {
+    /// Whether the call ran.
     pub(super) outcome: Outcome,
-    /// The answer to the last attempt, where it came whole.
+    /// Answer to the last attempt, if it was received completely.
     pub(super) answer: Option<Answer>,
-    /// Sendings.
+    /// Number of attempts made.
     pub(super) attempts: u32,
-    /// The token with the number of its last sending, to go on from.
+    /// Token with its last try number, from which the caller can continue.
     pub(super) credential: Option<Credential>,
 }
 
-/// Sends a request until it needs no further attempt.
+/// Sends a request until the retry policy stops.
 pub(super) struct Session<'a> {
     options: &'a CallOptions,
     request: CallRequest,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Session<'a> {
-    /// The deadline is counted from here.
+    /// Creates a session; the deadline is measured from this point.
     pub(super) fn new(options: &'a CallOptions, request: CallRequest) -> Self {
         let deadline = Instant::now() + Duration::from_millis(options.deadline_ms);
         Self {
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Runs all attempts.
-    pub(super) async fn run(&self) -> Verdict {
+    /// Runs all attempts and returns the final result.
+    pub(super) async fn run(&self) -> CallResult {
         let credential = match self.credential().await {
             Ok(credential) => credential,
             Err(answer) => {
                 let outcome = Outcome::NotRun;
-                return Verdict {
+                return CallResult {
                     outcome,
                     answer,
                     attempts: 0,
@@ -59,23 +59,23 @@
             }
         };
         let safe = self.request.is_safe();
-        let mut policy = Policy::new(self.options.retries, safe, credential);
+        let mut policy = RetryPolicy::new(self.options.retries, safe, credential);
         let mut attempts = 0;
         loop {
             let credential = policy.credential().cloned();
-            let end = self.attempt(credential.as_ref()).await;
+            let result = self.attempt(credential.as_ref()).await;
             attempts += 1;
-            let next = policy.after(&end, self.left(), rand::random());
+            let next = policy.next_step(&result, self.time_left(), rand::random());
             match next {
-                Next::Stop(outcome) => {
-                    return Verdict {
+                NextStep::Stop(outcome) => {
+                    return CallResult {
                         outcome,
-                        answer: end.answer(),
+                        answer: result.into_answer(),
                         attempts,
                         credential,
                     };
                 }
-                Next::Again(pause) => sleep(pause).await,
+                NextStep::Retry(backoff) => sleep(backoff).await,
             }
         }
     }
@@ -85,34 +85,37 @@
             None => return Ok(None),
             Some(TokenChoice::Given(token)) => Credential {
                 token: token.clone(),
-                sending: self.options.first_try,
+                try_number: self.options.first_try,
             },
             Some(TokenChoice::Auto) => {
                 let (addr, service) = (self.request.addr, &self.request.service);
-                let token = attempt::token(addr, service, self.left()).await?;
-                Credential { token, sending: 1 }
+                let token = attempt::request_token(addr, service, self.time_left()).await?;
+                Credential {
+                    token,
+                    try_number: 1,
+                }
             }
         };
         Ok(Some(credential))
     }
 
-    async fn attempt(&self, credential: Option<&Credential>) -> AttemptEnd {
-        let left = self.left();
+    async fn attempt(&self, credential: Option<&Credential>) -> AttemptResult {
+        let time_left = self.time_left();
         attempt::send(
             self.request.addr,
-            self.request.attempt(credential, left),
-            left,
+            self.request.build_attempt(credential, time_left),
+            time_left,
         )
         .await
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-impl fmt::Display for Verdict {
-    /// One line for people and scripts.
+impl fmt::Display for CallResult {
+    /// Formats the result as one line of `key=value` pairs that scripts can parse.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "outcome={} attempts={}", self.outcome, self.attempts)?;
         if let Some(answer) = &self.answer {
@@ -128,7 +131,7 @@
             }
         }
         match &self.credential {
-            Some(Credential { token, sending }) => write!(f, " token={token} try={sending}"),
+            Some(Credential { token, try_number }) => write!(f, " token={token} try={try_number}"),
             None => Ok(()),
         }
     }
--- a/crates/node/tests/call.rs
+++ b/crates/node/tests/call.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use coltsfootport::commands::call::{Answer, AttemptEnd, Credential, Next, Policy};
+use coltsfootport::commands::call::{Answer, AttemptResult, Credential, NextStep, RetryPolicy};
 use coltsfootport::exit::Exit;
 use coltsfootport_core::error_kind::ErrorKind;
 use coltsfootport_core::outcome::Outcome::{self, NotRun, Ran, Unknown};
@@ -15,22 +15,22 @@
 
 const LEFT: Duration = Duration::from_secs(60);
 
-fn answered(status: u16, headers: &[(&str, &str)]) -> AttemptEnd {
+fn answered(status: u16, headers: &[(&str, &str)]) -> AttemptResult {
     let mut answer = Response::builder().status(status);
     for (name, value) in headers {
         answer = answer.header(*name, *value);
     }
-    AttemptEnd::Answered(Answer::from(answer.body("whole".into()).unwrap()))
+    AttemptResult::Answered(Answer::from(answer.body("whole".into()).unwrap()))
 }
 
-fn said(outcome: &str, headers: &[(&str, &str)]) -> AttemptEnd {
+fn said(outcome: &str, headers: &[(&str, &str)]) -> AttemptResult {
     let headers = [&[("coltsfootport-outcome", outcome)], headers].concat();
     answered(503, &headers)
 }
 
 #[test]
 fn headers_of_an_answer_are_read() {
-    let AttemptEnd::Answered(answer) = answered(
+    let AttemptResult::Answered(answer) = answered(
         503,
         &[
             ("coltsfootport-outcome", "not-run"),
@@ -52,7 +52,7 @@
         (Some("ff"), Some("t2"))
     );
     assert_eq!(answer.retry_after, Some(Duration::from_millis(1500)));
-    let AttemptEnd::Answered(plain) = answered(
+    let AttemptResult::Answered(plain) = answered(
         503,
         &[("retry-after", "2"), ("coltsfootport-outcome", "maybe")],
     ) else {
@@ -65,7 +65,7 @@
 }
 
 /// The end of an attempt by a label of the table below.
-fn end(label: &str) -> AttemptEnd {
+fn end(label: &str) -> AttemptResult {
     let after = [("coltsfootport-retry-after-ms", "700")];
     let fresh = [("coltsfootport-token", "t2")];
     let expired = [("coltsfootport-error", "token-expired"), fresh[0]];
@@ -79,8 +79,8 @@
         "unknown-renewed" => said("unknown", &fresh),
         "expired" => said("unknown", &expired),
         "no-outcome" => answered(200, &[]),
-        "lost" => AttemptEnd::Lost,
-        "not-sent" => AttemptEnd::NotSent,
+        "lost" => AttemptResult::Lost,
+        "not-sent" => AttemptResult::NotSent,
         _ => panic!("no end {label}"),
     }
 }
@@ -172,19 +172,19 @@
         let name = format!("{ends}, safe: {safe}, sending: {sending}");
         let credential = (sending > 0).then(|| Credential {
             token: "t1".into(),
-            sending,
+            try_number: sending,
         });
-        let mut policy = Policy::new(3, safe, credential);
+        let mut policy = RetryPolicy::new(3, safe, credential);
         let nexts: Vec<_> = ends
             .split(' ')
-            .map(|label| policy.after(&end(label), LEFT, 0.0))
+            .map(|label| policy.next_step(&end(label), LEFT, 0.0))
             .collect();
         let again = pauses
             .iter()
-            .map(|ms| Next::Again(Duration::from_millis(*ms)));
-        let expected: Vec<_> = again.chain([Next::Stop(outcome)]).collect();
+            .map(|ms| NextStep::Retry(Duration::from_millis(*ms)));
+        let expected: Vec<_> = again.chain([NextStep::Stop(outcome)]).collect();
         assert_eq!(nexts, expected, "{name}");
-        let shown = |last: &Credential| format!("{} {}", last.token, last.sending);
+        let shown = |last: &Credential| format!("{} {}", last.token, last.try_number);
         assert_eq!(
             policy.credential().map(shown).unwrap_or_default(),
             last,
