--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: finds every fault in a document or in settings, before anybody publishes it.
+//! `check`: reports all errors in a document or settings file, so that they are found before it is published.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -12,18 +12,18 @@
 use crate::exit::Exit;
 use crate::mesh::MeshSettings;
 
-/// What a text is checked as.
+/// Kind of file to check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckKind {
-    /// The document of a service.
+    /// Document of a service.
     Document,
-    /// The settings of a node.
+    /// Settings of a node.
     Settings,
-    /// The settings of a mesh node.
+    /// Settings of a mesh node.
     Mesh,
 }
 
-/// Checks the file that the options name.
+/// Checks the file given on the command line.
 pub fn run(options: &CheckOptions) -> Exit {
     match input::read_text(&options.file) {
         Ok(text) => check(options.subject.into(), &options.file, &text),
@@ -34,20 +34,21 @@
     }
 }
 
-/// Checks `text`, prints each fault to standard error as `file:line:column: key: message` and answers the exit code.
+/// Checks `text`, prints each error to standard error as `file:line:column: key: message` and returns the exit code.
 ///
-/// A fault of settings for which a default would serve counts as well: it is better mended than warned of at each start.
+/// Invalid settings that a node would replace by their default also count as errors: otherwise they would only cause a
+/// warning at each start.
 pub fn check(kind: CheckKind, path: &Path, text: &str) -> Exit {
     let faults = find_faults(kind, text);
-    // Standard error may be closed; the exit code still tells the result.
-    let _ = print(path, &faults, &mut io::stderr().lock());
+    // Ignore write errors: standard error may be closed, and the exit code still reports the result.
+    let _ = write_faults(path, &faults, &mut io::stderr().lock());
     match faults.is_empty() {
         true => Exit::Ok,
         false => Exit::Invalid,
     }
 }
 
-/// Every fault of `text`, in its order.
+/// Returns all errors in `text`, in order of their position.
 pub fn find_faults(kind: CheckKind, text: &str) -> Vec<Fault> {
     match kind {
         CheckKind::Document => Document::parse(text).err().unwrap_or_default(),
@@ -61,8 +62,8 @@
     }
 }
 
-/// Writes one line for each fault.
-pub fn print<W>(path: &Path, faults: &[Fault], out: &mut W) -> io::Result<()>
+/// Writes one line per error.
+pub fn write_faults<W>(path: &Path, faults: &[Fault], out: &mut W) -> io::Result<()>
 where
     W: Write,
 {
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -385,7 +385,7 @@
     let path = Path::new("a.jsonc");
     let faults = check::find_faults(CheckKind::Document, text);
     let mut out = Vec::new();
-    check::print(path, &faults, &mut out).expect("written");
+    check::write_faults(path, &faults, &mut out).expect("written");
     let expected = "a.jsonc:1:1: service: this key is required\n\
         a.jsonc:2:3: servise: unknown key (did you mean \"service\"?)\n\
         a.jsonc:3:14: classes: expected a list with a length from 1 to 8\n";
