--- a/crates/node/src/commands/explain.rs
+++ b/crates/node/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the course of one request, from the logs of any number of nodes.
+//! `explain`: traces one request through the logs of any number of nodes.
 
 mod line;
 
@@ -12,7 +12,7 @@
 use crate::cli::ExplainOptions;
 use crate::exit::Exit;
 
-/// Prints every line about the request in the order of its time, and the decision that sealed it.
+/// Prints all log lines about the request in order of time, followed by the line with its final answer.
 pub fn run(options: &ExplainOptions) -> Exit {
     let files = match options.files.as_slice() {
         [] => &[PathBuf::from("-")],
@@ -20,7 +20,7 @@
     };
     let mut logs = Vec::new();
     for file in files {
-        match read(file, &options.request) {
+        match read_log(file, &options.request) {
             Ok(lines) => logs.push(lines),
             Err(e) => {
                 eprintln!("coltsfootport: {}: {e}", file.display());
@@ -28,34 +28,37 @@
             }
         }
     }
-    match output::write(explain(logs, &options.request).as_bytes()) {
+    match output::write(format_trace(logs, &options.request).as_bytes()) {
         Ok(()) => Exit::Ok,
-        Err(e) => output::failed(&e),
+        Err(e) => output::handle_write_error(&e),
     }
 }
 
-fn read(file: &Path, request: &str) -> io::Result<Vec<LogLine>> {
+fn read_log(file: &Path, request: &str) -> io::Result<Vec<LogLine>> {
     let bytes = input::read(file)?;
-    // A process that was killed may have left a part of a character behind.
+    // The log of a killed process may end in the middle of a UTF-8 sequence.
     let text = String::from_utf8_lossy(&bytes);
     let lines = text.lines().filter_map(LogLine::parse);
     Ok(lines.filter(|line| line.is_about(request)).collect())
 }
 
-fn explain(logs: Vec<Vec<LogLine>>, request: &str) -> String {
+fn format_trace(logs: Vec<Vec<LogLine>>, request: &str) -> String {
     let lines = merge_by(logs, |line| (line.time.clone(), line.node.clone()));
     let mut text = String::new();
     for line in &lines {
         text.push_str(&line.render());
         text.push('\n');
     }
-    let sealing = lines.iter().rev().find(|line| line.seals(request));
-    match sealing {
-        Some(line) => text.push_str(&format!("sealed by: {}\n", line.render())),
-        None if lines.is_empty() => {
-            text.push_str("no line names this request; successes are logged at a bounded rate\n")
-        }
-        None => text.push_str("no line tells its answer\n"),
+    let final_answer = lines
+        .iter()
+        .rev()
+        .find(|line| line.is_final_answer(request));
+    match final_answer {
+        Some(line) => text.push_str(&format!("final answer: {}\n", line.render())),
+        None if lines.is_empty() => text.push_str(
+            "no log line mentions this request; logging of successful requests is rate-limited\n",
+        ),
+        None => text.push_str("no log line contains its final answer\n"),
     }
     text
 }
--- a/crates/node/src/commands/explain/line.rs
+++ b/crates/node/src/commands/explain/line.rs
@@ -1,28 +1,28 @@
-//! One line of a node's log.
+//! Parses and formats the JSON log lines of a node.
 
 use serde_json::{Map, Value};
 
-/// A line that names a request.
+/// A log line that belongs to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// When it was written, as text that sorts by time.
+    /// Timestamp, in a format whose lexical order is the order of time.
     pub time: String,
-    /// The node.
+    /// Name of the node that wrote the line.
     pub node: String,
     message: String,
     request: String,
     fields: Map<String, Value>,
 }
 
-/// Fields that every line has, or that are shown elsewhere.
-const COMMON: [&str; 6] = ["ts", "level", "node", "msg", "request", "dropped"];
+/// Fields that `render` leaves out of the `key=value` list: it prints them separately, or they are on every line.
+const COMMON_FIELDS: [&str; 6] = ["ts", "level", "node", "msg", "request", "dropped"];
 
-/// The message with which an entry tells what a caller got.
-const ANSWERED: &str = "answered";
+/// Message of the line that an entry node logs when it answers the caller.
+const ANSWERED_MESSAGE: &str = "answered";
 
 impl LogLine {
-    /// Reads a line; `None` where it is no record about a request. What stands before the record is passed over, such as
-    /// the time and name that a collector of logs puts there.
+    /// Parses a line; returns `None` if it is not a JSON record about a request. A prefix before the record is skipped,
+    /// such as the time and name that log collectors prepend.
     pub fn parse(text: &str) -> Option<Self> {
         let record = &text[text.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(record) else {
@@ -38,23 +38,23 @@
         })
     }
 
-    /// Whether it is about the request or about a call that its run made.
+    /// Whether the line is about the request or about a call made on its behalf.
     pub fn is_about(&self, request: &str) -> bool {
         let call = self.request.strip_prefix(request);
         call.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
     }
 
-    /// Whether it tells what the request's caller got.
-    pub fn seals(&self, request: &str) -> bool {
-        self.request == request && self.message == ANSWERED
+    /// Whether the line records the answer sent to the caller of the request.
+    pub fn is_final_answer(&self, request: &str) -> bool {
+        self.request == request && self.message == ANSWERED_MESSAGE
     }
 
-    /// The line for people.
+    /// Formats the line as readable text.
     pub fn render(&self) -> String {
         let shown = self
             .fields
             .iter()
-            .filter(|(key, _)| !COMMON.contains(&key.as_str()));
+            .filter(|(key, _)| !COMMON_FIELDS.contains(&key.as_str()));
         let shown: Vec<String> = shown
             .filter(|(_, value)| value.as_str() != Some(""))
             .map(|(key, value)| format!("{key}={value}"))
--- a/crates/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! Questions to the operators listeners of many nodes.
+//! Queries to the operators listeners of multiple nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,112 +13,114 @@
 use crate::http_client::{self, FetchError};
 use crate::operators::NodeAddress;
 
-/// Time that a node has to answer.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
+/// Timeout for the response of one node.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Nodes that are asked at the same time.
-const ASKED_AT_ONCE: usize = 64;
+/// Maximum number of concurrent queries.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// A node's usable answer is missing.
+/// Failure of the query to one node.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum AskError {
-    /// There is no whole answer.
+pub(super) enum QueryError {
+    /// No complete response was received.
     #[error(transparent)]
     Fetch(#[from] FetchError),
-    /// The answer is not `200`.
+    /// The response status is not `200`.
     #[error("{0} answered {1}: {2}")]
-    Refused(SocketAddr, StatusCode, String),
-    /// The answer can't be read.
-    #[error("{0} answered what this version can't read: {1}")]
+    UnexpectedStatus(SocketAddr, StatusCode, String),
+    /// The response can't be parsed.
+    #[error("failed to parse the response of {0}: {1}")]
     Malformed(SocketAddr, serde_json::Error),
-    /// The question can't be put into a request.
+    /// The request can't be built.
     #[error("{0}")]
-    Question(#[from] http::Error),
+    InvalidRequest(#[from] http::Error),
 }
 
-/// What was found out, by address, and the faults of the others.
+/// Results by address, with the errors of the queries that failed.
 #[derive(Debug)]
-pub(super) struct Answers<T> {
-    pub(super) found: BTreeMap<SocketAddr, T>,
-    pub(super) faults: Vec<AskError>,
+pub(super) struct QueryResults<T> {
+    pub(super) by_address: BTreeMap<SocketAddr, T>,
+    pub(super) errors: Vec<QueryError>,
 }
 
-/// Asks each address for its path and reads each answer with `read`.
-pub(super) async fn ask_all<T, F>(paths: BTreeMap<SocketAddr, String>, read: F) -> Answers<T>
+/// Sends a GET request for the given path to each address and parses each response body with `read`.
+pub(super) async fn query_all<T, F>(paths: BTreeMap<SocketAddr, String>, read: F) -> QueryResults<T>
 where
-    F: Fn(SocketAddr, &[u8]) -> Result<T, AskError>,
+    F: Fn(SocketAddr, &[u8]) -> Result<T, QueryError>,
 {
-    let mut answers = Answers {
-        found: BTreeMap::new(),
-        faults: Vec::new(),
+    let mut results = QueryResults {
+        by_address: BTreeMap::new(),
+        errors: Vec::new(),
     };
-    let mut waiting = paths.into_iter();
-    let mut asked = JoinSet::new();
+    let mut pending = paths.into_iter();
+    let mut in_flight = JoinSet::new();
     loop {
-        while asked.len() < ASKED_AT_ONCE {
-            let Some((addr, path)) = waiting.next() else {
+        while in_flight.len() < MAX_CONCURRENT_QUERIES {
+            let Some((addr, path)) = pending.next() else {
                 break;
             };
-            asked.spawn(async move { (addr, ask(addr, &path).await) });
+            in_flight.spawn(async move { (addr, query(addr, &path).await) });
         }
-        let Some(end) = asked.join_next().await else {
-            return answers;
+        let Some(joined) = in_flight.join_next().await else {
+            return results;
         };
-        // Such a task neither panics nor is it cancelled.
-        let Ok((addr, answer)) = end else { continue };
-        match answer.and_then(|body| read(addr, &body)) {
-            Ok(value) => drop(answers.found.insert(addr, value)),
-            Err(fault) => answers.faults.push(fault),
+        // These tasks don't panic and are never cancelled.
+        let Ok((addr, response)) = joined else {
+            continue;
+        };
+        match response.and_then(|body| read(addr, &body)) {
+            Ok(value) => drop(results.by_address.insert(addr, value)),
+            Err(err) => results.errors.push(err),
         }
     }
 }
 
-/// Reads an answer that is one JSON value.
-pub(super) fn read_json<T>(addr: SocketAddr, body: &[u8]) -> Result<T, AskError>
+/// Parses a response body that is a single JSON value.
+pub(super) fn read_json<T>(addr: SocketAddr, body: &[u8]) -> Result<T, QueryError>
 where
     T: DeserializeOwned,
 {
-    serde_json::from_slice(body).map_err(|fault| AskError::Malformed(addr, fault))
+    serde_json::from_slice(body).map_err(|err| QueryError::Malformed(addr, err))
 }
 
-/// The given addresses and, where `all` is set, those of every node that they know.
-pub(super) async fn addresses(given: &[SocketAddr], all: bool) -> Answers<()> {
-    let mut found: BTreeSet<SocketAddr> = given.iter().copied().collect();
-    let mut faults = Vec::new();
+/// Returns the given addresses and, if `all` is set, those of every node known to them.
+pub(super) async fn resolve_addresses(given: &[SocketAddr], all: bool) -> QueryResults<()> {
+    let mut addresses: BTreeSet<SocketAddr> = given.iter().copied().collect();
+    let mut errors = Vec::new();
     if all {
-        let paths = found
+        let paths = addresses
             .iter()
             .map(|addr| (*addr, String::from("/nodes")))
             .collect();
-        let answers = ask_all(paths, read_json::<Vec<NodeAddress>>).await;
-        found.extend(
-            answers
-                .found
+        let results = query_all(paths, read_json::<Vec<NodeAddress>>).await;
+        addresses.extend(
+            results
+                .by_address
                 .into_values()
                 .flatten()
                 .map(|node| node.operators),
         );
-        faults = answers.faults;
+        errors = results.errors;
     }
-    Answers {
-        found: found.into_iter().map(|addr| (addr, ())).collect(),
-        faults,
+    QueryResults {
+        by_address: addresses.into_iter().map(|addr| (addr, ())).collect(),
+        errors,
     }
 }
 
-/// Prints faults to standard error.
-pub(super) fn print_faults(faults: &[AskError]) {
-    for fault in faults {
-        eprintln!("coltsfootport: {fault}");
+/// Prints errors to standard error.
+pub(super) fn print_errors(errors: &[QueryError]) {
+    for err in errors {
+        eprintln!("coltsfootport: {err}");
     }
 }
 
-async fn ask(addr: SocketAddr, path: &str) -> Result<Bytes, AskError> {
+async fn query(addr: SocketAddr, path: &str) -> Result<Bytes, QueryError> {
     let req = Request::get(path).body(Full::new(Bytes::new()))?;
-    let answer = http_client::fetch(addr, req, ANSWER_TIME).await?;
-    if answer.status() == StatusCode::OK {
-        return Ok(answer.into_body());
+    let response = http_client::fetch(addr, req, QUERY_TIMEOUT).await?;
+    if response.status() == StatusCode::OK {
+        return Ok(response.into_body());
     }
-    let text = String::from_utf8_lossy(answer.body()).trim().to_owned();
-    Err(AskError::Refused(addr, answer.status(), text))
+    let text = String::from_utf8_lossy(response.body()).trim().to_owned();
+    Err(QueryError::UnexpectedStatus(addr, response.status(), text))
 }
--- a/crates/node/src/commands/input.rs
+++ b/crates/node/src/commands/input.rs
@@ -1,9 +1,9 @@
-//! Files and standard input of the commands.
+//! Reads input of the commands from files or standard input.
 
 use std::io::{self, Read};
 use std::path::Path;
 
-/// Reads all bytes; `-` is standard input.
+/// Reads a whole file; `-` reads standard input.
 pub(super) fn read(path: &Path) -> io::Result<Vec<u8>> {
     if path.as_os_str() != "-" {
         return std::fs::read(path);
@@ -13,8 +13,7 @@
     Ok(bytes)
 }
 
-/// Reads text; `-` is standard input.
+/// Reads a whole file as UTF-8; `-` reads standard input.
 pub(super) fn read_text(path: &Path) -> io::Result<String> {
-    let text = String::from_utf8(read(path)?);
-    text.map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
+    String::from_utf8(read(path)?).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
--- a/crates/node/src/commands/keys.rs
+++ b/crates/node/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: secrets and certificates as fragments of settings, on standard output only.
+//! `keys`: generates secrets and certificates and prints them as settings fragments, to standard output only.
 
 mod authority;
 mod fragment;
@@ -13,23 +13,23 @@
 
 use super::{input, output};
 
-/// Makes the keys and prints them.
+/// Generates the requested keys and prints them.
 pub fn run(options: &KeysOptions) -> Exit {
     let printed = match options {
-        KeysOptions::Fleet { id } => print(&FleetFragment::random(*id)),
-        KeysOptions::Ca => Authority::random().and_then(|authority| print(&authority.fragment())),
-        KeysOptions::Node(options) => node(options).and_then(|fragment| print(&fragment)),
+        KeysOptions::Fleet { id } => print(&FleetFragment::generate(*id)),
+        KeysOptions::Ca => Authority::generate().and_then(|authority| print(&authority.fragment())),
+        KeysOptions::Node(options) => issue_node(options).and_then(|fragment| print(&fragment)),
     };
     match printed {
         Ok(exit) => exit,
-        Err(fault) => {
-            eprintln!("coltsfootport: keys: {fault}");
+        Err(err) => {
+            eprintln!("coltsfootport: keys: {err}");
             Exit::Failed
         }
     }
 }
 
-fn node(options: &NodeKeyOptions) -> Result<NodeFragment, KeyError> {
+fn issue_node(options: &NodeKeyOptions) -> Result<NodeFragment, KeyError> {
     let text = input::read(&options.ca)?;
     let authority = Authority::try_from(serde_json::from_slice::<AuthorityFragment>(&text)?)?;
     authority.issue(&options.name, &options.ip)
@@ -42,6 +42,6 @@
     let text = serde_json::to_string_pretty(fragment)? + "\n";
     match output::write(text.as_bytes()) {
         Ok(()) => Ok(Exit::Ok),
-        Err(fault) => Ok(output::failed(&fault)),
+        Err(err) => Ok(output::handle_write_error(&err)),
     }
 }
--- a/crates/node/src/commands/keys/authority.rs
+++ b/crates/node/src/commands/keys/authority.rs
@@ -1,4 +1,4 @@
-//! The certificate authority of a fleet.
+//! Certificate authority of a fleet.
 
 use std::io;
 use std::net::IpAddr;
@@ -11,74 +11,74 @@
 
 use super::fragment::{AuthorityFragment, NodeFragment, TlsFragment};
 
-/// Name of every authority; authorities differ by their keys.
+/// Common name of every authority; authorities differ only by their keys.
 const AUTHORITY_NAME: &str = "coltsfootport fleet";
 
-/// A key or certificate can't be made.
+/// Error while generating a key or certificate.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// The name of a node does not fit into a certificate.
-    #[error("the node's name `{0}` is not a DNS name of letters, digits, `-` and `.`")]
+    /// The node name can't be used in a certificate.
+    #[error("node name `{0}` is not a DNS name of letters, digits, `-` and `.`")]
     Name(String),
-    /// The authority's certificate and private key are not a pair.
-    #[error("`fleet_ca_key` belongs to no certificate in `fleet_ca`")]
+    /// The private key does not match any certificate of the authority.
+    #[error("`fleet_ca_key` does not match any certificate in `fleet_ca`")]
     Mismatch,
     /// A certificate or key can't be encoded or decoded.
     #[error(transparent)]
     Certificate(#[from] rcgen::Error),
-    /// The authority can't be read.
-    #[error("the authority: {0}")]
+    /// The file with the authority can't be read.
+    #[error("failed to read the authority: {0}")]
     Input(#[from] io::Error),
-    /// The authority is not what `keys ca` prints.
-    #[error("the authority is not what `keys ca` prints: {0}")]
+    /// The authority can't be parsed, or a fragment can't be encoded.
+    #[error("the authority does not have the format printed by `keys ca`: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// A certificate authority, which signs the certificates of nodes.
+/// Certificate authority that signs node certificates.
 pub struct Authority {
     certificate: Certificate,
     key: KeyPair,
-    trusted: Vec<String>,
+    trusted_cas: Vec<String>,
 }
 
 impl Authority {
-    /// A fresh authority.
+    /// Generates a new authority.
     ///
     /// # Errors
     ///
-    /// The system gives no random numbers.
-    pub fn random() -> Result<Self, KeyError> {
+    /// Fails if the system's random number generator fails.
+    pub fn generate() -> Result<Self, KeyError> {
         let key = KeyPair::generate()?;
         let certificate = authority_params().self_signed(&key)?;
-        let trusted = vec![certificate.pem()];
+        let trusted_cas = vec![certificate.pem()];
         Ok(Self {
             certificate,
             key,
-            trusted,
+            trusted_cas,
         })
     }
 
-    /// The authority with its private key, for later certificates.
+    /// Returns the authority with its private key, as needed to issue further certificates.
     pub fn fragment(&self) -> AuthorityFragment {
         let fleet_ca_key = self.key.serialize_pem();
         AuthorityFragment {
-            fleet_ca: self.trusted.clone(),
+            fleet_ca: self.trusted_cas.clone(),
             fleet_ca_key,
         }
     }
 
-    /// A fresh certificate and private key for a node, valid for its name and addresses.
+    /// Issues a certificate with a new private key for a node, valid for its name and IP addresses.
     ///
-    /// The certificate serves both ends of a connection, since every node both calls and is called.
+    /// The certificate is valid for server and client authentication, since every node accepts and opens connections.
     ///
     /// # Errors
     ///
-    /// The name is no DNS name.
+    /// Fails if the name is not a DNS name.
     pub fn issue(&self, name: &str, ips: &[IpAddr]) -> Result<NodeFragment, KeyError> {
         let key = KeyPair::generate()?;
         let certificate = node_params(name, ips)?.signed_by(&key, &self.certificate, &self.key)?;
         let tls = TlsFragment {
-            ca_pem: self.trusted.concat(),
+            ca_pem: self.trusted_cas.concat(),
             cert_pem: certificate.pem(),
             key_pem: key.serialize_pem(),
         };
@@ -89,29 +89,34 @@
 impl TryFrom<AuthorityFragment> for Authority {
     type Error = KeyError;
 
-    /// Every authority has the same name, so its certificate can be rebuilt from its key alone.
+    /// Rebuilds the authority's certificate from its key alone, which is possible because every authority has the same name.
     fn try_from(fragment: AuthorityFragment) -> Result<Self, Self::Error> {
         let key = KeyPair::from_pem(&fragment.fleet_ca_key)?;
-        // With a key that fits none of the trusted certificates, `keys node` would print certificates which every peer
-        // refuses; one would notice only when the node finds no peers.
-        if !fragment.fleet_ca.iter().any(|pem| holds_key(pem, &key)) {
+        // If the key matched none of the trusted certificates, `keys node` would issue certificates that every peer
+        // rejects, which would only be noticed when the node can't connect to any peer.
+        if !fragment
+            .fleet_ca
+            .iter()
+            .any(|pem| contains_public_key(pem, &key))
+        {
             return Err(KeyError::Mismatch);
         }
         let certificate = authority_params().self_signed(&key)?;
         Ok(Self {
             certificate,
             key,
-            trusted: fragment.fleet_ca,
+            trusted_cas: fragment.fleet_ca,
         })
     }
 }
 
-fn holds_key(pem: &str, key: &KeyPair) -> bool {
+fn contains_public_key(pem: &str, key: &KeyPair) -> bool {
     let public = key.public_key_raw();
     let mut pem = pem.as_bytes();
     let mut certificates = rustls_pemfile::certs(&mut pem).filter_map(Result::ok);
-    let holds = |der: CertificateDer<'_>| der.windows(public.len()).any(|part| part == public);
-    certificates.any(holds)
+    let contains_key =
+        |der: CertificateDer<'_>| der.windows(public.len()).any(|part| part == public);
+    certificates.any(contains_key)
 }
 
 fn authority_params() -> CertificateParams {
--- a/crates/node/src/commands/keys/fragment.rs
+++ b/crates/node/src/commands/keys/fragment.rs
@@ -1,59 +1,59 @@
-//! Keys and certificates in the form in which settings hold them.
+//! Keys and certificates in the format of the settings.
 
 use std::fmt::Write;
 
 use rand::RngCore;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a fleet secret: the length of the MAC's hash.
+/// Length of a fleet secret in bytes, equal to the output length of the MAC's hash function.
 const SECRET_BYTES: usize = 32;
 
-/// The fleet's secrets, each known by its number.
+/// Fleet secrets, each identified by a number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetFragment {
     /// The secrets.
     pub fleet_keys: Vec<SecretFragment>,
 }
 
-/// One secret of the fleet.
+/// A fleet secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SecretFragment {
-    /// Its number, raised at each rotation.
+    /// Number of the secret, incremented at each rotation.
     pub id: u8,
-    /// Its bytes in hexadecimal.
+    /// Secret bytes in hexadecimal.
     pub secret_hex: String,
 }
 
-/// The certificate authority of the fleet.
+/// Certificate authority of the fleet with its private key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuthorityFragment {
-    /// Certificates of the authorities that nodes trust, as PEM.
+    /// Certificates of the authorities that nodes trust, in PEM format.
     pub fleet_ca: Vec<String>,
-    /// Private key of the authority, as PEM; it belongs into no node's settings.
+    /// Private key of the authority, in PEM format; must not be put into the settings of any node.
     pub fleet_ca_key: String,
 }
 
-/// Section `tls` of a node's settings.
+/// Fragment of node settings with the `tls` section.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeFragment {
-    /// The section.
+    /// The `tls` section.
     pub tls: TlsFragment,
 }
 
-/// What a node shows to its peers and what it asks of them.
+/// Certificate and key of a node, and the authorities that it trusts to identify its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TlsFragment {
-    /// Certificates of the authorities that nodes trust, as PEM.
+    /// Certificates of the authorities that nodes trust, in PEM format.
     pub ca_pem: String,
-    /// Certificate of the node, as PEM.
+    /// Certificate of the node, in PEM format.
     pub cert_pem: String,
-    /// Private key of the node, as PEM.
+    /// Private key of the node, in PEM format.
     pub key_pem: String,
 }
 
 impl FleetFragment {
-    /// One fresh secret.
-    pub fn random(id: u8) -> Self {
+    /// Generates a fragment with one new secret.
+    pub fn generate(id: u8) -> Self {
         let mut bytes = [0; SECRET_BYTES];
         rand::rng().fill_bytes(&mut bytes);
         Self {
--- a/crates/node/src/commands/status.rs
+++ b/crates/node/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of nodes.
+//! `status`: shows the state of nodes.
 
 mod table;
 
@@ -8,35 +8,35 @@
 use crate::exit::Exit;
 use crate::operators::StatusReport;
 
-use super::fleet::{self, Answers};
+use super::fleet::{self, QueryResults};
 use super::output;
 use super::runtime::block_on;
 
-/// Asks the nodes and prints what they answer.
+/// Queries the nodes and prints their status reports.
 pub fn run(options: &StatusOptions) -> Exit {
     block_on(show(options))
 }
 
 async fn show(options: &StatusOptions) -> Exit {
-    let addresses = fleet::addresses(&options.operators, options.all).await;
+    let addresses = fleet::resolve_addresses(&options.operators, options.all).await;
     let paths = addresses
-        .found
+        .by_address
         .into_keys()
         .map(|addr| (addr, String::from("/status")))
         .collect();
-    let answers: Answers<StatusReport> = fleet::ask_all(paths, fleet::read_json).await;
-    let reports: Vec<_> = answers.found.into_values().collect();
+    let results: QueryResults<StatusReport> = fleet::query_all(paths, fleet::read_json).await;
+    let reports: Vec<_> = results.by_address.into_values().collect();
     let text = if options.json {
         json_lines(&reports)
     } else {
         table(&reports)
     };
-    if let Err(fault) = output::write(text.as_bytes()) {
-        return output::failed(&fault);
+    if let Err(err) = output::write(text.as_bytes()) {
+        return output::handle_write_error(&err);
     }
-    fleet::print_faults(&addresses.faults);
-    fleet::print_faults(&answers.faults);
-    match addresses.faults.is_empty() && answers.faults.is_empty() {
+    fleet::print_errors(&addresses.errors);
+    fleet::print_errors(&results.errors);
+    match addresses.errors.is_empty() && results.errors.is_empty() {
         true => Exit::Ok,
         false => Exit::Unreachable,
     }
--- a/crates/node/src/commands/status/table.rs
+++ b/crates/node/src/commands/status/table.rs
@@ -1,4 +1,4 @@
-//! Status reports as a table for people.
+//! Formats status reports as a table.
 
 use std::fmt::Write;
 
@@ -12,19 +12,20 @@
     "QUEUED", "LEVEL", "TOKENS",
 ];
 
-/// One line a node, then one line for each thing that needs an operator's eye.
+/// Formats one row per node, followed by one line per problem: rejected documents, ejected peers and violated
+/// invariants.
 ///
-/// `DOCS` are the documents in force at their highest known revision over all known ones, `PEERS` those that can be
-/// reached over all, `TOKENS` those kept over the capacity.
+/// `DOCS` shows documents whose highest known revision is active out of all known documents, `PEERS` reachable peers out
+/// of all peers, and `TOKENS` stored tokens out of the table's capacity.
 pub fn table(reports: &[StatusReport]) -> String {
     let rows: Vec<_> = std::iter::once(HEADER.map(str::to_owned))
         .chain(reports.iter().map(row))
         .collect();
     let mut text = String::new();
     for row in &rows {
-        text.push_str(&aligned(row, &rows));
+        text.push_str(&align_row(row, &rows));
     }
-    for line in reports.iter().flat_map(remarks) {
+    for line in reports.iter().flat_map(problems) {
         // Writing to a string can't fail.
         let _ = writeln!(text, "{line}");
     }
@@ -44,14 +45,14 @@
         .count();
     let admission = &report.admission;
     [
-        shown(report.node.as_str()),
-        shown(report.service.as_str()),
-        shown(report.domain.as_str()),
-        shown(&report.phase),
+        escape(report.node.as_str()),
+        escape(report.service.as_str()),
+        escape(report.domain.as_str()),
+        escape(&report.phase),
         format!("{current}/{}", docs.len()),
-        platform(report),
+        format_platform(report),
         format!("{up}/{}", report.peers.len()),
-        shown(&admission.mode),
+        escape(&admission.mode),
         admission.limit.to_string(),
         admission.in_flight.to_string(),
         admission.queued.to_string(),
@@ -60,7 +61,7 @@
     ]
 }
 
-fn platform(report: &StatusReport) -> String {
+fn format_platform(report: &StatusReport) -> String {
     let platform = &report.platform;
     let role = if platform.reader { "reads" } else { "told" };
     match (platform.reachable, platform.last_read_ms) {
@@ -70,7 +71,7 @@
     }
 }
 
-fn aligned(row: &[String; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
+fn align_row(row: &[String; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
     let mut line = String::new();
     for (column, cell) in row.iter().enumerate() {
         let width = rows
@@ -85,29 +86,29 @@
     line
 }
 
-fn remarks(report: &StatusReport) -> Vec<String> {
-    let node = shown(report.node.as_str());
+fn problems(report: &StatusReport) -> Vec<String> {
+    let node = escape(report.node.as_str());
     let mut lines = Vec::new();
     for doc in &report.documents {
-        let service = shown(doc.service.as_str());
+        let service = escape(doc.service.as_str());
         let in_force = doc
             .in_force
             .map_or_else(|| "none".to_owned(), |revision| revision.to_string());
         for fault in &doc.rejected {
-            let (revision, fault) = (doc.revision, shown(fault));
+            let (revision, fault) = (doc.revision, escape(fault));
             lines.push(format!(
                 "{node}: document of {service}: revision {revision} rejected, {in_force} in force: {fault}"
             ));
         }
     }
     for peer in report.peers.iter().filter(|peer| peer.ejected) {
-        let (peer, service) = (shown(peer.node.as_str()), shown(peer.service.as_str()));
+        let (peer, service) = (escape(peer.node.as_str()), escape(peer.service.as_str()));
         lines.push(format!(
-            "{node}: peer {peer} of {service} is left out for its failures"
+            "{node}: peer {peer} of {service} is ejected because of its failures"
         ));
     }
     for count in report.invariants.iter().filter(|count| count.breaches > 0) {
-        let (invariant, breaches) = (shown(&count.invariant), count.breaches);
+        let (invariant, breaches) = (escape(&count.invariant), count.breaches);
         lines.push(format!(
             "{node}: invariant {invariant} breached {breaches} times"
         ));
@@ -115,8 +116,9 @@
     lines
 }
 
-/// Text of others without control characters, which could move a terminal's cursor and forge lines.
-fn shown(text: &str) -> String {
+/// Escapes control characters in text received from nodes, which could otherwise move the terminal cursor and forge
+/// lines. Returns `-` for empty text.
+fn escape(text: &str) -> String {
     match text.is_empty() {
         true => String::from("-"),
         false => text.escape_debug().to_string(),
--- a/crates/node/src/commands/timeline.rs
+++ b/crates/node/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: the events of many nodes in one order.
+//! `timeline`: merges the events of multiple nodes into one timeline.
 
 mod query;
 
@@ -12,98 +12,102 @@
 use crate::cli::TimelineOptions;
 use crate::exit::Exit;
 
-use super::fleet::{self, Answers, AskError};
+use super::fleet::{self, QueryError, QueryResults};
 use super::output;
 use super::runtime::block_on;
 
-/// Time between two questions to each node under `--follow`.
+/// Pause between two query rounds with `--follow`.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
 
-/// Questions to each node between two for the list of nodes under `--all --follow`.
-const ROUNDS_PER_LOOKUP: u64 = 20;
+/// Number of query rounds between two refreshes of the node list with `--all --follow`.
+const ROUNDS_PER_DISCOVERY: u64 = 20;
 
-/// Asks the nodes and prints their events.
+/// Queries the nodes and prints their events.
 pub fn run(options: &TimelineOptions) -> Exit {
     block_on(show(options))
 }
 
 async fn show(options: &TimelineOptions) -> Exit {
-    let mut since = BTreeMap::new();
-    let mut whole = true;
-    let mut told = String::new();
+    let mut cursors = BTreeMap::new();
+    let mut all_reached = true;
+    let mut last_reported = String::new();
     for round in 0_u64.. {
-        let mut faults = Vec::new();
-        if round.is_multiple_of(ROUNDS_PER_LOOKUP) {
-            faults = look_up(options, &mut since).await;
+        let mut errors = Vec::new();
+        if round.is_multiple_of(ROUNDS_PER_DISCOVERY) {
+            errors = discover_nodes(options, &mut cursors).await;
         }
-        let answers = ask(options, &since).await;
-        faults.extend(answers.faults);
-        whole &= faults.is_empty();
-        tell(&faults, &mut told);
-        advance(&mut since, &answers.found);
-        let records = merge(answers.found.into_values().collect());
-        if let Err(fault) = print(options, &records) {
-            return output::failed(&fault);
+        let results = query_nodes(options, &cursors).await;
+        errors.extend(results.errors);
+        all_reached &= errors.is_empty();
+        report_errors(&errors, &mut last_reported);
+        advance_cursors(&mut cursors, &results.by_address);
+        let records = merge(results.by_address.into_values().collect());
+        if let Err(err) = print(options, &records) {
+            return output::handle_write_error(&err);
         }
         if !options.follow {
             break;
         }
         tokio::time::sleep(FOLLOW_PAUSE).await;
     }
-    if whole { Exit::Ok } else { Exit::Unreachable }
+    if all_reached {
+        Exit::Ok
+    } else {
+        Exit::Unreachable
+    }
 }
 
-/// Adds the nodes that are not yet asked.
-async fn look_up(
+/// Adds a cursor for each node that is not queried yet.
+async fn discover_nodes(
     options: &TimelineOptions,
-    since: &mut BTreeMap<SocketAddr, Option<Stamp>>,
-) -> Vec<AskError> {
-    let addresses = fleet::addresses(&options.operators, options.all).await;
-    for addr in addresses.found.into_keys() {
-        since.entry(addr).or_default();
+    cursors: &mut BTreeMap<SocketAddr, Option<Stamp>>,
+) -> Vec<QueryError> {
+    let addresses = fleet::resolve_addresses(&options.operators, options.all).await;
+    for addr in addresses.by_address.into_keys() {
+        cursors.entry(addr).or_default();
     }
-    addresses.faults
+    addresses.errors
 }
 
-/// Prints the faults where they differ from those of the round before.
-fn tell(faults: &[AskError], told: &mut String) {
-    let text = faults
+/// Prints the errors if they differ from those of the previous round.
+fn report_errors(errors: &[QueryError], last_reported: &mut String) {
+    let text = errors
         .iter()
-        .map(|fault| format!("coltsfootport: {fault}\n"))
+        .map(|err| format!("coltsfootport: {err}\n"))
         .collect();
-    if *told != text {
+    if *last_reported != text {
         eprint!("{text}");
-        *told = text;
+        *last_reported = text;
     }
 }
 
-async fn ask(
+async fn query_nodes(
     options: &TimelineOptions,
-    since: &BTreeMap<SocketAddr, Option<Stamp>>,
-) -> Answers<Vec<Record>> {
-    let paths = since
+    cursors: &BTreeMap<SocketAddr, Option<Stamp>>,
+) -> QueryResults<Vec<Record>> {
+    let paths = cursors
         .iter()
-        .map(|(addr, since)| (*addr, query::path(options, *since)))
+        .map(|(addr, cursor)| (*addr, query::path(options, *cursor)))
         .collect();
-    fleet::ask_all(paths, read_records).await
+    fleet::query_all(paths, read_records).await
 }
 
-fn read_records(addr: SocketAddr, body: &[u8]) -> Result<Vec<Record>, AskError> {
+fn read_records(addr: SocketAddr, body: &[u8]) -> Result<Vec<Record>, QueryError> {
     let lines = body
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty());
     lines.map(|line| fleet::read_json(addr, line)).collect()
 }
 
-/// The next question to each node begins after the last record that it gave.
-fn advance(
-    since: &mut BTreeMap<SocketAddr, Option<Stamp>>,
-    found: &BTreeMap<SocketAddr, Vec<Record>>,
+/// Moves the cursor of each node to the latest record received from it.
+fn advance_cursors(
+    cursors: &mut BTreeMap<SocketAddr, Option<Stamp>>,
+    received: &BTreeMap<SocketAddr, Vec<Record>>,
 ) {
-    for (addr, records) in found {
+    for (addr, records) in received {
         let last = records.iter().map(|record| record.at).max();
-        if let (Some(last), Some(since)) = (last, since.get_mut(addr)) {
-            *since = Some(last);
+        if let (Some(last), Some(cursor)) = (last, cursors.get_mut(addr)) {
+            *cursor = Some(last);
         }
     }
 }
--- a/crates/node/src/commands/timeline/query.rs
+++ b/crates/node/src/commands/timeline/query.rs
@@ -1,4 +1,4 @@
-//! The question to one node.
+//! Builds the timeline query to one node.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 
 use crate::cli::TimelineOptions;
 
-/// Path and query; nothing in it needs escapes.
+/// Returns path and query string; none of the values needs percent-encoding.
 pub(super) fn path(options: &TimelineOptions, since: Option<Stamp>) -> String {
     let mut path = format!("/timeline?limit={}", options.limit);
     // Writing to a string can't fail.
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` on stored logs of several nodes.
+//! Tests of `explain` with recorded logs of several nodes.
 
 use std::process::{Command, Output, Stdio};
 
@@ -25,7 +25,7 @@
             r#"2026-01-01T10:00:03.000700Z n-2 9c41 target failed detail="reset" instance="i-2" reason="lost" service="b""#,
             r#"2026-01-01T10:00:03.001200Z n-1 9c41 attempt failed goes_on=true instance="i-2" reason="lost" service="a""#,
             r#"2026-01-01T10:00:03.009000Z n-1 9c41 answered attempts=2 instance="i-3" refusal="lost" service="a" status=502 to_service="b""#,
-            r#"sealed by: 2026-01-01T10:00:03.009000Z n-1 9c41 answered attempts=2 instance="i-3" refusal="lost" service="a" status=502 to_service="b""#,
+            r#"final answer: 2026-01-01T10:00:03.009000Z n-1 9c41 answered attempts=2 instance="i-3" refusal="lost" service="a" status=502 to_service="b""#,
         ]
     );
 }
@@ -35,7 +35,10 @@
     let output = explain("ffff", &["entry.log"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
-    assert!(text.starts_with("no line names this request"), "{text}");
+    assert!(
+        text.starts_with("no log line mentions this request"),
+        "{text}"
+    );
 }
 
 #[test]
--- a/crates/node/tests/operators.rs
+++ b/crates/node/tests/operators.rs
@@ -407,7 +407,7 @@
         "NODE       SERVICE  DOMAIN  PHASE    DOCS  PLATFORM   PEERS  MODE    LIMIT  RUNNING  QUEUED",
         "bidding-1  bidding  -       serving  0/1   lost-4s@9  0/1    learnt  60     5        2",
         "bidding-1: document of bidding: revision 9 rejected, 8 in force: line 3: unknown class\\u{1b}",
-        "bidding-1: peer archive-1 of archive is left out for its failures",
+        "bidding-1: peer archive-1 of archive is ejected because of its failures",
         "bidding-1: invariant allowance-grew breached 1 times",
     ];
     for part in expected {
