--- a/crates/node/src/commands/mesh.rs
+++ b/crates/node/src/commands/mesh.rs
@@ -1,4 +1,4 @@
-//! `mesh`: runs a node of a service mesh until it is stopped.
+//! `mesh`: runs a service mesh node until it is stopped.
 
 use std::io;
 
@@ -12,7 +12,7 @@
 use crate::log;
 use crate::mesh::{self, MeshSettings};
 
-/// Loads the settings, starts the log and the runtime, and runs the node.
+/// Loads the settings, starts logging and the runtime, and runs the node.
 pub fn run(options: &MeshOptions) -> Exit {
     let path = &options.settings;
     let text = match input::read_text(path) {
@@ -34,12 +34,12 @@
     let node = &settings.node;
     let (log, _guard) =
         log::start_json(io::stdout(), settings.log_level, &node.name, &node.service);
-    warn_of(&log, &warnings);
-    // One thread: a node has a share of a core, and more threads only take turns.
+    log_warnings(&log, &warnings);
+    // A node gets a fraction of a core, so additional threads would only compete for it.
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            crit!(log, "no runtime"; "error" => e.to_string());
+            crit!(log, "failed to start the runtime"; "error" => e.to_string());
             return Exit::Failed;
         }
     };
@@ -52,7 +52,7 @@
     }
 }
 
-fn warn_of(log: &Logger, warnings: &[Fault]) {
+fn log_warnings(log: &Logger, warnings: &[Fault]) {
     for warning in warnings {
         warn!(log, "setting replaced by its default"; "fault" => warning.to_string());
     }
--- a/crates/node/src/commands/node.rs
+++ b/crates/node/src/commands/node.rs
@@ -12,7 +12,7 @@
 use crate::log;
 use crate::node;
 
-/// Loads the settings, starts the log and the runtime, and runs the node.
+/// Loads the settings, starts logging and the runtime, and runs the node.
 pub fn run(options: &NodeOptions) -> Exit {
     let text = match input::read_text(&options.settings) {
         Ok(text) => text,
@@ -40,7 +40,7 @@
     for warning in &loaded.warnings {
         warn!(log, "setting replaced by its default"; "fault" => warning.to_string());
     }
-    let Ok(runtime) = runtime(settings.runtime.worker_threads as usize) else {
+    let Ok(runtime) = build_runtime(settings.runtime.worker_threads as usize) else {
         return Exit::Failed;
     };
     match runtime.block_on(node::run(settings, loaded.warnings, log.new(o!()))) {
@@ -52,8 +52,8 @@
     }
 }
 
-/// A runtime on this thread, or on threads of its own where settings ask for some.
-fn runtime(worker_threads: usize) -> io::Result<Runtime> {
+/// Builds a single-threaded runtime, or a multi-threaded one if `worker_threads` is not 0.
+fn build_runtime(worker_threads: usize) -> io::Result<Runtime> {
     match worker_threads {
         0 => Builder::new_current_thread().enable_all().build(),
         threads => Builder::new_multi_thread()
