--- a/crates/node/src/exit.rs
+++ b/crates/node/src/exit.rs
@@ -1,19 +1,19 @@
-//! The exit codes of every command.
+//! Exit codes of the commands.
 
 use std::process::ExitCode;
 
-/// How a command ended, as told to the shell.
+/// Result of a command, reported as the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All went well; for `call`: the request ran and its status is below 400.
+    /// The command succeeded; for `call`: the request ran and its status is below 400.
     Ok,
-    /// The command failed for another reason than those below.
+    /// The command failed for a reason that has no code of its own.
     Failed,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
     /// The checked document or settings are invalid.
     Invalid,
-    /// At least one operators address gave no usable answer; what the others said is printed.
+    /// At least one operators address gave no usable answer; the answers of the others are printed.
     Unreachable,
     /// `call`: the request ran and its status is 400 or above.
     RanWithError,
@@ -24,7 +24,7 @@
 }
 
 impl Exit {
-    /// Every code.
+    /// All results.
     pub const ALL: [Self; 8] = [
         Self::Ok,
         Self::Failed,
@@ -36,7 +36,7 @@
         Self::Unknown,
     ];
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub const fn code(self) -> u8 {
         match self {
             Self::Ok => 0,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The meaning, for `--help` and the operators' page.
-    pub const fn meaning(self) -> &'static str {
+    /// Returns the description for `--help` and `docs/OPERATIONS.md`.
+    pub const fn description(self) -> &'static str {
         match self {
             Self::Ok => "all went well; call: the request ran, status below 400",
             Self::Failed => "the command failed for another reason",
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what is accepted, what is refused, and with which exit codes.
+//! Tests of command line parsing and exit codes.
 
 use std::collections::BTreeSet;
 use std::process::{Command as Process, Output, Stdio};
@@ -172,7 +172,7 @@
     let codes: BTreeSet<_> = Exit::ALL.into_iter().map(Exit::code).collect();
     assert_eq!(codes.len(), Exit::ALL.len());
     for exit in Exit::ALL {
-        let line = format!("{}  {}", exit.code(), exit.meaning());
+        let line = format!("{}  {}", exit.code(), exit.description());
         assert!(help.contains(&line), "the help lacks `{line}`");
     }
 }
--- a/crates/node/tests/operations_page.rs
+++ b/crates/node/tests/operations_page.rs
@@ -27,7 +27,7 @@
         assert!(has_row(kind.as_str()), "{kind}");
     }
     for exit in Exit::ALL {
-        let row = format!("| {} | {} |", exit.code(), exit.meaning());
+        let row = format!("| {} | {} |", exit.code(), exit.description());
         assert!(PAGE.contains(&row), "{row}");
     }
 }
