--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line parsing.
 
 mod help;
 mod options;
@@ -7,19 +7,19 @@
 
 pub use options::{
     CallOptions, CheckOptions, CheckSubject, Command, ExplainOptions, KeysOptions, MeshOptions,
-    NodeKeyOptions, NodeOptions, StatusOptions, TimelineOptions, TokenChoice,
+    NodeKeyOptions, NodeOptions, StatusOptions, TimelineOptions, TokenSource,
 };
 
 use crate::exit::Exit;
 
-/// Characters a line of `--help`.
+/// Maximum line width of the `--help` output.
 const HELP_WIDTH: usize = 100;
 
-/// Reads the process's command line.
+/// Parses the command line of the process.
 ///
 /// # Errors
 ///
-/// The exit to end with, after `--help`, `--version` or the fault have been printed.
+/// Returns the exit code after printing the output of `--help` or `--version`, or a usage error.
 pub fn parse() -> Result<Command, Exit> {
     parse_from(Args::current_args()).map_err(|failure| {
         failure.print_message(HELP_WIDTH);
@@ -30,11 +30,11 @@
     })
 }
 
-/// Reads a command line that is given without the name of the program.
+/// Parses the given arguments, which must not include the program name.
 ///
 /// # Errors
 ///
-/// What to print: help on standard output or a fault on standard error.
+/// Returns the message to print: help on standard output or a usage error on standard error.
 pub fn parse_from(args: Args<'_>) -> Result<Command, ParseFailure> {
     parser().run_inner(args)
 }
--- a/crates/node/src/cli/options.rs
+++ b/crates/node/src/cli/options.rs
@@ -1,4 +1,4 @@
-//! All commands with their options; the comments are the help that users read.
+//! Subcommands and their options; the doc comments of variants and options are the `--help` text.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -8,32 +8,32 @@
 use coltsfootport_core::id::RequestId;
 use coltsfootport_core::timeline::EventKind;
 
-/// What to do.
+/// Subcommand with its options.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub enum Command {
     /// Run a node beside its target instance
     #[bpaf(command)]
     Node(#[bpaf(external(node_options))] NodeOptions),
-    /// Run a node of a service mesh, which routes by host and path, beside its target instance
+    /// Run a service mesh node, which routes by host and path, beside its target instance
     #[bpaf(command)]
     Mesh(#[bpaf(external(mesh_options))] MeshOptions),
     /// Check a document or settings without running a node
     #[bpaf(command)]
     Check(#[bpaf(external(check_options))] CheckOptions),
-    /// Show the state of nodes
+    /// Show the status of nodes
     #[bpaf(command)]
     Status(#[bpaf(external(status_options))] StatusOptions),
-    /// Show the events of nodes as one time line
+    /// Show the events of nodes as one merged timeline
     #[bpaf(command)]
     Timeline(#[bpaf(external(timeline_options))] TimelineOptions),
-    /// Show the course of one request from the logs of mesh nodes
+    /// Trace one request through the logs of mesh nodes
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_options))] ExplainOptions),
-    /// Make keys and certificates, printed as fragments of settings
+    /// Generate keys and certificates and print them as settings fragments
     #[bpaf(command)]
     Keys(#[bpaf(external(keys_options))] KeysOptions),
-    /// Send one request through a node and tell whether it ran
+    /// Send one request through a node and report whether it ran
     #[bpaf(command)]
     Call(#[bpaf(external(call_options))] CallOptions),
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct NodeOptions {
-    /// Settings, JSON with comments; `-` reads standard input
+    /// Settings file, JSON with comments; `-` reads standard input
     #[bpaf(argument("FILE"))]
     pub settings: PathBuf,
 }
@@ -51,19 +51,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct MeshOptions {
-    /// Settings, JSON with comments; read again on SIGHUP and when they change
+    /// Settings file, JSON with comments; reloaded on SIGHUP and when it changes
     #[bpaf(argument("FILE"), env("COLTSFOOTPORT_SETTINGS"))]
     pub settings: PathBuf,
 }
 
-/// What `check` reads.
+/// Kind of file that `check` reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckSubject {
-    /// The document of a service.
+    /// Document of a service.
     Document,
-    /// The settings of a node.
+    /// Settings of a node.
     Settings,
-    /// The settings of a mesh node.
+    /// Settings of a mesh node.
     Mesh,
 }
 
@@ -71,11 +71,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct CheckOptions {
-    /// What the file holds: `document` for that of a service, `settings` for those of a node, `mesh` for those of a
-    /// mesh node
+    /// Kind of file: `document` of a service, `settings` of a node, or `mesh` for the settings of a mesh node
     #[bpaf(positional("document|settings|mesh"))]
     pub subject: CheckSubject,
-    /// The file; `-` reads standard input
+    /// File to check; `-` reads standard input
     #[bpaf(positional("FILE"))]
     pub file: PathBuf,
 }
@@ -84,12 +83,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct StatusOptions {
-    /// Operators address IP:PORT of a node; may be given several times
-    #[bpaf(argument("ADDR"), some("at least one --operators IP:PORT is needed"))]
+    /// Operators address IP:PORT of a node; can be repeated
+    #[bpaf(argument("ADDR"), some("at least one --operators IP:PORT is required"))]
     pub operators: Vec<SocketAddr>,
-    /// Ask the given nodes for the addresses of all others, and show those too
+    /// Include all nodes known to the given nodes
     pub all: bool,
-    /// Print one JSON object a node and line instead of tables
+    /// Print one JSON object per node and line instead of a table
     pub json: bool,
 }
 
@@ -97,21 +96,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct TimelineOptions {
-    /// Operators address IP:PORT of a node; may be given several times
-    #[bpaf(argument("ADDR"), some("at least one --operators IP:PORT is needed"))]
+    /// Operators address IP:PORT of a node; can be repeated
+    #[bpaf(argument("ADDR"), some("at least one --operators IP:PORT is required"))]
     pub operators: Vec<SocketAddr>,
-    /// Ask the given nodes for the addresses of all others, and show those too
+    /// Include all nodes known to the given nodes
     pub all: bool,
-    /// Only events of this request, the 32 digits of `coltsfootport-request`
+    /// Show only events of this request: the 32 hexadecimal digits of its `coltsfootport-request` header
     #[bpaf(argument("ID"))]
     pub request: Option<RequestId>,
-    /// Only events of this kind, such as `shed`; may be given several times
+    /// Show only events of this kind, such as `shed`; can be repeated
     #[bpaf(argument("KIND"))]
     pub kind: Vec<EventKind>,
-    /// Events a node at most: the newest ones
+    /// Maximum number of events per node; the newest are shown
     #[bpaf(argument("N"), fallback(1000), display_fallback)]
     pub limit: usize,
-    /// Go on with new events until interrupted
+    /// Keep showing new events until interrupted
     pub follow: bool,
     /// Print JSON lines instead of text
     pub json: bool,
@@ -121,10 +120,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct ExplainOptions {
-    /// Id of the request; the calls that its run made are shown too
+    /// Id of the request; calls made on its behalf are included
     #[bpaf(argument("ID"))]
     pub request: String,
-    /// Logs of any number of nodes; standard input where none is given or for `-`
+    /// Log files of any number of nodes; reads standard input if none is given or for `-`
     #[bpaf(positional("FILE"))]
     pub files: Vec<PathBuf>,
 }
@@ -133,17 +132,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub enum KeysOptions {
-    /// Print a fresh fleet secret, which authenticates tokens
+    /// Print a new fleet secret, which authenticates tokens
     #[bpaf(command)]
     Fleet {
-        /// Number of the secret; raise it at each rotation
+        /// Number of the secret; increment it at each rotation
         #[bpaf(long("id"), argument("N"), fallback(1), display_fallback)]
         id: u8,
     },
-    /// Print a fresh certificate authority of the fleet with its private key
+    /// Print a new certificate authority for the fleet with its private key
     #[bpaf(command)]
     Ca,
-    /// Print a fresh certificate and private key for one node
+    /// Print a new certificate and private key for one node
     #[bpaf(command)]
     Node(#[bpaf(external(node_key_options))] NodeKeyOptions),
 }
@@ -155,20 +154,20 @@
     /// Name of the node, as in its settings
     #[bpaf(argument("NAME"))]
     pub name: String,
-    /// IP address of the node; may be given several times
-    #[bpaf(argument("IP"), some("at least one --ip is needed"))]
+    /// IP address of the node; can be repeated
+    #[bpaf(argument("IP"), some("at least one --ip is required"))]
     pub ip: Vec<IpAddr>,
-    /// What `keys ca` printed; standard input where left out or `-`
+    /// File with the output of `keys ca`; reads standard input if omitted or `-`
     #[bpaf(argument("FILE"), fallback(PathBuf::from("-")))]
     pub ca: PathBuf,
 }
 
-/// How `call` comes by an idempotency token.
+/// Source of the idempotency token of `call`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TokenChoice {
-    /// Ask the node for one before the call.
+pub enum TokenSource {
+    /// Request a token from the node before the call.
     Auto,
-    /// Use this one.
+    /// Use the given token.
     Given(String),
 }
 
@@ -176,33 +175,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct CallOptions {
-    /// Method of the request
+    /// HTTP method of the request
     #[bpaf(argument("METHOD"), fallback(String::from("GET")), display_fallback)]
     pub method: String,
-    /// Idempotency token: `auto` asks the node for one, anything else is the token itself
+    /// Idempotency token: `auto` requests one from the node, any other value is the token itself
     #[bpaf(argument("auto|TOKEN"))]
-    pub token: Option<TokenChoice>,
-    /// Number of the first sending of a given token, one above the last number that was used
+    pub token: Option<TokenSource>,
+    /// Try number to start with for a given token: one more than the last number used
     #[bpaf(long("try"), argument("N"), fallback(1), display_fallback)]
     pub first_try: u32,
-    /// Time limit over all tries in milliseconds
+    /// Deadline for all tries together, in milliseconds
     #[bpaf(argument("MS"), fallback(10_000), display_fallback)]
     pub deadline_ms: u64,
-    /// Further tries, each after the time that the answer before it asked for
+    /// Maximum number of retries, each sent after the delay that the previous answer requested
     #[bpaf(argument("N"), fallback(0), display_fallback)]
     pub retries: u32,
-    /// Request header `NAME: VALUE`; may be given several times
+    /// Request header `NAME: VALUE`; can be repeated
     #[bpaf(argument("HEADER"))]
     pub header: Vec<String>,
-    /// Body of the request; `@FILE` reads a file, `@-` standard input
+    /// Request body; `@FILE` reads a file, `@-` reads standard input
     #[bpaf(argument("DATA"))]
     pub data: Option<String>,
-    /// `http://IP:PORT/SERVICE/PATH` at the callers listener of any node
+    /// URL `http://IP:PORT/SERVICE/PATH` on the callers listener of any node
     #[bpaf(positional("URL"))]
     pub url: String,
 }
 
-impl FromStr for TokenChoice {
+impl FromStr for TokenSource {
     type Err = std::convert::Infallible;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/node/src/commands/call/session.rs
+++ b/crates/node/src/commands/call/session.rs
@@ -6,7 +6,7 @@
 use coltsfootport_core::outcome::Outcome;
 use tokio::time::sleep;
 
-use crate::cli::{CallOptions, TokenChoice};
+use crate::cli::{CallOptions, TokenSource};
 
 use super::answer::Answer;
 use super::attempt;
@@ -83,11 +83,11 @@
     async fn credential(&self) -> Result<Option<Credential>, Option<Answer>> {
         let credential = match &self.options.token {
             None => return Ok(None),
-            Some(TokenChoice::Given(token)) => Credential {
+            Some(TokenSource::Given(token)) => Credential {
                 token: token.clone(),
                 try_number: self.options.first_try,
             },
-            Some(TokenChoice::Auto) => {
+            Some(TokenSource::Auto) => {
                 let (addr, service) = (self.request.addr, &self.request.service);
                 let token = attempt::request_token(addr, service, self.time_left()).await?;
                 Credential {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The `coltsfootport` binary.
+//! Entry point of the `coltsfootport` binary.
 
 use std::process::ExitCode;
 
