--- a/crates/node/src/commands/keys/authority.rs
+++ b/crates/node/src/commands/keys/authority.rs
@@ -89,7 +89,8 @@
 impl TryFrom<AuthorityFragment> for Authority {
     type Error = KeyError;
 
-    /// Rebuilds the authority's certificate from its key alone, which is possible because every authority has the same name.
+    /// Rebuilds the authority's certificate from its key alone. This is possible because every authority has the same
+    /// name.
     fn try_from(fragment: AuthorityFragment) -> Result<Self, Self::Error> {
         let key = KeyPair::from_pem(&fragment.fleet_ca_key)?;
         // If the key matched none of the trusted certificates, `keys node` would issue certificates that every peer
