--- a/crates/node/tests/call.rs
+++ b/crates/node/tests/call.rs
@@ -1,4 +1,4 @@
-//! `call`: what it says about a request, and when it sends again.
+//! Tests of `call`: reported outcomes and retry decisions.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -13,23 +13,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-const LEFT: Duration = Duration::from_secs(60);
+const TIME_LEFT: Duration = Duration::from_secs(60);
 
 fn answered(status: u16, headers: &[(&str, &str)]) -> AttemptResult {
     let mut answer = Response::builder().status(status);
     for (name, value) in headers {
         answer = answer.header(*name, *value);
     }
-    AttemptResult::Answered(Answer::from(answer.body("whole".into()).unwrap()))
+    AttemptResult::Answered(Answer::from(answer.body("body".into()).unwrap()))
 }
 
-fn said(outcome: &str, headers: &[(&str, &str)]) -> AttemptResult {
+fn answered_with_outcome(outcome: &str, headers: &[(&str, &str)]) -> AttemptResult {
     let headers = [&[("coltsfootport-outcome", outcome)], headers].concat();
     answered(503, &headers)
 }
 
 #[test]
-fn headers_of_an_answer_are_read() {
+fn answer_headers_are_parsed() {
     let AttemptResult::Answered(answer) = answered(
         503,
         &[
@@ -64,52 +64,51 @@
     );
 }
 
-/// The end of an attempt by a label of the table below.
-fn end(label: &str) -> AttemptResult {
+/// Returns the attempt result for a label used in the table below.
+fn attempt_result(label: &str) -> AttemptResult {
     let after = [("coltsfootport-retry-after-ms", "700")];
     let fresh = [("coltsfootport-token", "t2")];
     let expired = [("coltsfootport-error", "token-expired"), fresh[0]];
     match label {
-        "ran" => said("ran", &after),
-        "refused" => said("not-run", &[]),
-        "shed" => said("not-run", &after),
-        "later" => said("not-run", &[("retry-after", "60")]),
-        "renewed" => said("not-run", &fresh),
-        "unknown" => said("unknown", &after),
-        "unknown-renewed" => said("unknown", &fresh),
-        "expired" => said("unknown", &expired),
+        "ran" => answered_with_outcome("ran", &after),
+        "refused" => answered_with_outcome("not-run", &[]),
+        "shed" => answered_with_outcome("not-run", &after),
+        "later" => answered_with_outcome("not-run", &[("retry-after", "60")]),
+        "renewed" => answered_with_outcome("not-run", &fresh),
+        "unknown" => answered_with_outcome("unknown", &after),
+        "unknown-renewed" => answered_with_outcome("unknown", &fresh),
+        "expired" => answered_with_outcome("unknown", &expired),
         "no-outcome" => answered(200, &[]),
         "lost" => AttemptResult::Lost,
         "not-sent" => AttemptResult::NotSent,
-        _ => panic!("no end {label}"),
+        _ => panic!("unknown label {label}"),
     }
 }
 
-// Symptom: a bid stands twice, or a broker is told `not run` of a bid that stands.
-// Sequence: attempts are lost, refused or answered, with a token or without, and `call` may send again.
-// Cause: sending again what may have run, or taking the last answer for the whole call.
+// Guards against a bid placed twice, or reported as `not-run` although it was placed. This happens if `call` retries a
+// request that may have run, or takes the last answer as the outcome of all attempts.
 #[test]
-fn a_call_is_sent_again_only_where_that_is_safe_and_welcome() {
+fn call_is_retried_only_if_safe_and_allowed_by_the_answer() {
     const SAFE: bool = true;
     struct Case {
         safe: bool,
-        /// Number of the token's first sending; 0 without a token.
-        sending: u32,
-        ends: &'static str,
-        /// Milliseconds before each further attempt.
-        pauses: &'static [u64],
+        /// First try number of the token; 0 if there is no token.
+        try_number: u32,
+        attempts: &'static str,
+        /// Delay in milliseconds before each retry.
+        delays_ms: &'static [u64],
         outcome: Outcome,
-        /// Token and number of the last sending.
-        last: &'static str,
+        /// Token and its last try number.
+        last_credential: &'static str,
     }
     let (none, t1) = (0, 1);
-    let case = |safe, sending, ends, pauses, outcome, last| Case {
+    let case = |safe, try_number, attempts, delays_ms, outcome, last_credential| Case {
         safe,
-        sending,
-        ends,
-        pauses,
+        try_number,
+        attempts,
+        delays_ms,
         outcome,
-        last,
+        last_credential,
     };
     let cases = [
         case(!SAFE, none, "ran", &[], Ran, ""),
@@ -162,39 +161,44 @@
     ];
     for Case {
         safe,
-        sending,
-        ends,
-        pauses,
+        try_number,
+        attempts,
+        delays_ms,
         outcome,
-        last,
+        last_credential,
     } in cases
     {
-        let name = format!("{ends}, safe: {safe}, sending: {sending}");
-        let credential = (sending > 0).then(|| Credential {
+        let name = format!("{attempts}, safe: {safe}, try: {try_number}");
+        let credential = (try_number > 0).then(|| Credential {
             token: "t1".into(),
-            try_number: sending,
+            try_number,
         });
         let mut policy = RetryPolicy::new(3, safe, credential);
-        let nexts: Vec<_> = ends
+        let steps: Vec<_> = attempts
             .split(' ')
-            .map(|label| policy.next_step(&end(label), LEFT, 0.0))
+            .map(|label| policy.next_step(&attempt_result(label), TIME_LEFT, 0.0))
             .collect();
-        let again = pauses
+        let retries = delays_ms
             .iter()
             .map(|ms| NextStep::Retry(Duration::from_millis(*ms)));
-        let expected: Vec<_> = again.chain([NextStep::Stop(outcome)]).collect();
-        assert_eq!(nexts, expected, "{name}");
-        let shown = |last: &Credential| format!("{} {}", last.token, last.try_number);
+        let expected: Vec<_> = retries.chain([NextStep::Stop(outcome)]).collect();
+        assert_eq!(steps, expected, "{name}");
+        let format_credential = |last_credential: &Credential| {
+            format!("{} {}", last_credential.token, last_credential.try_number)
+        };
         assert_eq!(
-            policy.credential().map(shown).unwrap_or_default(),
-            last,
+            policy
+                .credential()
+                .map(format_credential)
+                .unwrap_or_default(),
+            last_credential,
             "{name}"
         );
     }
 }
 
-/// Gives each connection the next raw answer and reports the head of its request.
-async fn scripted(answers: Vec<String>) -> (SocketAddr, mpsc::Receiver<String>) {
+/// Starts a server that sends each connection the next raw answer and reports the head of its request.
+async fn start_scripted_server(answers: Vec<String>) -> (SocketAddr, mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let (tx, rx) = mpsc::channel(answers.len().max(1));
@@ -212,33 +216,33 @@
     (addr, rx)
 }
 
-fn raw(status: u16, headers: &str, body: &str) -> String {
+fn raw_answer(status: u16, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status} -\r\n{headers}content-length: {length}\r\n\r\n{body}")
 }
 
 #[tokio::test]
-async fn the_exit_code_and_the_output_tell_the_outcome() {
+async fn exit_code_and_output_report_the_outcome() {
     struct Case<'a> {
         options: &'a str,
         answers: Vec<&'a str>,
         exit: Exit,
         stdout: &'a str,
-        /// The end of standard error.
+        /// Expected end of standard error.
         stderr: &'a str,
-        /// A part of each request's head.
-        parts: &'a [&'a str],
+        /// Expected part of each request head.
+        head_parts: &'a [&'a str],
     }
     let ran = "coltsfootport-outcome: ran\r\ncoltsfootport-request: ab\r\n";
     let shed = "coltsfootport-outcome: not-run\r\ncoltsfootport-error: shed\r\n\
                 coltsfootport-retry-after-ms: 1\r\n";
-    let shed = raw(503, shed, "");
-    let tokens = raw(200, "", "{\"tokens\":[\"t9\"]}");
+    let shed = raw_answer(503, shed, "");
+    let tokens = raw_answer(200, "", "{\"tokens\":[\"t9\"]}");
     let cut = format!("HTTP/1.1 200 -\r\n{ran}content-length: 10\r\n\r\nhalf");
     let (lots, no_lot, bid) = (
-        raw(200, ran, "lots"),
-        raw(404, ran, "no lot"),
-        raw(200, ran, "bid"),
+        raw_answer(200, ran, "lots"),
+        raw_answer(404, ran, "no lot"),
+        raw_answer(200, ran, "bid"),
     );
     let cases = [
         Case {
@@ -247,7 +251,7 @@
             exit: Exit::Ok,
             stdout: "lots",
             stderr: "outcome=ran attempts=1 status=200 request=ab\n",
-            parts: &["x-a: b\r\n"],
+            head_parts: &["x-a: b\r\n"],
         },
         Case {
             options: "--method DELETE",
@@ -255,7 +259,7 @@
             exit: Exit::RanWithError,
             stdout: "no lot",
             stderr: "outcome=ran attempts=1 status=404 request=ab\n",
-            parts: &["DELETE /bidding/lots?page=2 HTTP/1.1\r\n"],
+            head_parts: &["DELETE /bidding/lots?page=2 HTTP/1.1\r\n"],
         },
         Case {
             options: "--data bid",
@@ -263,7 +267,7 @@
             exit: Exit::NotRun,
             stdout: "",
             stderr: "outcome=not-run attempts=1 status=503 error=shed retry-after-ms=1\n",
-            parts: &["coltsfootport-deadline-ms: "],
+            head_parts: &["coltsfootport-deadline-ms: "],
         },
         Case {
             options: "--method POST --retries 5",
@@ -271,7 +275,7 @@
             exit: Exit::Unknown,
             stdout: "",
             stderr: "outcome=unknown attempts=1\n",
-            parts: &["POST "],
+            head_parts: &["POST "],
         },
         Case {
             options: "--method POST --token auto --retries 2",
@@ -279,7 +283,7 @@
             exit: Exit::Ok,
             stdout: "bid",
             stderr: "outcome=ran attempts=3 status=200 request=ab token=t9 try=3\n",
-            parts: &[
+            head_parts: &[
                 "POST /coltsfootport/tokens?service=bidding&count=1 HTTP/1.1\r\n",
                 "coltsfootport-token: t9\r\ncoltsfootport-try: 1\r\n",
                 "coltsfootport-token: t9\r\ncoltsfootport-try: 2\r\n",
@@ -292,7 +296,7 @@
             exit: Exit::NotRun,
             stdout: "",
             stderr: "outcome=not-run attempts=0 status=503 error=shed retry-after-ms=1\n",
-            parts: &["POST /coltsfootport/tokens"],
+            head_parts: &["POST /coltsfootport/tokens"],
         },
     ];
     for Case {
@@ -301,33 +305,34 @@
         exit,
         stdout,
         stderr,
-        parts,
+        head_parts,
     } in cases
     {
-        let (addr, mut rx) = scripted(answers.into_iter().map(str::to_owned).collect()).await;
+        let (addr, mut rx) =
+            start_scripted_server(answers.into_iter().map(str::to_owned).collect()).await;
         let mut command = Command::new(env!("CARGO_BIN_EXE_coltsfootport"));
         command.arg("call").args(options.split_whitespace());
         command.arg(format!("http://{addr}/bidding/lots?page=2"));
         let run = tokio::task::spawn_blocking(move || command.output().unwrap());
         let output = run.await.unwrap();
-        let told = String::from_utf8(output.stderr).unwrap();
+        let stderr_text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(
             output.status.code(),
             Some(exit.code().into()),
-            "{options}: {told}"
+            "{options}: {stderr_text}"
         );
         assert_eq!(
             String::from_utf8(output.stdout).unwrap(),
             stdout,
             "{options}"
         );
-        assert!(told.ends_with(stderr), "{options}: {told}");
+        assert!(stderr_text.ends_with(stderr), "{options}: {stderr_text}");
         let mut heads = Vec::new();
         while let Ok(head) = rx.try_recv() {
             heads.push(head);
         }
-        assert_eq!(heads.len(), parts.len(), "{options}: {heads:?}");
-        for (head, part) in heads.iter().zip(parts) {
+        assert_eq!(heads.len(), head_parts.len(), "{options}: {heads:?}");
+        for (head, part) in heads.iter().zip(head_parts) {
             assert!(head.contains(part), "{options}: {head} lacks {part}");
         }
     }
