--- a/crates/node/tests/callers_page.rs
+++ b/crates/node/tests/callers_page.rs
@@ -1,4 +1,4 @@
-//! The callers' page says of every error kind and header what the code does.
+//! Checks that `docs/CALLERS.md` and `docs/INTERFACES.md` match the error kinds and headers in the code.
 
 use coltsfootport::http::names;
 use coltsfootport_core::error_kind::ErrorKind;
@@ -6,43 +6,43 @@
 
 const PAGE: &str = include_str!("../../../docs/CALLERS.md");
 const INTERFACES: &str = include_str!("../../../docs/INTERFACES.md");
-const TABLE_HEAD: &str = "| kind | status | outcome | hop may retry | `retry-after` |";
+const TABLE_HEADER: &str = "| kind | status | outcome | hop may retry | `retry-after` |";
 
-/// The columns that the code decides, as the page prints them.
-fn row_of(kind: ErrorKind) -> String {
+/// Returns the table row of an error kind, limited to the columns that the code determines.
+fn expected_row(kind: ErrorKind) -> String {
     let rule = kind.rule();
-    let word = |yes: bool| if yes { "yes" } else { "no" };
+    let yes_no = |value: bool| if value { "yes" } else { "no" };
     format!(
         "| `{}` | {} | `{}` | {} | {} |",
         kind.as_str(),
         rule.status,
         rule.outcome,
-        word(rule.hop_may_retry),
-        word(rule.retry_after),
+        yes_no(rule.hop_may_retry),
+        yes_no(rule.retry_after),
     )
 }
 
-/// The rows of the table of errors, without its head and ruler.
-fn printed_rows() -> Vec<&'static str> {
+/// Returns the rows of the error table, without its header and delimiter row.
+fn documented_rows() -> Vec<&'static str> {
     let table = PAGE
         .lines()
-        .skip_while(|line| !line.starts_with(TABLE_HEAD));
+        .skip_while(|line| !line.starts_with(TABLE_HEADER));
     let rows = table.skip(2).take_while(|line| line.starts_with('|'));
     rows.collect()
 }
 
 #[test]
-fn the_table_of_errors_is_the_code_s_row_by_row() {
-    let printed = printed_rows();
-    assert_eq!(printed.len(), ErrorKind::ALL.len());
-    for (kind, printed) in ErrorKind::ALL.into_iter().zip(printed) {
-        let row = row_of(kind);
-        assert!(printed.starts_with(&row), "{row}\n{printed}");
+fn error_table_matches_the_error_kinds() {
+    let documented = documented_rows();
+    assert_eq!(documented.len(), ErrorKind::ALL.len());
+    for (kind, documented) in ErrorKind::ALL.into_iter().zip(documented) {
+        let row = expected_row(kind);
+        assert!(documented.starts_with(&row), "{row}\n{documented}");
     }
 }
 
 #[test]
-fn every_header_is_in_a_table_of_the_interfaces() {
+fn every_header_is_documented_in_interfaces() {
     let headers: [HeaderName; 11] = [
         names::CONTEXT,
         names::DEADLINE,
--- a/crates/node/tests/operations_page.rs
+++ b/crates/node/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page lists everything that operators can see.
+//! Checks that `docs/OPERATIONS.md` lists all events, exit codes and metrics.
 
 use coltsfootport::exit::Exit;
 use coltsfootport::mesh::MeshMetrics;
@@ -10,7 +10,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// Whether a table of the page has a row whose first column holds the name in backquotes.
+/// Whether any table of the page has a row with the name in backticks in its first column.
 fn has_row(name: &str) -> bool {
     let name = format!("`{name}`");
     let first_columns = PAGE
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn every_event_and_exit_code_is_on_the_page() {
+fn every_event_and_exit_code_is_documented() {
     for kind in EventKind::ALL {
         assert!(has_row(kind.as_str()), "{kind}");
     }
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn every_metric_is_on_the_page() {
+fn every_metric_is_documented() {
     let metrics = Metrics::new().unwrap();
-    // Counters with labels appear with their first count.
+    // Labelled counters are exported only after their first increment.
     metrics
         .calls
         .answered(Listener::Callers, Class::LOWEST, Outcome::Ran, None);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn every_metric_of_a_mesh_node_is_on_the_page() {
+fn every_mesh_metric_is_documented() {
     let metrics = MeshMetrics::new().unwrap();
     metrics.record_answer(503, "shed", std::time::Duration::ZERO);
     metrics.repeat("sent");
