--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -7,21 +7,21 @@
 use coltsfootport::cli::parse_from;
 use coltsfootport::exit::Exit;
 
-fn words(line: &str) -> Vec<&str> {
+fn split_args(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
 
 fn run(line: &str) -> Output {
     let mut process = Process::new(env!("CARGO_BIN_EXE_coltsfootport"));
     process
-        .args(words(line))
+        .args(split_args(line))
         .stdin(Stdio::null())
         .output()
         .unwrap()
 }
 
 #[test]
-fn commands_are_read_with_their_defaults() {
+fn commands_are_parsed_with_defaults() {
     let cases = [
         (
             "node --settings -",
@@ -84,14 +84,14 @@
         ),
     ];
     for (line, expected) in cases {
-        let words = words(line);
-        let command = parse_from(Args::from(words.as_slice())).unwrap();
+        let args = split_args(line);
+        let command = parse_from(Args::from(args.as_slice())).unwrap();
         assert_eq!(format!("{command:?}"), expected, "{line}");
     }
 }
 
 #[test]
-fn wrong_command_lines_are_refused() {
+fn invalid_command_lines_are_rejected() {
     let cases = [
         "",
         "serve",
@@ -114,14 +114,14 @@
         "call http://127.0.0.1:1/a http://127.0.0.1:1/b",
     ];
     for line in cases {
-        let words = words(line);
-        let failure = parse_from(Args::from(words.as_slice())).unwrap_err();
+        let args = split_args(line);
+        let failure = parse_from(Args::from(args.as_slice())).unwrap_err();
         assert!(matches!(failure, ParseFailure::Stderr(_)), "{line}");
     }
 }
 
 #[test]
-fn every_command_explains_its_options() {
+fn help_lists_the_options_of_each_command() {
     let cases: [(&str, &[&str]); 8] = [
         (
             "--help",
@@ -161,25 +161,28 @@
         let help = String::from_utf8(output.stdout).unwrap();
         assert_eq!(output.status.code(), Some(0), "{line}");
         for word in expected {
-            assert!(help.contains(word), "{line} lacks {word}");
+            assert!(
+                help.contains(word),
+                "help of `{line}` does not contain `{word}`"
+            );
         }
     }
 }
 
 #[test]
-fn every_exit_code_is_distinct_and_in_the_help() {
+fn exit_codes_are_distinct_and_listed_in_help() {
     let help = String::from_utf8(run("--help").stdout).unwrap();
     let codes: BTreeSet<_> = Exit::ALL.into_iter().map(Exit::code).collect();
     assert_eq!(codes.len(), Exit::ALL.len());
     for exit in Exit::ALL {
         let line = format!("{}  {}", exit.code(), exit.description());
-        assert!(help.contains(&line), "the help lacks `{line}`");
+        assert!(help.contains(&line), "`--help` does not contain `{line}`");
     }
 }
 
 #[test]
-fn commands_end_with_their_exit_codes() {
-    // Port 1 on the loopback refuses connections.
+fn commands_return_their_exit_codes() {
+    // Connections to port 1 on the loopback interface are refused.
     let cases = [
         ("--version", Exit::Ok),
         ("keys fleet", Exit::Ok),
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -3,17 +3,17 @@
 use std::process::{Command, Output, Stdio};
 
 fn explain(request: &str, files: &[&str]) -> Output {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/explain/");
+    let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/explain/");
     Command::new(env!("CARGO_BIN_EXE_coltsfootport"))
         .args(["explain", "--request", request])
-        .args(files.iter().map(|file| format!("{folder}{file}")))
+        .args(files.iter().map(|file| format!("{dir}{file}")))
         .stdin(Stdio::null())
         .output()
         .expect("run")
 }
 
 #[test]
-fn the_course_of_a_request_is_put_in_order_over_all_logs() {
+fn log_lines_of_a_request_are_merged_in_time_order() {
     let output = explain("9c41", &["entry.log", "host.log"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_request_without_lines_is_told_as_such() {
+fn request_without_log_lines_is_reported() {
     let output = explain("ffff", &["entry.log"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_missing_file_is_a_failure() {
+fn missing_file_is_an_error() {
     let output = explain("ffff", &["missing.log"]);
     assert!(!output.status.success());
 }
--- a/crates/node/tests/keys.rs
+++ b/crates/node/tests/keys.rs
@@ -44,7 +44,8 @@
     Arc::new(roots)
 }
 
-fn serves_as(trusted: &[String], node: &NodeFragment, name: &str) -> bool {
+/// Whether the node's certificate is accepted for a server with the given name.
+fn is_valid_server(trusted: &[String], node: &NodeFragment, name: &str) -> bool {
     let verifier = WebPkiServerVerifier::builder_with_provider(roots(trusted), provider());
     let name = ServerName::try_from(name.to_owned()).unwrap();
     let certificate = certificate(&node.tls.cert_pem);
@@ -54,7 +55,8 @@
         .is_ok()
 }
 
-fn calls_as_fleet(trusted: &[String], node: &NodeFragment) -> bool {
+/// Whether the node's certificate is accepted for a client.
+fn is_valid_client(trusted: &[String], node: &NodeFragment) -> bool {
     let verifier = WebPkiClientVerifier::builder_with_provider(roots(trusted), provider());
     let certificate = certificate(&node.tls.cert_pem);
     let verifier = verifier.build().unwrap();
@@ -63,14 +65,14 @@
         .is_ok()
 }
 
-/// The authority as `keys node` reads it from what `keys ca` printed.
+/// Reads an authority as `keys node` reads the output of `keys ca`.
 fn read_back(fragment: &AuthorityFragment) -> Result<Authority, KeyError> {
     let text = serde_json::to_string(fragment).unwrap();
     Authority::try_from(serde_json::from_str::<AuthorityFragment>(&text).unwrap())
 }
 
 #[test]
-fn a_node_is_known_by_its_name_and_addresses_to_its_own_fleet_only() {
+fn node_certificate_is_valid_only_for_its_names_within_its_fleet() {
     let (fleet, other) = (
         Authority::generate().unwrap(),
         Authority::generate().unwrap(),
@@ -95,7 +97,7 @@
         ];
         for (name, trusted, server, expected) in cases {
             assert_eq!(
-                serves_as(trusted, &node, server),
+                is_valid_server(trusted, &node, server),
                 expected,
                 "{issuer}: {name}"
             );
@@ -106,7 +108,7 @@
             ("foreign", &foreign, false),
         ] {
             assert_eq!(
-                calls_as_fleet(trusted, &node),
+                is_valid_client(trusted, &node),
                 expected,
                 "{issuer}: client of {name}"
             );
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn a_node_s_key_and_certificate_make_a_server() {
+fn node_key_matches_its_certificate() {
     let node = Authority::generate()
         .unwrap()
         .issue("bidding-1", &ips())
@@ -138,11 +140,10 @@
     }
 }
 
-// Symptom: a new node finds no peers; every one of them refuses its certificate.
-// Sequence: the authority's file was put together from two rotations and `keys node` signed with it.
-// Cause: the private key belongs to none of the certificates that the fleet trusts.
+// Guards against issuing certificates that every peer rejects, so that a new node finds no peers. This happens if the
+// authority file mixes two rotations: its private key then matches none of the certificates that the fleet trusts.
 #[test]
-fn a_key_without_its_certificate_signs_nothing() {
+fn authority_key_without_matching_certificate_is_rejected() {
     let (old, new) = (
         Authority::generate().unwrap(),
         Authority::generate().unwrap(),
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_name_that_no_certificate_can_hold_is_refused() {
+fn node_names_that_are_not_dns_names_are_rejected() {
     let authority = Authority::generate().unwrap();
     for name in ["", "bidding 1", "bidding/1", "-a", "señal", "a\n"] {
         assert!(
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_fleet_secret_is_fresh_and_has_the_length_of_the_mac() {
+fn fleet_secrets_are_unique_and_as_long_as_the_mac_output() {
     let (one, two) = (FleetFragment::generate(3), FleetFragment::generate(3));
     assert_ne!(one, two);
     for fragment in [one, two] {
