--- a/crates/node/tests/operators.rs
+++ b/crates/node/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators listener over HTTP, and the commands that ask it, with a stand-in for the node's tasks.
+//! Tests of the operators listener and the commands that query it, with a stub for the node tasks.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader};
@@ -24,27 +24,27 @@
 
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// What the stand-in answers.
-struct State {
+/// State of the stub that answers operator queries.
+struct StubNode {
     name: &'static str,
     ready: bool,
     ring: Ring,
-    /// Records that happen one by one, each after a question for the time line.
-    coming: VecDeque<Record>,
+    /// Records that are added one at a time, each after a timeline query.
+    upcoming: VecDeque<Record>,
     nodes: Vec<SocketAddr>,
 }
 
-impl State {
+impl StubNode {
     fn new(name: &'static str, records: &[(u64, u128)]) -> Self {
         let mut ring = Ring::new(3);
         for (wall_ms, request) in records {
-            ring.push(cancelled(*wall_ms, name, *request));
+            ring.push(cancelled_record(*wall_ms, name, *request));
         }
         Self {
             name,
             ready: true,
             ring,
-            coming: VecDeque::new(),
+            upcoming: VecDeque::new(),
             nodes: Vec::new(),
         }
     }
@@ -55,7 +55,7 @@
             OperatorQuery::Timeline { filter, reply } => {
                 let (records, dropped) = (self.ring.select(filter), self.ring.dropped());
                 drop(reply.send(TimelinePage { records, dropped }));
-                self.coming
+                self.upcoming
                     .pop_front()
                     .into_iter()
                     .for_each(|record| self.ring.push(record));
@@ -103,7 +103,7 @@
     }
 }
 
-fn cancelled(wall_ms: u64, node: &str, request: u128) -> Record {
+fn cancelled_record(wall_ms: u64, node: &str, request: u128) -> Record {
     let at = Stamp {
         wall_ms,
         counter: 0,
@@ -119,13 +119,13 @@
     }
 }
 
-async fn listen() -> (TcpListener, SocketAddr) {
+async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     (listener, addr)
 }
 
-fn start(listener: TcpListener, mut state: State, metrics: Metrics) {
+fn serve_stub(listener: TcpListener, mut state: StubNode, metrics: Metrics) {
     let (tx, mut rx) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     tokio::spawn(async move {
         while let Some(query) = rx.recv().await {
@@ -135,13 +135,13 @@
     tokio::spawn(serve(listener, tx, metrics));
 }
 
-async fn started(state: State) -> SocketAddr {
-    let (listener, addr) = listen().await;
-    start(listener, state, Metrics::new().unwrap());
+async fn start_stub(state: StubNode) -> SocketAddr {
+    let (listener, addr) = bind_listener().await;
+    serve_stub(listener, state, Metrics::new().unwrap());
     addr
 }
 
-async fn ask(addr: SocketAddr, method: &str, path: &str) -> Response<Bytes> {
+async fn request(addr: SocketAddr, method: &str, path: &str) -> Response<Bytes> {
     let req = Request::builder()
         .method(method)
         .uri(path)
@@ -150,11 +150,11 @@
     fetch(addr, req, LIMIT).await.unwrap()
 }
 
-fn text(answer: &Response<Bytes>) -> &str {
+fn body_text(answer: &Response<Bytes>) -> &str {
     std::str::from_utf8(answer.body()).unwrap()
 }
 
-async fn command(line: String) -> Output {
+async fn run_command(line: String) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_coltsfootport"));
     command.args(line.split_whitespace());
     tokio::task::spawn_blocking(move || command.output().unwrap())
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn every_path_answers_its_method_only() {
+async fn each_path_accepts_only_its_method() {
     let (json, lines) = ("application/json", "application/x-ndjson");
     let (plain, html) = ("text/plain; charset=utf-8", "text/html");
     let in_flight = "coltsfootport_in_flight{stage=\"at-target\"} 0\n";
@@ -223,19 +223,19 @@
             "{\"ready\":false,\"phase\":\"leaving\"}",
         ),
     ];
-    let addr = started(State::new("bidding-1", &[(1, 1)])).await;
+    let addr = start_stub(StubNode::new("bidding-1", &[(1, 1)])).await;
     for (method, path, status, kind, part) in cases {
-        let answer = ask(addr, method, path).await;
-        let shown = format!("{method} {path}: {}", text(&answer));
+        let answer = request(addr, method, path).await;
+        let shown = format!("{method} {path}: {}", body_text(&answer));
         assert_eq!(answer.status().as_u16(), status, "{shown}");
         assert_eq!(answer.headers()["content-type"], kind, "{shown}");
-        assert!(text(&answer).contains(part), "{shown}");
+        assert!(body_text(&answer).contains(part), "{shown}");
     }
 }
 
 #[tokio::test]
-async fn the_time_line_is_filtered_and_tells_what_it_dropped() {
-    let addr = started(State::new("a", &[(1, 7), (2, 8), (3, 7), (4, 8)])).await;
+async fn timeline_is_filtered_and_reports_dropped_records() {
+    let addr = start_stub(StubNode::new("a", &[(1, 7), (2, 8), (3, 7), (4, 8)])).await;
     let one = RequestId(7);
     let cases = [
         (String::from("/timeline"), vec![2, 3, 4]),
@@ -245,8 +245,10 @@
         (format!("/timeline?request={one}"), vec![3]),
     ];
     for (path, expected) in cases {
-        let answer = ask(addr, "GET", &path).await;
-        let records = text(&answer).lines().map(serde_json::from_str::<Record>);
+        let answer = request(addr, "GET", &path).await;
+        let records = body_text(&answer)
+            .lines()
+            .map(serde_json::from_str::<Record>);
         let walls: Vec<_> = records.map(|record| record.unwrap().at.wall_ms).collect();
         assert_eq!(walls, expected, "{path}");
         assert_eq!(
@@ -257,21 +259,20 @@
     }
 }
 
-// Symptom: `status` hangs, and each further question makes the node's memory grow.
-// Sequence: the task that owns the state is stuck or gone while operators keep asking.
-// Cause: questions without a bound on their number and time.
+// Guards against `status` hanging and the node's memory growing with each query. This happens if the task that owns the
+// state is stuck or gone and queries have no limit on their number and duration.
 #[tokio::test]
-async fn a_node_that_can_t_answer_says_so() {
-    let (gone, gone_addr) = listen().await;
+async fn unresponsive_node_tasks_are_answered_with_503() {
+    let (gone, gone_addr) = bind_listener().await;
     let (tx, rx) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     drop(rx);
     tokio::spawn(serve(gone, tx, Metrics::new().unwrap()));
-    let (full, full_addr) = listen().await;
+    let (full, full_addr) = bind_listener().await;
     let (tx, _kept) = mpsc::channel(1);
     let (reply, _) = tokio::sync::oneshot::channel();
     tx.try_send(OperatorQuery::Health(reply)).unwrap();
     tokio::spawn(serve(full, tx, Metrics::new().unwrap()));
-    let (stuck, stuck_addr) = listen().await;
+    let (stuck, stuck_addr) = bind_listener().await;
     let (tx, _never_read) = mpsc::channel(QUERY_QUEUE_CAPACITY);
     tokio::spawn(serve(stuck, tx, Metrics::new().unwrap()));
     let paths = ["/status", "/timeline", "/nodes", "/health"];
@@ -282,25 +283,33 @@
     ];
     for (name, addr, paths) in cases {
         for path in paths {
-            assert_eq!(ask(addr, "GET", path).await.status(), 503, "{name} {path}");
+            assert_eq!(
+                request(addr, "GET", path).await.status(),
+                503,
+                "{name} {path}"
+            );
         }
-        assert_eq!(ask(addr, "GET", "/metrics").await.status(), 200, "{name}");
+        assert_eq!(
+            request(addr, "GET", "/metrics").await.status(),
+            200,
+            "{name}"
+        );
     }
 }
 
 #[tokio::test]
-async fn metrics_show_each_invariant_from_the_start() {
-    let (listener, addr) = listen().await;
+async fn metrics_include_every_invariant_from_the_start() {
+    let (listener, addr) = bind_listener().await;
     let metrics = Metrics::new().unwrap();
-    start(listener, State::new("a", &[]), metrics.clone());
+    serve_stub(listener, StubNode::new("a", &[]), metrics.clone());
     for breaches in [0, 1] {
-        let answer = ask(addr, "GET", "/metrics").await;
+        let answer = request(addr, "GET", "/metrics").await;
         for invariant in Invariant::ALL {
             let label = invariant.as_str();
             let line = format!(
                 "coltsfootport_invariant_breaches_total{{invariant=\"{label}\"}} {breaches}\n"
             );
-            assert!(text(&answer).contains(&line), "{line}");
+            assert!(body_text(&answer).contains(&line), "{line}");
             metrics.faults.breached(invariant);
         }
     }
@@ -308,11 +317,11 @@
 
 #[tokio::test]
 async fn timeline_merges_all_nodes_and_filters_by_request() {
-    let second = started(State::new("b", &[(2, 7), (4, 8)])).await;
-    let (listener, first) = listen().await;
-    let mut state = State::new("a", &[(1, 7), (3, 8), (4, 7)]);
+    let second = start_stub(StubNode::new("b", &[(2, 7), (4, 8)])).await;
+    let (listener, first) = bind_listener().await;
+    let mut state = StubNode::new("a", &[(1, 7), (3, 8), (4, 7)]);
     state.nodes = vec![first, second];
-    start(listener, state, Metrics::new().unwrap());
+    serve_stub(listener, state, Metrics::new().unwrap());
     let one = RequestId(7);
     let (both, all) = (
         format!("{first} --operators {second}"),
@@ -330,7 +339,7 @@
         (format!("{first} --kind shed"), vec![]),
     ];
     for (options, expected) in cases {
-        let output = command(format!("timeline --json --operators {options}")).await;
+        let output = run_command(format!("timeline --json --operators {options}")).await;
         let lines = String::from_utf8(output.stdout).unwrap();
         let records = lines
             .lines()
@@ -343,14 +352,15 @@
     }
 }
 
-// Symptom: `timeline --follow` leaves out events, or shows them again and again.
-// Sequence: a node's ring turns over while an operator follows it.
-// Cause: questions that don't go on from the last record that was shown.
+// Guards against `timeline --follow` skipping or repeating events. This happens if a node's ring buffer wraps around
+// while it is followed and queries don't continue from the last record shown.
 #[tokio::test]
 async fn follow_shows_each_event_once() {
-    let mut state = State::new("a", &[(1, 7), (2, 7)]);
-    state.coming = (3..=6).map(|wall_ms| cancelled(wall_ms, "a", 7)).collect();
-    let addr = started(state).await;
+    let mut state = StubNode::new("a", &[(1, 7), (2, 7)]);
+    state.upcoming = (3..=6)
+        .map(|wall_ms| cancelled_record(wall_ms, "a", 7))
+        .collect();
+    let addr = start_stub(state).await;
     let mut command = Command::new(env!("CARGO_BIN_EXE_coltsfootport"));
     command.args([
         "timeline",
@@ -375,22 +385,21 @@
     assert_eq!(walls, [1, 2, 3, 4, 5, 6]);
 }
 
-// Symptom: an operator sees a fleet without fault while one node is out of reach.
-// Sequence: `status` and `timeline` ask several nodes, one of which refuses connections.
-// Cause: commands that leave out what they can't reach without saying so.
+// Guards against a fleet that looks healthy while one node is unreachable. This happens if `status` and `timeline`
+// query several nodes and silently skip one that refuses connections.
 #[tokio::test]
-async fn what_can_be_reached_is_shown_and_the_rest_is_told() {
-    let (closed, refused) = listen().await;
+async fn reachable_nodes_are_shown_and_unreachable_ones_reported() {
+    let (closed, refused) = bind_listener().await;
     drop(closed);
-    let (listener, addr) = listen().await;
-    let mut state = State::new("a", &[(1, 7)]);
+    let (listener, addr) = bind_listener().await;
+    let mut state = StubNode::new("a", &[(1, 7)]);
     state.nodes = vec![addr, refused];
-    start(listener, state, Metrics::new().unwrap());
+    serve_stub(listener, state, Metrics::new().unwrap());
     for line in [
         format!("status --operators {addr} --all"),
         format!("timeline --operators {addr} --operators {refused}"),
     ] {
-        let output = command(line.clone()).await;
+        let output = run_command(line.clone()).await;
         assert_eq!(output.status.code(), Some(4), "{line}");
         assert!(!output.stdout.is_empty(), "{line}");
         let faults = String::from_utf8(output.stderr).unwrap();
@@ -399,9 +408,9 @@
 }
 
 #[tokio::test]
-async fn status_shows_rows_and_remarks_without_control_characters() {
-    let addr = started(State::new("bidding-1", &[])).await;
-    let table = command(format!("status --operators {addr}")).await;
+async fn status_shows_rows_and_problems_without_control_characters() {
+    let addr = start_stub(StubNode::new("bidding-1", &[])).await;
+    let table = run_command(format!("status --operators {addr}")).await;
     let table = String::from_utf8(table.stdout).unwrap();
     let expected = [
         "NODE       SERVICE  DOMAIN  PHASE    DOCS  PLATFORM   PEERS  MODE    LIMIT  RUNNING  QUEUED",
@@ -414,7 +423,7 @@
         assert!(table.contains(part), "{part}\n{table}");
     }
     assert!(!table.contains('\u{1b}'));
-    let json = command(format!("status --json --operators {addr}")).await;
+    let json = run_command(format!("status --json --operators {addr}")).await;
     let report: Value = serde_json::from_slice(&json.stdout).unwrap();
     assert_eq!(report["documents"][0]["in_force"], 8);
 }
