--- a/crates/node/src/commands/call/policy.rs
+++ b/crates/node/src/commands/call/policy.rs
@@ -168,6 +168,8 @@
 
     /// Returns the delay requested by the answer, or an exponential backoff. Both are extended by random jitter so that
     /// callers whose attempts failed at the same time don't retry at the same time.
+    ///
+    /// There is no delay if the request did not run and the answer carries a replacement token.
     fn backoff(&mut self, result: &AttemptResult, jitter: f64) -> Duration {
         if let AttemptResult::Answered(answer) = result {
             if let Some(requested) = answer.retry_after {
