--- a/crates/rig/src/proxy.rs
+++ b/crates/rig/src/proxy.rs
@@ -36,7 +36,7 @@
     pub async fn start(plan: Plan) -> Result<Self, RigError> {
         let links = Links::open(plan.links).await?;
         let control = match plan.control {
-            Some(addr) => Some(control::start(http::bind(addr).await?, links.remote())?),
+            Some(addr) => Some(control::start(http::bind(addr).await?, links.controller())?),
             None => None,
         };
         Ok(Self { links, control })
@@ -44,7 +44,10 @@
 
     /// The address that a link listens on.
     pub fn addr(&self, link: &str) -> Option<SocketAddr> {
-        self.links.remote().state(link).map(|state| state.listen)
+        self.links
+            .controller()
+            .state(link)
+            .map(|state| state.listen)
     }
 
     /// The control address.
@@ -54,11 +57,11 @@
 
     /// Sets the faults of every link whose name matches: a whole name, or a prefix before `*`. Returns how many do.
     pub fn set(&self, pattern: &str, faults: &LinkFaults) -> usize {
-        self.links.remote().set(pattern, faults)
+        self.links.controller().set(pattern, faults)
     }
 
     /// Every link with its faults and counts.
     pub fn states(&self) -> Vec<LinkState> {
-        self.links.remote().states()
+        self.links.controller().states()
     }
 }
--- a/crates/rig/src/proxy/control.rs
+++ b/crates/rig/src/proxy/control.rs
@@ -7,36 +7,36 @@
 use tokio::net::TcpListener;
 
 use crate::http::{Answer, Server, empty, json, read_body, text};
-use crate::proxy::links::Remote;
+use crate::proxy::links::LinkController;
 
 /// Largest body of a control call in bytes.
 const BODY_LIMIT: usize = 64 << 10;
 
 /// Serves the control interface.
-pub fn start(listener: TcpListener, remote: Remote) -> io::Result<Server> {
+pub fn start(listener: TcpListener, controller: LinkController) -> io::Result<Server> {
     Server::start(listener, move |req| {
-        let remote = remote.clone();
-        async move { handle(remote, req).await.into() }
+        let controller = controller.clone();
+        async move { handle(controller, req).await.into() }
     })
 }
 
-async fn handle(remote: Remote, req: Request<Incoming>) -> Answer {
+async fn handle(controller: LinkController, req: Request<Incoming>) -> Answer {
     let path = req.uri().path().to_owned();
     match (req.method(), path.strip_prefix("/links")) {
-        (&Method::GET, Some("")) => json(StatusCode::OK, &remote.states()),
+        (&Method::GET, Some("")) => json(StatusCode::OK, &controller.states()),
         (&Method::PUT, Some(name)) => match name.strip_prefix('/') {
-            Some(name) => patch(remote, name, req).await,
+            Some(name) => patch(controller, name, req).await,
             None => empty(StatusCode::NOT_FOUND),
         },
         _ => empty(StatusCode::NOT_FOUND),
     }
 }
 
-async fn patch(remote: Remote, pattern: &str, req: Request<Incoming>) -> Answer {
+async fn patch(controller: LinkController, pattern: &str, req: Request<Incoming>) -> Answer {
     let Some(body) = read_body(req.into_body(), BODY_LIMIT).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    match remote.patch(pattern, &body) {
+    match controller.patch(pattern, &body) {
         Ok(changed) if changed.is_empty() => empty(StatusCode::NOT_FOUND),
         Ok(changed) => json(StatusCode::OK, &changed),
         Err(e) => text(StatusCode::BAD_REQUEST, &e.to_string()),
--- a/crates/rig/src/proxy/links.rs
+++ b/crates/rig/src/proxy/links.rs
@@ -1,4 +1,4 @@
-//! The links of a proxy and the remote control of them.
+//! The links of a proxy and the controller that changes their faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,18 +44,18 @@
 /// Running links; they end when this is dropped.
 #[derive(Debug)]
 pub struct Links {
-    remote: Remote,
+    controller: LinkController,
     _tasks: JoinSet<()>,
 }
 
-/// Remote control of running links.
+/// Reads the state of running links and changes their faults.
 #[derive(Clone, Debug)]
-pub struct Remote {
-    entries: Arc<Vec<RemoteEntry>>,
+pub struct LinkController {
+    handles: Arc<Vec<LinkHandle>>,
 }
 
 #[derive(Debug)]
-struct RemoteEntry {
+struct LinkHandle {
     name: SmolStr,
     listen: SocketAddr,
     faults: watch::Sender<LinkFaults>,
@@ -65,75 +65,75 @@
 impl Links {
     /// Binds every link before any of them passes something on.
     pub async fn open(plans: Vec<LinkPlan>) -> Result<Self, RigError> {
-        let mut entries: Vec<RemoteEntry> = Vec::with_capacity(plans.len());
+        let mut handles: Vec<LinkHandle> = Vec::with_capacity(plans.len());
         let mut tasks = JoinSet::new();
         for plan in plans {
             plan.faults.check()?;
-            if entries.iter().any(|entry| entry.name == plan.name) {
+            if handles.iter().any(|handle| handle.name == plan.name) {
                 return Err(RigError::Settings(format!(
                     "two links are named {}",
                     plan.name
                 )));
             }
-            entries.push(open(plan, &mut tasks).await?);
+            handles.push(open(plan, &mut tasks).await?);
         }
         Ok(Self {
-            remote: Remote {
-                entries: Arc::new(entries),
+            controller: LinkController {
+                handles: Arc::new(handles),
             },
             _tasks: tasks,
         })
     }
 
-    /// Remote control.
-    pub fn remote(&self) -> Remote {
-        self.remote.clone()
+    /// Returns a controller for the links.
+    pub fn controller(&self) -> LinkController {
+        self.controller.clone()
     }
 }
 
-impl Remote {
+impl LinkController {
     /// One link.
     pub fn state(&self, name: &str) -> Option<LinkState> {
-        self.entries
+        self.handles
             .iter()
-            .find(|entry| entry.name == name)
-            .map(RemoteEntry::state)
+            .find(|handle| handle.name == name)
+            .map(LinkHandle::state)
     }
 
     /// Every link.
     pub fn states(&self) -> Vec<LinkState> {
-        self.entries.iter().map(RemoteEntry::state).collect()
+        self.handles.iter().map(LinkHandle::state).collect()
     }
 
     /// Sets the faults of every link whose name matches; returns how many do.
     pub fn set(&self, pattern: &str, faults: &LinkFaults) -> usize {
         let matching = self.matching(pattern);
-        let changed = matching.map(|entry| entry.faults.send_replace(faults.clone()));
+        let changed = matching.map(|handle| handle.faults.send_replace(faults.clone()));
         changed.count()
     }
 
     /// Changes some fields of the faults of every link whose name matches; returns the changed links.
     pub fn patch(&self, pattern: &str, patch: &[u8]) -> Result<Vec<LinkState>, RigError> {
         let mut changed = Vec::new();
-        for entry in self.matching(pattern) {
-            let faults = entry.faults.borrow().patched(patch)?;
-            entry.faults.send_replace(faults);
-            changed.push(entry.state());
+        for handle in self.matching(pattern) {
+            let faults = handle.faults.borrow().patched(patch)?;
+            handle.faults.send_replace(faults);
+            changed.push(handle.state());
         }
         Ok(changed)
     }
 
-    fn matching<'a>(&'a self, pattern: &'a str) -> impl Iterator<Item = &'a RemoteEntry> {
-        self.entries
+    fn matching<'a>(&'a self, pattern: &'a str) -> impl Iterator<Item = &'a LinkHandle> {
+        self.handles
             .iter()
-            .filter(move |entry| match pattern.strip_suffix('*') {
-                Some(prefix) => entry.name.starts_with(prefix),
-                None => entry.name == pattern,
+            .filter(move |handle| match pattern.strip_suffix('*') {
+                Some(prefix) => handle.name.starts_with(prefix),
+                None => handle.name == pattern,
             })
     }
 }
 
-impl RemoteEntry {
+impl LinkHandle {
     fn state(&self) -> LinkState {
         LinkState {
             name: self.name.clone(),
@@ -144,7 +144,7 @@
     }
 }
 
-async fn open(plan: LinkPlan, tasks: &mut JoinSet<()>) -> Result<RemoteEntry, RigError> {
+async fn open(plan: LinkPlan, tasks: &mut JoinSet<()>) -> Result<LinkHandle, RigError> {
     let (faults, faults_rx) = watch::channel(plan.faults);
     let counters = Arc::new(LinkCounters::default());
     let link = Link {
@@ -168,7 +168,7 @@
             listen
         }
     };
-    Ok(RemoteEntry {
+    Ok(LinkHandle {
         name: plan.name,
         listen,
         faults,
