--- a/crates/rig/src/proxy/faults.rs
+++ b/crates/rig/src/proxy/faults.rs
@@ -116,12 +116,12 @@
     }
 
     /// Whether connections are closed.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         self.forward.cut == Cut::Close || self.backward.cut == Cut::Close
     }
 
     /// Whether a handshake, which needs both directions, can't pass.
-    pub fn holds_handshake(&self) -> bool {
+    pub fn blocks_handshake(&self) -> bool {
         self.forward.cut == Cut::Blackhole || self.backward.cut == Cut::Blackhole
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// These faults with the fields of a JSON object, such as `{"forward": {"cut": "close"}}`, in place of their own.
-    pub fn patched(&self, patch: &[u8]) -> Result<Self, RigError> {
+    pub fn with_patch(&self, patch: &[u8]) -> Result<Self, RigError> {
         let mut fields = serde_json::to_value(self)?;
         merge(&mut fields, serde_json::from_slice(patch)?);
         let faults: Self = serde_json::from_value(fields)?;
--- a/crates/rig/src/proxy/links.rs
+++ b/crates/rig/src/proxy/links.rs
@@ -116,7 +116,7 @@
     pub fn patch(&self, pattern: &str, patch: &[u8]) -> Result<Vec<LinkState>, RigError> {
         let mut changed = Vec::new();
         for handle in self.matching(pattern) {
-            let faults = handle.faults.borrow().patched(patch)?;
+            let faults = handle.faults.borrow().with_patch(patch)?;
             handle.faults.send_replace(faults);
             changed.push(handle.state());
         }
--- a/crates/rig/src/proxy/tcp.rs
+++ b/crates/rig/src/proxy/tcp.rs
@@ -91,7 +91,7 @@
     tokio::select! {
         // Looked at first, so that a link which is cut from the start never connects to the far end.
         biased;
-        _ = faults.wait_for(LinkFaults::closes) => {}
+        _ = faults.wait_for(LinkFaults::closes_connections) => {}
         // A fault of either stream ends both; the ends see a closed connection.
         passed = pass(near, &link, number) => {
             if passed.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
@@ -104,7 +104,7 @@
 async fn pass(near: TcpStream, link: &Link, number: u64) -> io::Result<()> {
     // The system has already accepted for us, but nothing may reach the far end while the handshake couldn't.
     let mut faults = link.faults.clone();
-    let _ = faults.wait_for(|faults| !faults.holds_handshake()).await;
+    let _ = faults.wait_for(|faults| !faults.blocks_handshake()).await;
     let far = TcpStream::connect(link.to).await?;
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
