--- a/crates/rig/src/proxy.rs
+++ b/crates/rig/src/proxy.rs
@@ -24,7 +24,7 @@
 pub use self::plan::{LinkPlan, Plan, Protocol};
 pub use self::schedule::Schedule;
 
-/// A running proxy; dropping it ends its links and closes their connections.
+/// A running proxy. Dropping it stops its links and closes their connections.
 #[derive(Debug)]
 pub struct Proxy {
     links: Links,
@@ -32,7 +32,7 @@
 }
 
 impl Proxy {
-    /// Opens every link of the plan, and the control address where the plan names one.
+    /// Opens every link in the plan and, if the plan sets a control address, the control interface.
     pub async fn start(plan: Plan) -> Result<Self, RigError> {
         let links = Links::open(plan.links).await?;
         let control = match plan.control {
@@ -42,7 +42,7 @@
         Ok(Self { links, control })
     }
 
-    /// The address that a link listens on.
+    /// Returns the listen address of a link.
     pub fn addr(&self, link: &str) -> Option<SocketAddr> {
         self.links
             .controller()
@@ -50,17 +50,18 @@
             .map(|state| state.listen)
     }
 
-    /// The control address.
+    /// Returns the address of the control interface, if one is configured.
     pub fn control_addr(&self) -> Option<SocketAddr> {
         self.control.as_ref().map(Server::addr)
     }
 
-    /// Sets the faults of every link whose name matches: a whole name, or a prefix before `*`. Returns how many do.
+    /// Replaces the faults of every link whose name matches `pattern`, which is either a full name or a prefix followed
+    /// by `*`. Returns the number of matching links.
     pub fn set(&self, pattern: &str, faults: &LinkFaults) -> usize {
         self.links.controller().set(pattern, faults)
     }
 
-    /// Every link with its faults and counts.
+    /// Returns the faults and counts of every link.
     pub fn states(&self) -> Vec<LinkState> {
         self.links.controller().states()
     }
