--- a/crates/rig/src/proxy/control.rs
+++ b/crates/rig/src/proxy/control.rs
@@ -1,4 +1,4 @@
-//! Control of a proxy by HTTP: `GET /links`, `PUT /links/{name}`.
+//! HTTP control interface of the proxy: `GET /links` and `PUT /links/{name}`.
 
 use std::io;
 
@@ -9,10 +9,10 @@
 use crate::http::{Answer, Server, empty, json, read_body, text};
 use crate::proxy::links::LinkController;
 
-/// Largest body of a control call in bytes.
-const BODY_LIMIT: usize = 64 << 10;
+/// Maximum body size of a control request, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Serves the control interface.
+/// Serves the control interface on `listener`.
 pub fn start(listener: TcpListener, controller: LinkController) -> io::Result<Server> {
     Server::start(listener, move |req| {
         let controller = controller.clone();
@@ -33,7 +33,7 @@
 }
 
 async fn patch(controller: LinkController, pattern: &str, req: Request<Incoming>) -> Answer {
-    let Some(body) = read_body(req.into_body(), BODY_LIMIT).await else {
+    let Some(body) = read_body(req.into_body(), MAX_BODY_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     match controller.patch(pattern, &body) {
