--- a/crates/rig/src/proxy/counters.rs
+++ b/crates/rig/src/proxy/counters.rs
@@ -1,32 +1,32 @@
-//! What passed a link.
+//! Traffic counters of a link.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of one direction.
+/// Snapshot of the traffic counters of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectionCounts {
-    /// Bytes passed on.
+    /// Bytes forwarded.
     pub bytes: u64,
-    /// Datagrams, or pieces of a TCP stream, passed on.
+    /// Datagrams, or chunks of a TCP stream, forwarded.
     pub passed: u64,
-    /// Datagrams lost on purpose or for lack of room.
+    /// Datagrams dropped by an injected fault or because a queue or the session table was full.
     pub lost: u64,
 }
 
-/// Counts of a link.
+/// Snapshot of the traffic counters of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkCounts {
-    /// TCP connections accepted, or UDP senders seen.
+    /// TCP connections accepted, or UDP sessions opened.
     pub connections: u64,
     /// From the listening side to the target address.
     pub forward: DirectionCounts,
-    /// Back.
+    /// From the target address back to the listening side.
     pub backward: DirectionCounts,
 }
 
-/// Counters of one direction, raised by its tasks.
+/// Traffic counters of one direction, updated by the tasks of the link.
 #[derive(Debug, Default)]
 pub struct DirectionCounters {
     bytes: AtomicU64,
@@ -35,13 +35,13 @@
 }
 
 impl DirectionCounters {
-    /// A piece was passed on.
+    /// Counts a forwarded chunk or datagram of `bytes` bytes.
     pub fn add_passed(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.passed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A datagram was lost.
+    /// Counts a dropped datagram.
     pub fn add_lost(&self) {
         self.lost.fetch_add(1, Ordering::Relaxed);
     }
@@ -55,23 +55,23 @@
     }
 }
 
-/// Counters of a link.
+/// Traffic counters of a link, shared by its tasks.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
     connections: AtomicU64,
     /// From the listening side to the target address.
     pub forward: DirectionCounters,
-    /// Back.
+    /// From the target address back to the listening side.
     pub backward: DirectionCounters,
 }
 
 impl LinkCounters {
-    /// A connection was accepted; returns its number, from 0.
+    /// Counts a new connection or session and returns its index, starting at 0.
     pub fn add_connection(&self) -> u64 {
         self.connections.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The counts so far.
+    /// Returns a snapshot of the counters.
     pub fn counts(&self) -> LinkCounts {
         LinkCounts {
             connections: self.connections.load(Ordering::Relaxed),
