--- a/crates/rig/src/proxy/direction.rs
+++ b/crates/rig/src/proxy/direction.rs
@@ -1,21 +1,21 @@
-//! The two directions of a link, so that one code serves both.
+//! Selects the faults, counters and seed of one direction, so that both directions share one implementation.
 
 use std::net::SocketAddr;
 
 use crate::proxy::counters::{DirectionCounters, LinkCounters};
 use crate::proxy::{DirectionFaults, LinkFaults};
 
-/// A direction of a link.
+/// Direction of traffic on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the listening side to the target address.
     Forward,
-    /// Back.
+    /// From the target address back to the listening side.
     Backward,
 }
 
 impl Direction {
-    /// This direction's faults.
+    /// Returns the faults of this direction.
     pub fn faults(self, faults: &LinkFaults) -> DirectionFaults {
         match self {
             Self::Forward => faults.forward,
@@ -23,8 +23,8 @@
         }
     }
 
-    /// This direction's faults between one sender and the target address.
-    pub fn faults_of(self, faults: &LinkFaults, sender: SocketAddr) -> DirectionFaults {
+    /// Returns the faults of this direction for one sender, or those of the link if the sender has none of its own.
+    pub fn faults_for_sender(self, faults: &LinkFaults, sender: SocketAddr) -> DirectionFaults {
         match (
             self,
             faults.senders.iter().find(|faults| faults.sender == sender),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// This direction's counters.
+    /// Returns the counters of this direction.
     pub fn counters(self, counters: &LinkCounters) -> &DirectionCounters {
         match self {
             Self::Forward => &counters.forward,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A seed of its own for each connection and direction.
+    /// Derives a distinct seed for each connection and direction.
     pub fn seed(self, link_seed: u64, connection: u64) -> u64 {
         let direction = match self {
             Self::Forward => 0,
