--- a/crates/rig/src/proxy/faults.rs
+++ b/crates/rig/src/proxy/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a link.
+//! Faults that can be injected into a link.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,17 @@
 
 use crate::error::RigError;
 
-/// Whether a direction passes anything at all.
+/// Whether and how a direction is interrupted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cut {
-    /// It does.
+    /// Traffic passes.
     #[default]
     None,
-    /// TCP: open connections are closed, new ones closed on arrival. UDP: datagrams are lost.
+    /// TCP: open connections are closed and new ones are closed when accepted. UDP: datagrams are dropped.
     Close,
-    /// TCP: bytes and closes are held back until the cut ends, as by retransmission. UDP: datagrams are lost.
+    /// TCP: bytes and closes are held back until the cut ends and then delivered, as TCP retransmission would do. UDP:
+    /// datagrams are dropped.
     Blackhole,
 }
 
@@ -27,24 +28,24 @@
 pub struct DirectionFaults {
     /// One-way latency in milliseconds.
     pub latency_ms: f64,
-    /// Further latency in milliseconds, drawn evenly from 0 to this; keeps the order.
+    /// Upper bound of additional latency in milliseconds, drawn uniformly from zero to this value. Preserves the order.
     pub jitter_ms: f64,
-    /// Whether anything passes.
+    /// Whether and how the direction is interrupted.
     pub cut: Cut,
     /// TCP: each connection is closed after this many bytes in this direction.
     pub truncate_bytes: Option<u64>,
-    /// UDP: share of datagrams that are lost.
+    /// UDP: fraction of datagrams that are dropped.
     pub loss: f64,
-    /// UDP: share of datagrams that are sent twice.
+    /// UDP: fraction of datagrams that are sent twice.
     pub duplicate: f64,
-    /// UDP: share of datagrams that are overtaken by later ones.
+    /// UDP: fraction of datagrams that are delayed so that later ones can overtake them.
     pub reorder: f64,
-    /// UDP: further latency in milliseconds of a reordered datagram.
+    /// UDP: additional latency of a reordered datagram, in milliseconds.
     pub reorder_ms: f64,
 }
 
 impl DirectionFaults {
-    /// Nothing but latency.
+    /// Creates faults that only add latency.
     pub fn latency(latency: Duration) -> Self {
         Self {
             latency_ms: latency.as_secs_f64() * 1000.0,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Nothing but a cut.
+    /// Creates faults that only interrupt the direction.
     pub fn cut(cut: Cut) -> Self {
         Self {
             cut,
@@ -62,7 +63,7 @@
 
     fn check(&self) -> Result<(), RigError> {
         let times = [self.latency_ms, self.jitter_ms, self.reorder_ms];
-        if times.iter().any(|ms| !(0.0..=MAX_MS).contains(ms)) {
+        if times.iter().any(|ms| !(0.0..=MAX_LATENCY_MS).contains(ms)) {
             return Err(RigError::Settings(
                 "latencies are from 0 to 600000 ms".into(),
             ));
@@ -75,8 +76,8 @@
     }
 }
 
-/// Longest latency.
-const MAX_MS: f64 = 600_000.0;
+/// Upper bound of each configured latency, in milliseconds.
+const MAX_LATENCY_MS: f64 = 600_000.0;
 
 /// Faults of both directions of a link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -84,10 +85,10 @@
 pub struct LinkFaults {
     /// From the listening side to the target address.
     pub forward: DirectionFaults,
-    /// Back.
+    /// From the target address back to the listening side.
     pub backward: DirectionFaults,
-    /// UDP: faults of single senders, in place of the above. By these a link can take part in a partition in which it is
-    /// cut off from some of its senders only.
+    /// UDP: faults of individual senders, which replace those of the link. They model a partition that cuts the link off
+    /// from only some of its senders.
     pub senders: Vec<SenderFaults>,
 }
 
@@ -95,18 +96,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SenderFaults {
-    /// The address that the sender's datagrams come from.
+    /// Source address of the sender's datagrams.
     pub sender: SocketAddr,
     /// From the sender to the target address.
     #[serde(default)]
     pub forward: DirectionFaults,
-    /// Back.
+    /// From the target address back to the sender.
     #[serde(default)]
     pub backward: DirectionFaults,
 }
 
 impl LinkFaults {
-    /// The same faults in both directions.
+    /// Creates the same faults for both directions.
     pub fn both(faults: DirectionFaults) -> Self {
         Self {
             forward: faults,
@@ -115,27 +116,29 @@
         }
     }
 
-    /// Whether connections are closed.
+    /// Whether a direction is cut by [`Cut::Close`], which closes the whole connection.
     pub fn closes_connections(&self) -> bool {
         self.forward.cut == Cut::Close || self.backward.cut == Cut::Close
     }
 
-    /// Whether a handshake, which needs both directions, can't pass.
+    /// Whether a blackhole in either direction prevents a handshake, which needs both.
     pub fn blocks_handshake(&self) -> bool {
         self.forward.cut == Cut::Blackhole || self.backward.cut == Cut::Blackhole
     }
 
-    /// Refuses values that can't be acted on.
+    /// Rejects latencies and fractions that are out of range.
     pub fn check(&self) -> Result<(), RigError> {
-        let of_senders = self
+        let sender_faults = self
             .senders
             .iter()
             .flat_map(|faults| [faults.forward, faults.backward]);
-        let mut all = [self.forward, self.backward].into_iter().chain(of_senders);
+        let mut all = [self.forward, self.backward]
+            .into_iter()
+            .chain(sender_faults);
         all.try_for_each(|faults| faults.check())
     }
 
-    /// These faults with the fields of a JSON object, such as `{"forward": {"cut": "close"}}`, in place of their own.
+    /// Returns a copy with the fields of a JSON object, such as `{"forward": {"cut": "close"}}`, replaced.
     pub fn with_patch(&self, patch: &[u8]) -> Result<Self, RigError> {
         let mut fields = serde_json::to_value(self)?;
         merge(&mut fields, serde_json::from_slice(patch)?);
@@ -145,6 +148,7 @@
     }
 }
 
+/// Merges `patch` into `into`. Nested objects are merged; any other value is replaced.
 fn merge(into: &mut Value, patch: Value) {
     match (into, patch) {
         (Value::Object(into), Value::Object(patch)) => {
