--- a/crates/rig/src/proxy/links.rs
+++ b/crates/rig/src/proxy/links.rs
@@ -13,35 +13,35 @@
 use crate::proxy::counters::LinkCounters;
 use crate::proxy::{LinkCounts, LinkFaults, LinkPlan, Protocol, tcp, udp};
 
-/// What the tasks of a link share.
+/// State shared by the tasks of a link.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Address to pass on to.
+    /// Address to forward to.
     pub to: SocketAddr,
-    /// Seed of the link's draws.
+    /// Seed of the link's random number generators.
     pub seed: u64,
     /// See [`LinkPlan::mirrors_refusal`].
     pub mirrors_refusal: bool,
     /// Current faults.
     pub faults: watch::Receiver<LinkFaults>,
-    /// What passed.
+    /// Traffic counters.
     pub counters: Arc<LinkCounters>,
 }
 
-/// A link as seen from outside.
+/// Snapshot of a link, as reported by the control interface.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkState {
-    /// Name.
+    /// Name of the link.
     pub name: SmolStr,
-    /// The address that it listens on.
+    /// Listen address.
     pub listen: SocketAddr,
     /// Current faults.
     pub faults: LinkFaults,
-    /// What passed.
+    /// Traffic counts.
     pub counts: LinkCounts,
 }
 
-/// Running links; they end when this is dropped.
+/// Running links. Dropping this stops them.
 #[derive(Debug)]
 pub struct Links {
     controller: LinkController,
@@ -63,7 +63,7 @@
 }
 
 impl Links {
-    /// Binds every link before any of them passes something on.
+    /// Validates, binds and starts the links in order; fails on the first link that is invalid or cannot be bound.
     pub async fn open(plans: Vec<LinkPlan>) -> Result<Self, RigError> {
         let mut handles: Vec<LinkHandle> = Vec::with_capacity(plans.len());
         let mut tasks = JoinSet::new();
@@ -92,7 +92,7 @@
 }
 
 impl LinkController {
-    /// One link.
+    /// Returns the state of the link called `name`.
     pub fn state(&self, name: &str) -> Option<LinkState> {
         self.handles
             .iter()
@@ -100,19 +100,19 @@
             .map(LinkHandle::state)
     }
 
-    /// Every link.
+    /// Returns the state of every link.
     pub fn states(&self) -> Vec<LinkState> {
         self.handles.iter().map(LinkHandle::state).collect()
     }
 
-    /// Sets the faults of every link whose name matches; returns how many do.
+    /// Replaces the faults of every link whose name matches; returns the number of matching links.
     pub fn set(&self, pattern: &str, faults: &LinkFaults) -> usize {
         let matching = self.matching(pattern);
         let changed = matching.map(|handle| handle.faults.send_replace(faults.clone()));
         changed.count()
     }
 
-    /// Changes some fields of the faults of every link whose name matches; returns the changed links.
+    /// Merges a JSON object into the faults of every link whose name matches; returns the changed links.
     pub fn patch(&self, pattern: &str, patch: &[u8]) -> Result<Vec<LinkState>, RigError> {
         let mut changed = Vec::new();
         for handle in self.matching(pattern) {
