--- a/crates/rig/src/proxy/pacer.rs
+++ b/crates/rig/src/proxy/pacer.rs
@@ -1,4 +1,4 @@
-//! When a piece is due that must keep its place in the order.
+//! Computes the due times of chunks and datagrams that must stay in order.
 
 use std::time::{Duration, Instant};
 
@@ -6,14 +6,14 @@
 
 use crate::proxy::DirectionFaults;
 
-/// Due times with latency and jitter that never go back.
+/// Adds latency and jitter to arrival times and keeps the resulting due times monotonic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
     last: Option<Instant>,
 }
 
 impl Pacer {
-    /// When a piece that arrived at `now` is due.
+    /// Returns the due time of a chunk or datagram that arrived at `now`.
     pub fn due<R>(&mut self, now: Instant, faults: &DirectionFaults, rng: &mut R) -> Instant
     where
         R: Rng,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A duration of fractional milliseconds.
+/// Converts fractional milliseconds to a duration.
 pub fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1000.0)
 }
