--- a/crates/rig/src/proxy/plan.rs
+++ b/crates/rig/src/proxy/plan.rs
@@ -1,4 +1,4 @@
-//! The links of a proxy.
+//! Configuration of a proxy and its links.
 
 use std::net::SocketAddr;
 
@@ -7,52 +7,53 @@
 
 use crate::proxy::LinkFaults;
 
-/// What a link carries.
+/// Transport protocol of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Protocol {
-    /// Connections.
+    /// TCP connections.
     Tcp,
-    /// Datagrams, such as QUIC.
+    /// UDP datagrams, such as those of QUIC.
     Udp,
 }
 
-/// Everything that a proxy process does.
+/// Configuration of a proxy process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Address of the control interface; none where missing.
+    /// Address of the control interface, which is disabled if this is not set.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// The links.
+    /// Links to open.
     pub links: Vec<LinkPlan>,
 }
 
-/// One link.
+/// Configuration of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkPlan {
-    /// Name, unique in the plan.
+    /// Name, unique within the plan.
     pub name: SmolStr,
-    /// What it carries.
+    /// Transport protocol.
     pub protocol: Protocol,
-    /// Address to listen on; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Address to pass on to.
+    /// Address to forward to.
     pub to: SocketAddr,
-    /// Faults from the start.
+    /// Initial faults.
     #[serde(default)]
     pub faults: LinkFaults,
-    /// Seed of jitter, loss, reordering and duplicates.
+    /// Seed of the random jitter, loss, reordering and duplication.
     #[serde(default)]
     pub seed: u64,
-    /// TCP: refuses connections for as long as the far end does, so that a process that has ended looks so.
+    /// TCP: refuses connections for as long as the upstream address does, so that a process that has exited also appears
+    /// down through the link.
     #[serde(default)]
     pub mirrors_refusal: bool,
 }
 
 impl LinkPlan {
-    /// A link without faults that listens on a free loopback port.
+    /// Creates a link without faults that listens on a free loopback port.
     pub fn new<N>(name: N, protocol: Protocol, to: SocketAddr) -> Self
     where
         N: Into<SmolStr>,
