--- a/crates/rig/src/proxy/schedule.rs
+++ b/crates/rig/src/proxy/schedule.rs
@@ -1,4 +1,4 @@
-//! Datagrams on their way through one direction of a link.
+//! Delay queue for the datagrams of one direction of a link.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -11,57 +11,57 @@
 use crate::proxy::pacer::millis;
 use crate::proxy::{Cut, DirectionFaults, Pacer};
 
-/// Datagrams on their way at most; further ones are lost.
+/// Queue length above which further datagrams are dropped.
 const CAPACITY: usize = 16_384;
 
-/// Decides for each datagram whether, when and how often it is passed on.
+/// Applies loss, duplication, reordering and latency to datagrams and orders them by due time.
 #[derive(Debug)]
 pub struct Schedule {
     rng: StdRng,
     pacer: Pacer,
-    serial: u64,
+    sequence: u64,
     pending: BinaryHeap<Reverse<Pending>>,
 }
 
 #[derive(Debug)]
 struct Pending {
     due: Instant,
-    serial: u64,
+    sequence: u64,
     datagram: Bytes,
 }
 
 impl Schedule {
-    /// An empty schedule whose draws follow from the seed.
+    /// Creates an empty schedule whose random decisions are determined by the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
             pacer: Pacer::default(),
-            serial: 0,
+            sequence: 0,
             pending: BinaryHeap::new(),
         }
     }
 
-    /// Takes a datagram that arrived at `now`; `false` where it is lost.
+    /// Queues a datagram that arrived at `now`; returns `false` if it is dropped.
     pub fn push(&mut self, datagram: Bytes, now: Instant, faults: &DirectionFaults) -> bool {
         let is_lost = self.draw(faults.loss);
-        let is_twice = self.draw(faults.duplicate);
-        let is_late = self.draw(faults.reorder);
+        let is_duplicated = self.draw(faults.duplicate);
+        let is_reordered = self.draw(faults.reorder);
         if faults.cut != Cut::None || is_lost || self.pending.len() >= CAPACITY {
             return false;
         }
-        let due = match is_late {
-            // Outside the pacer, so that those behind it overtake.
+        let due = match is_reordered {
+            // Bypasses the pacer so that later datagrams can overtake this one.
             true => now + millis(faults.latency_ms + faults.reorder_ms),
             false => self.pacer.due(now, faults, &mut self.rng),
         };
-        if is_twice {
-            self.add(due, datagram.clone());
+        if is_duplicated {
+            self.enqueue(due, datagram.clone());
         }
-        self.add(due, datagram);
+        self.enqueue(due, datagram);
         true
     }
 
-    /// The next datagram that is due at `now`.
+    /// Removes and returns the next datagram that is due at `now`.
     pub fn pop(&mut self, now: Instant) -> Option<Bytes> {
         let Reverse(first) = self.pending.peek()?;
         if first.due > now {
@@ -70,7 +70,7 @@
         self.pending.pop().map(|Reverse(first)| first.datagram)
     }
 
-    /// When the next datagram is due.
+    /// Returns the due time of the next datagram.
     pub fn next_due(&self) -> Option<Instant> {
         self.pending.peek().map(|Reverse(first)| first.due)
     }
@@ -79,11 +79,11 @@
         self.rng.random::<f64>() < share
     }
 
-    fn add(&mut self, due: Instant, datagram: Bytes) {
-        self.serial += 1;
+    fn enqueue(&mut self, due: Instant, datagram: Bytes) {
+        self.sequence += 1;
         self.pending.push(Reverse(Pending {
             due,
-            serial: self.serial,
+            sequence: self.sequence,
             datagram,
         }));
     }
@@ -91,7 +91,7 @@
 
 impl Ord for Pending {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.due, self.serial).cmp(&(other.due, other.serial))
+        (self.due, self.sequence).cmp(&(other.due, other.sequence))
     }
 }
 
