--- a/crates/rig/src/proxy/tcp.rs
+++ b/crates/rig/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP links.
+//! Forwarding of TCP connections.
 
 use std::io;
 use std::sync::Arc;
@@ -19,33 +19,33 @@
 use crate::proxy::{Cut, LinkFaults, Pacer};
 use crate::timer;
 
-/// Largest piece of a stream.
-const PIECE: usize = 16 << 10;
+/// Read buffer size per chunk.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Pieces on their way in one direction of a connection; then the sender is held back.
-const PIECES: usize = 256;
+/// Chunks buffered in one direction of a connection before backpressure stops reading from the sender.
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
-/// Pause after a failed accept, such as when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, for example when the process has run out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Time between looks at whether a far end that refused connections accepts them again.
-const FAR_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between attempts to connect to an upstream that refused connections.
+const UPSTREAM_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A part of a stream and when it is due; no bytes stand for its end.
-struct Piece {
+/// Part of a stream with its due time. An empty chunk marks the end of the stream.
+struct Chunk {
     due: Instant,
     bytes: Bytes,
 }
 
-/// Why a direction of a connection stopped.
-enum Stopped {
-    /// The sender closed it and the receiver has been told.
+/// Reason why one direction of a connection stopped.
+enum StopReason {
+    /// The sender closed the direction and the close was forwarded to the receiver.
     Ended,
-    /// The whole connection has to be closed.
+    /// The whole connection must be closed.
     Broken,
 }
 
-/// Accepts and passes on until the task is aborted.
+/// Accepts and forwards connections until the task is aborted.
 pub async fn run(mut listener: TcpListener, link: Link) {
     let mut connections = JoinSet::new();
     let refused = Arc::new(Notify::new());
@@ -53,30 +53,30 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let number = link.counters.add_connection();
+                    let index = link.counters.add_connection();
                     let refused = Arc::clone(&refused);
-                    connections.spawn(connection(stream, link.clone(), number, refused));
+                    connections.spawn(connection(stream, link.clone(), index, refused));
                 }
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
             () = refused.notified(), if link.mirrors_refusal => {
-                listener = reopened(listener, &link).await;
+                listener = rebind_once_reachable(listener, &link).await;
             }
         }
         while connections.try_join_next().is_some() {}
     }
 }
 
-/// Closes a listener until the far end accepts connections again.
-async fn reopened(listener: TcpListener, link: &Link) -> TcpListener {
+/// Closes the listener and binds its address again once the upstream accepts connections.
+async fn rebind_once_reachable(listener: TcpListener, link: &Link) -> TcpListener {
     let addr = listener.local_addr();
     drop(listener);
     loop {
-        sleep(FAR_PAUSE).await;
+        sleep(UPSTREAM_RETRY_INTERVAL).await;
         if TcpStream::connect(link.to).await.is_err() {
             continue;
         }
-        // The address is its own; while something else holds it for a moment, it is tried again.
+        // The address belongs to this link. If another socket holds it for a moment, binding is retried.
         if let Ok(addr) = &addr
             && let Ok(listener) = TcpListener::bind(addr).await
         {
@@ -85,63 +85,76 @@
     }
 }
 
-/// Dropping both streams closes them, which is how a cut reaches the two ends.
-async fn connection(near: TcpStream, link: Link, number: u64, refused: Arc<Notify>) {
+/// Forwards one connection. A cut drops both streams, which closes them towards both peers.
+async fn connection(client: TcpStream, link: Link, index: u64, refused: Arc<Notify>) {
     let mut faults = link.faults.clone();
     tokio::select! {
-        // Looked at first, so that a link which is cut from the start never connects to the far end.
+        // Polled first, so that a link that starts out cut never connects to the upstream.
         biased;
         _ = faults.wait_for(LinkFaults::closes_connections) => {}
-        // A fault of either stream ends both; the ends see a closed connection.
-        passed = pass(near, &link, number) => {
-            if passed.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
+        // An error on either stream ends both; the peers see a closed connection.
+        result = forward_connection(client, &link, index) => {
+            if result.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
                 refused.notify_one();
             }
         }
     }
 }
 
-async fn pass(near: TcpStream, link: &Link, number: u64) -> io::Result<()> {
-    // The system has already accepted for us, but nothing may reach the far end while the handshake couldn't.
+async fn forward_connection(client: TcpStream, link: &Link, index: u64) -> io::Result<()> {
+    // The kernel has already completed the handshake with the client, but nothing may reach the upstream while a
+    // blackhole would have prevented that handshake.
     let mut faults = link.faults.clone();
     let _ = faults.wait_for(|faults| !faults.blocks_handshake()).await;
-    let far = TcpStream::connect(link.to).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
-
-    let forward = one_way(near_rx, far_tx, link.clone(), number, Direction::Forward);
-    let backward = one_way(far_rx, near_tx, link.clone(), number, Direction::Backward);
+    let upstream = TcpStream::connect(link.to).await?;
+    client.set_nodelay(true)?;
+    upstream.set_nodelay(true)?;
+    let (client_rx, client_tx) = client.into_split();
+    let (upstream_rx, upstream_tx) = upstream.into_split();
+
+    let forward = forward_direction(
+        client_rx,
+        upstream_tx,
+        link.clone(),
+        index,
+        Direction::Forward,
+    );
+    let backward = forward_direction(
+        upstream_rx,
+        client_tx,
+        link.clone(),
+        index,
+        Direction::Backward,
+    );
     tokio::pin!(forward, backward);
-    // One end may close its direction and still wait for the other's answer.
+    // A peer may close its direction and still wait for the response in the other.
     let (mut forward_open, mut backward_open) = (true, true);
     while forward_open || backward_open {
         let stopped = tokio::select! {
             stopped = &mut forward, if forward_open => { forward_open = false; stopped }
             stopped = &mut backward, if backward_open => { backward_open = false; stopped }
         };
-        if matches!(stopped, Stopped::Broken) {
+        if matches!(stopped, StopReason::Broken) {
             return Ok(());
         }
     }
     Ok(())
 }
 
-async fn one_way(
+async fn forward_direction(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     link: Link,
-    number: u64,
+    index: u64,
     direction: Direction,
-) -> Stopped {
-    let (tx, rx) = mpsc::channel(PIECES);
-    let seed = direction.seed(link.seed, number);
+) -> StopReason {
+    let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let seed = direction.seed(link.seed, index);
     let reading = read(from, tx, link.faults.clone(), direction, seed);
     let writing = write(to, rx, link, direction);
     tokio::pin!(writing);
     tokio::select! {
-        // A broken receiver ends the direction at once, also while the sender is silent.
+        // A broken receiver ends the direction immediately, even while the sender is idle.
         stopped = &mut writing => stopped,
         () = reading => writing.await,
     }
@@ -149,7 +162,7 @@
 
 async fn read(
     mut from: OwnedReadHalf,
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Chunk>,
     faults: watch::Receiver<LinkFaults>,
     direction: Direction,
     seed: u64,
@@ -157,16 +170,16 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut pacer = Pacer::default();
     loop {
-        let mut buf = BytesMut::with_capacity(PIECE);
-        // A reset reads as an error; it is passed on as an end, as the bytes before it are.
+        let mut buf = BytesMut::with_capacity(CHUNK_BYTES);
+        // A reset surfaces as a read error. It is forwarded as the end of the stream, after the bytes before it.
         let is_end = !matches!(from.read_buf(&mut buf).await, Ok(n) if n > 0);
         let current = direction.faults(&faults.borrow());
         let due = pacer.due(Instant::now(), &current, &mut rng);
-        let piece = Piece {
+        let chunk = Chunk {
             due,
             bytes: buf.freeze(),
         };
-        if tx.send(piece).await.is_err() || is_end {
+        if tx.send(chunk).await.is_err() || is_end {
             return;
         }
     }
@@ -174,39 +187,39 @@
 
 async fn write(
     mut to: OwnedWriteHalf,
-    mut rx: mpsc::Receiver<Piece>,
+    mut rx: mpsc::Receiver<Chunk>,
     link: Link,
     direction: Direction,
-) -> Stopped {
+) -> StopReason {
     let mut faults = link.faults.clone();
     let mut written = 0;
-    while let Some(mut piece) = rx.recv().await {
-        timer::sleep_until(piece.due).await;
+    while let Some(mut chunk) = rx.recv().await {
+        timer::sleep_until(chunk.due).await;
         let held = |faults: &LinkFaults| direction.faults(faults).cut == Cut::Blackhole;
         let _ = faults.wait_for(|faults| !held(faults)).await;
-        if piece.bytes.is_empty() {
-            return end(to).await;
+        if chunk.bytes.is_empty() {
+            return shut_down(to).await;
         }
         let limit = direction.faults(&faults.borrow()).truncate_bytes;
-        let room = limit.map_or(u64::MAX, |limit| limit.saturating_sub(written));
-        let is_cut_short = piece.bytes.len() as u64 >= room;
-        if is_cut_short {
-            piece.bytes.truncate(room as usize);
+        let remaining = limit.map_or(u64::MAX, |limit| limit.saturating_sub(written));
+        let is_truncated = chunk.bytes.len() as u64 >= remaining;
+        if is_truncated {
+            chunk.bytes.truncate(remaining as usize);
         }
-        if to.write_all(&piece.bytes).await.is_err() || is_cut_short {
-            return Stopped::Broken;
+        if to.write_all(&chunk.bytes).await.is_err() || is_truncated {
+            return StopReason::Broken;
         }
-        written += piece.bytes.len() as u64;
+        written += chunk.bytes.len() as u64;
         direction
             .counters(&link.counters)
-            .add_passed(piece.bytes.len());
+            .add_passed(chunk.bytes.len());
     }
-    Stopped::Ended
+    StopReason::Ended
 }
 
-async fn end(mut to: OwnedWriteHalf) -> Stopped {
+async fn shut_down(mut to: OwnedWriteHalf) -> StopReason {
     match to.shutdown().await {
-        Ok(()) => Stopped::Ended,
-        Err(_) => Stopped::Broken,
+        Ok(()) => StopReason::Ended,
+        Err(_) => StopReason::Broken,
     }
 }
