--- a/crates/rig/src/proxy/links.rs
+++ b/crates/rig/src/proxy/links.rs
@@ -71,7 +71,7 @@
             plan.faults.check()?;
             if handles.iter().any(|handle| handle.name == plan.name) {
                 return Err(RigError::Settings(format!(
-                    "two links are named {}",
+                    "duplicate link name: {}",
                     plan.name
                 )));
             }
