--- a/crates/rig/tests/proxy.rs
+++ b/crates/rig/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy: TCP and UDP links with every fault, and its control interface.
+//! Tests of the fault-injecting proxy: TCP and UDP links with each fault, and the HTTP control interface.
 
 mod common;
 
@@ -34,27 +34,27 @@
         control: Some(loopback(0)),
         links: vec![LinkPlan::new("link", protocol, to)],
     };
-    Proxy::start(plan).await.expect("a proxy")
+    Proxy::start(plan).await.expect("start proxy")
 }
 
-/// Symptom: a call breaks, hangs, or runs without its answer coming back.
-/// Sequence: a fault begins on the link to a target, a call is sent, the fault ends, another call is sent.
-/// Cause: the link closes, cuts short or holds back what passes in one direction or both.
+/// Guards against TCP faults that do not affect calls as configured: a call fails, hangs, or runs without its response
+/// arriving when the link to its target closes, truncates or holds back traffic in one or both directions. A call sent
+/// after the fault has ended must succeed.
 #[tokio::test]
 async fn tcp_faults_break_or_hold_calls() {
     #[derive(Debug, PartialEq)]
-    enum Seen {
-        Whole,
-        Broken,
-        Silence,
+    enum CallResult {
+        Complete,
+        Failed,
+        Timeout,
     }
     struct Case {
         faults: LinkFaults,
-        seen: Seen,
-        /// Whether the call ran at the target in spite of the fault.
+        expected: CallResult,
+        /// Whether the call ran at the target despite the fault.
         ran: bool,
     }
-    let one = |forward, backward| LinkFaults {
+    let asymmetric = |forward, backward| LinkFaults {
         forward,
         backward,
         ..LinkFaults::default()
@@ -72,32 +72,32 @@
     let cases = [
         Case {
             faults: LinkFaults::both(slow),
-            seen: Seen::Whole,
+            expected: CallResult::Complete,
             ran: true,
         },
         Case {
-            faults: one(CLEAN, short(2_000)),
-            seen: Seen::Broken,
+            faults: asymmetric(CLEAN, short(2_000)),
+            expected: CallResult::Failed,
             ran: true,
         },
         Case {
-            faults: one(short(20), CLEAN),
-            seen: Seen::Broken,
+            faults: asymmetric(short(20), CLEAN),
+            expected: CallResult::Failed,
             ran: false,
         },
         Case {
-            faults: one(CLEAN, cut(Cut::Close)),
-            seen: Seen::Broken,
+            faults: asymmetric(CLEAN, cut(Cut::Close)),
+            expected: CallResult::Failed,
             ran: false,
         },
         Case {
-            faults: one(cut(Cut::Blackhole), CLEAN),
-            seen: Seen::Silence,
+            faults: asymmetric(cut(Cut::Blackhole), CLEAN),
+            expected: CallResult::Timeout,
             ran: false,
         },
         Case {
-            faults: one(CLEAN, cut(Cut::Blackhole)),
-            seen: Seen::Silence,
+            faults: asymmetric(CLEAN, cut(Cut::Blackhole)),
+            expected: CallResult::Timeout,
             ran: false,
         },
     ];
@@ -110,19 +110,19 @@
         };
         let target = target(settings, None).await;
         let proxy = proxy(Protocol::Tcp, target.addr()).await;
-        let addr = proxy.addr("link").expect("the link");
+        let addr = proxy.addr("link").expect("link address");
         assert_eq!(proxy.set("link", &case.faults), 1);
-        let limit = if case.seen == Seen::Silence {
+        let limit = if case.expected == CallResult::Timeout {
             SHORT
         } else {
             PATIENCE
         };
         let seen = match client.send(keyed(addr, "/x", "faulty", limit)).await {
-            Ok(_) => Seen::Whole,
-            Err(RigError::Timeout) => Seen::Silence,
-            Err(_) => Seen::Broken,
+            Ok(_) => CallResult::Complete,
+            Err(RigError::Timeout) => CallResult::Timeout,
+            Err(_) => CallResult::Failed,
         };
-        assert_eq!(seen, case.seen, "case {number}");
+        assert_eq!(seen, case.expected, "case {number}");
         let runs = counts(&client, &target).await.started;
         assert_eq!(runs, u64::from(case.ran), "case {number}");
 
@@ -130,15 +130,14 @@
         let healed = client
             .send(keyed(addr, "/x", "healed", PATIENCE))
             .await
-            .expect("an answer");
-        let echo: Echo = serde_json::from_slice(&healed.body).expect("an echo");
+            .expect("response");
+        let echo: Echo = serde_json::from_slice(&healed.body).expect("parse echo");
         assert!(echo.belongs_to("healed"), "case {number}");
     }
 }
 
-/// Symptom: a call runs long after it was sent, or its answer comes long after it ran.
-/// Sequence: a connection is open, one direction goes silent, a call is sent, the direction heals.
-/// Cause: a one-way partition under which the system keeps bytes and sends them when it ends.
+/// A one-way partition on an open connection delays traffic instead of losing it: a call sent meanwhile runs late, or
+/// its response arrives late, because the held bytes are delivered when the partition ends.
 #[tokio::test]
 async fn bytes_held_by_a_blackhole_arrive_when_it_ends() {
     struct Case {
@@ -166,9 +165,12 @@
         let client = Client::default();
         let target = target(Settings::default(), None).await;
         let proxy = proxy(Protocol::Tcp, target.addr()).await;
-        let addr = proxy.addr("link").expect("the link");
+        let addr = proxy.addr("link").expect("link address");
         let first = client.send(keyed(addr, "/x", "first", PATIENCE)).await;
-        assert!(first.is_ok(), "a pooled connection is open: {first:?}");
+        assert!(
+            first.is_ok(),
+            "failed to open a pooled connection: {first:?}"
+        );
         proxy.set("link", &case.faults);
         let call = keyed(addr, "/x", "held", PATIENCE);
         let held = tokio::spawn({
@@ -188,26 +190,26 @@
             .unwrap_or_default();
         assert_eq!(runs.started, case.runs_meanwhile);
         proxy.set("link", &LinkFaults::default());
-        let answer = held.await.expect("a task").expect("the late answer");
-        let echo: Echo = serde_json::from_slice(&answer.body).expect("an echo");
+        let answer = held.await.expect("join task").expect("delayed response");
+        let echo: Echo = serde_json::from_slice(&answer.body).expect("parse echo");
         assert!(echo.belongs_to("held"));
     }
 }
 
-/// Symptom: datagrams are missing, twice there, or out of order.
-/// Sequence: datagrams 0 to 19 are sent a link's way, each is answered, the answers are counted.
-/// Cause: loss, duplicates, reordering or a cut, in either direction.
+/// Datagrams are lost, duplicated or reordered as configured for either direction of a link. Sends datagrams 0 to 19,
+/// answers each one that arrives and counts the responses.
 #[tokio::test]
 async fn udp_faults_lose_double_and_reorder_datagrams() {
     const SENT: usize = 20;
     struct Case {
         faults: LinkFaults,
-        /// Datagrams that reach the far end, and answers that come back.
-        far: usize,
-        back: usize,
+        /// Datagrams that reach the upstream socket.
+        delivered: usize,
+        /// Responses that reach the sender.
+        responses: usize,
         in_order: bool,
     }
-    let one = |forward, backward| LinkFaults {
+    let asymmetric = |forward, backward| LinkFaults {
         forward,
         backward,
         ..LinkFaults::default()
@@ -231,105 +233,111 @@
     let closed = DirectionFaults::cut(Cut::Close);
     let cases = [
         Case {
-            faults: one(slow, slow),
-            far: 20,
-            back: 20,
+            faults: asymmetric(slow, slow),
+            delivered: 20,
+            responses: 20,
             in_order: true,
         },
         Case {
-            faults: one(lose, CLEAN),
-            far: 0,
-            back: 0,
+            faults: asymmetric(lose, CLEAN),
+            delivered: 0,
+            responses: 0,
             in_order: true,
         },
         Case {
-            faults: one(CLEAN, lose),
-            far: 20,
-            back: 0,
+            faults: asymmetric(CLEAN, lose),
+            delivered: 20,
+            responses: 0,
             in_order: true,
         },
         Case {
-            faults: one(twice, CLEAN),
-            far: 40,
-            back: 40,
+            faults: asymmetric(twice, CLEAN),
+            delivered: 40,
+            responses: 40,
             in_order: true,
         },
         Case {
-            faults: one(twice, twice),
-            far: 40,
-            back: 80,
+            faults: asymmetric(twice, twice),
+            delivered: 40,
+            responses: 80,
             in_order: true,
         },
         Case {
-            faults: one(cut, CLEAN),
-            far: 0,
-            back: 0,
+            faults: asymmetric(cut, CLEAN),
+            delivered: 0,
+            responses: 0,
             in_order: true,
         },
         Case {
-            faults: one(CLEAN, closed),
-            far: 20,
-            back: 0,
+            faults: asymmetric(CLEAN, closed),
+            delivered: 20,
+            responses: 0,
             in_order: true,
         },
         Case {
-            faults: one(mixed, CLEAN),
-            far: 20,
-            back: 20,
+            faults: asymmetric(mixed, CLEAN),
+            delivered: 20,
+            responses: 20,
             in_order: false,
         },
     ];
     for (number, case) in cases.into_iter().enumerate() {
-        let far = UdpSocket::bind(loopback(0)).await.expect("a socket");
-        let proxy = proxy(Protocol::Udp, far.local_addr().expect("its address")).await;
+        let upstream = UdpSocket::bind(loopback(0)).await.expect("bind socket");
+        let proxy = proxy(Protocol::Udp, upstream.local_addr().expect("local address")).await;
         proxy.set("link", &case.faults);
-        let near = UdpSocket::bind(loopback(0)).await.expect("a socket");
-        near.connect(proxy.addr("link").expect("the link"))
+        let sender_socket = UdpSocket::bind(loopback(0)).await.expect("bind socket");
+        sender_socket
+            .connect(proxy.addr("link").expect("link address"))
             .await
-            .expect("a peer");
+            .expect("connect socket");
         for n in 0..SENT {
-            near.send(&[n as u8]).await.expect("a datagram");
+            sender_socket.send(&[n as u8]).await.expect("datagram");
         }
         let mut buf = [0; 16];
         let mut seen = Vec::new();
-        while seen.len() < case.far {
-            let received = timeout(PATIENCE, far.recv_from(&mut buf)).await;
-            let (len, sender) = received.expect("in time").expect("a datagram");
-            far.send_to(&buf[..len], sender).await.expect("an answer");
+        while seen.len() < case.delivered {
+            let received = timeout(PATIENCE, upstream.recv_from(&mut buf)).await;
+            let (len, sender) = received.expect("timed out").expect("datagram");
+            upstream
+                .send_to(&buf[..len], sender)
+                .await
+                .expect("response");
             seen.push(buf[0]);
         }
         assert_eq!(seen.is_sorted(), case.in_order, "case {number}: {seen:?}");
-        for _ in 0..case.back {
-            let answer = timeout(PATIENCE, near.recv(&mut buf)).await;
-            answer.expect("in time").expect("an answer");
+        for _ in 0..case.responses {
+            let answer = timeout(PATIENCE, sender_socket.recv(&mut buf)).await;
+            answer.expect("timed out").expect("response");
         }
-        let none = timeout(Duration::from_millis(30), near.recv(&mut buf)).await;
-        assert!(none.is_err(), "case {number}: one answer too many");
+        let none = timeout(Duration::from_millis(30), sender_socket.recv(&mut buf)).await;
+        assert!(
+            none.is_err(),
+            "case {number}: unexpected additional response"
+        );
         let counts = proxy.states()[0].counts;
         assert_eq!(counts.connections, 1);
         let passed = (
             counts.forward.passed as usize,
             counts.backward.passed as usize,
         );
-        assert_eq!(passed, (case.far, case.back), "case {number}");
+        assert_eq!(passed, (case.delivered, case.responses), "case {number}");
     }
 }
 
-/// Symptom: a node is heard by some of its peers and not by others.
-/// Sequence: two senders use a link, one of them is cut off in one direction, both send.
-/// Cause: a network partition that runs between the two senders.
+/// Models a partition in which a node is reachable by only some of its peers: two senders use one link, and one of them
+/// is cut off in one direction. Only the datagram of the other may arrive.
 #[tokio::test]
 async fn one_sender_of_a_udp_link_is_cut_off() {
-    let far = UdpSocket::bind(loopback(0)).await.expect("a socket");
-    let proxy = proxy(Protocol::Udp, far.local_addr().expect("its address")).await;
-    let link = proxy.addr("link").expect("the link");
-    let mut near = Vec::new();
+    let upstream = UdpSocket::bind(loopback(0)).await.expect("bind socket");
+    let proxy = proxy(Protocol::Udp, upstream.local_addr().expect("local address")).await;
+    let link = proxy.addr("link").expect("link address");
+    let mut senders = Vec::new();
     for _ in 0..2 {
-        let socket = UdpSocket::bind(loopback(0)).await.expect("a socket");
-        socket.connect(link).await.expect("a peer");
-        near.push(socket);
+        let socket = UdpSocket::bind(loopback(0)).await.expect("bind socket");
+        socket.connect(link).await.expect("connect socket");
+        senders.push(socket);
     }
-    let sender = near[0].local_addr().expect("its address");
+    let sender = senders[0].local_addr().expect("local address");
     let cut = DirectionFaults::cut(Cut::Blackhole);
     let faults = SenderFaults {
         sender,
@@ -343,12 +351,12 @@
             ..LinkFaults::default()
         },
     );
-    near[0].send(b"cut").await.expect("a datagram");
+    senders[0].send(b"cut").await.expect("datagram");
     until(async || (proxy.states()[0].counts.forward.lost == 1).then_some(())).await;
-    near[1].send(b"open").await.expect("a datagram");
+    senders[1].send(b"open").await.expect("datagram");
     let mut buf = [0; 16];
-    let received = timeout(PATIENCE, far.recv_from(&mut buf)).await;
-    let (len, _) = received.expect("in time").expect("a datagram");
+    let received = timeout(PATIENCE, upstream.recv_from(&mut buf)).await;
+    let (len, _) = received.expect("timed out").expect("datagram");
     assert_eq!(&buf[..len], b"open");
     assert_eq!(proxy.states()[0].counts.connections, 2);
 }
@@ -375,7 +383,7 @@
         assert_eq!(
             schedule.pop(start),
             None,
-            "nothing is due before its latency"
+            "datagram due before its latency elapsed"
         );
         let end = start + Duration::from_secs(10);
         let passed: Vec<_> = std::iter::from_fn(|| schedule.pop(end))
@@ -393,7 +401,7 @@
     assert_eq!(
         unique.len() + lost,
         200,
-        "each datagram is either lost or passed on"
+        "each datagram must be either lost or forwarded"
     );
     assert!(passed.len() > unique.len() && !passed.is_sorted());
 }
@@ -402,7 +410,7 @@
 async fn links_are_controlled_by_http() {
     let target = target(Settings::default(), None).await;
     let proxy = proxy(Protocol::Tcp, target.addr()).await;
-    let control = proxy.control_addr().expect("a control address");
+    let control = proxy.control_addr().expect("control address");
     let client = Client::default();
     let cases = [
         ("/links/link", r#"{"forward": {"cut": "blackhole"}}"#, 200),
@@ -426,7 +434,7 @@
         };
         assert_eq!(got, status, "{path} {body}");
     }
-    let states: Vec<LinkState> = client.get(control, "/links").await.expect("the links");
+    let states: Vec<LinkState> = client.get(control, "/links").await.expect("list links");
     let faults = LinkFaults {
         forward: DirectionFaults::cut(Cut::Blackhole),
         backward: DirectionFaults::latency(Duration::from_millis(3)),
