--- a/crates/rig/src/cli/target.rs
+++ b/crates/rig/src/cli/target.rs
@@ -75,7 +75,7 @@
                 .unwrap_or(default.downstream_retries),
             ..default
         };
-        settings.patched(self.settings.as_deref().unwrap_or("{}").as_bytes())
+        settings.with_patch(self.settings.as_deref().unwrap_or("{}").as_bytes())
     }
 }
 
--- a/crates/rig/src/target/routes.rs
+++ b/crates/rig/src/target/routes.rs
@@ -82,7 +82,7 @@
     let Some(current) = ask(cx, Command::Settings).await else {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
     };
-    let patched = match current.patched(&body) {
+    let patched = match current.with_patch(&body) {
         Ok(patched) => patched,
         Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
     };
--- a/crates/rig/src/target/settings.rs
+++ b/crates/rig/src/target/settings.rs
@@ -143,7 +143,7 @@
 
 impl Settings {
     /// These settings with the fields of a JSON object in place of their own.
-    pub fn patched(&self, patch: &[u8]) -> Result<Self, RigError> {
+    pub fn with_patch(&self, patch: &[u8]) -> Result<Self, RigError> {
         let Value::Object(patch) = serde_json::from_slice(patch)? else {
             return Err(RigError::Settings("settings are a JSON object".into()));
         };
