--- a/crates/rig/src/target/counts.rs
+++ b/crates/rig/src/target/counts.rs
@@ -64,7 +64,7 @@
 
 impl TargetCounts {
     /// Most runs that began under one key.
-    pub fn most_runs_of_a_key(&self) -> u64 {
+    pub fn max_runs_per_key(&self) -> u64 {
         self.keys
             .values()
             .map(|runs| runs.started)
--- a/crates/rig/tests/load.rs
+++ b/crates/rig/tests/load.rs
@@ -202,7 +202,7 @@
         assert_eq!(report.endings.whole, report.calls);
         let counts = counts(&client, &target).await;
         assert_eq!(
-            (counts.finished, counts.most_runs_of_a_key()),
+            (counts.finished, counts.max_runs_per_key()),
             (report.calls, 1)
         );
         keys.push(calls);
--- a/crates/rig/tests/process.rs
+++ b/crates/rig/tests/process.rs
@@ -45,7 +45,7 @@
     let answer = call.await.expect("a task").expect("the late answer");
     assert!(text(&answer).contains("late"), "{answer:?}");
     let counts: TargetCounts = client.get(addr, "/counts").await.expect("counts");
-    assert_eq!(counts.most_runs_of_a_key(), 1);
+    assert_eq!(counts.max_runs_per_key(), 1);
 
     let status = child.stop(PATIENCE).await.expect("an end");
     assert!(status.success(), "{status}");
--- a/crates/rig/tests/target.rs
+++ b/crates/rig/tests/target.rs
@@ -96,7 +96,7 @@
         (
             counts.finished,
             counts.max_in_flight,
-            counts.most_runs_of_a_key()
+            counts.max_runs_per_key()
         ),
         (40, 2, 1)
     );
