--- a/crates/rig/src/target.rs
+++ b/crates/rig/src/target.rs
@@ -1,5 +1,6 @@
 //! Stand-in for a target: slots, service time, cold start, calls to further services, cancel, drain, lying health.
 
+mod counters;
 mod counts;
 mod echo;
 mod egress;
@@ -8,7 +9,6 @@
 mod run;
 mod settings;
 mod slots;
-mod tally;
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/rig/src/target/tally.rs
+++ b/crates/rig/src/target/counters.rs
@@ -11,11 +11,11 @@
 
 /// The counts of a target, without what is in flight at the moment.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct Counters {
     counts: TargetCounts,
 }
 
-impl Tally {
+impl Counters {
     /// The counts so far.
     pub fn counts(&self) -> TargetCounts {
         self.counts.clone()
--- a/crates/rig/src/target/owner.rs
+++ b/crates/rig/src/target/owner.rs
@@ -9,9 +9,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
+use crate::target::counters::Counters;
 use crate::target::run::{CallId, Run, RunEnd, RunPlan};
 use crate::target::slots::{Arrival, Slots, Waiter};
-use crate::target::tally::Tally;
 use crate::target::{Health, ServiceTime, Settings, TargetCounts, WhenFull};
 
 /// Longest service time, so that an extreme draw can't overflow.
@@ -71,7 +71,7 @@
 struct Owner {
     settings: Arc<Settings>,
     slots: Slots,
-    tally: Tally,
+    counters: Counters,
     rng: StdRng,
     started_at: Instant,
     draining: bool,
@@ -90,7 +90,7 @@
             },
             settings: Arc::new(settings),
             slots: Slots::default(),
-            tally: Tally::default(),
+            counters: Counters::default(),
             started_at: now,
             draining: false,
             published_at: now,
@@ -108,10 +108,10 @@
     fn on_command(&mut self, command: Command, now: Instant) {
         match command {
             Command::Arrived(waiter) => self.on_arrived(waiter, now),
-            Command::Began(id) => self.tally.on_began(&id),
+            Command::Began(id) => self.counters.on_began(&id),
             Command::Ended { id, end, worked } => {
                 self.slots.release();
-                self.tally.on_ended(&id, end, worked);
+                self.counters.on_ended(&id, end, worked);
                 self.fill_slots(now);
             }
             Command::Drain(reply) => {
@@ -138,7 +138,7 @@
     }
 
     fn on_arrived(&mut self, waiter: Waiter, now: Instant) {
-        self.tally.on_arrived(&waiter.id);
+        self.counters.on_arrived(&waiter.id);
         if self.draining {
             return self.refuse(waiter);
         }
@@ -159,14 +159,14 @@
         let Some(tx) = self.tx.upgrade() else {
             return;
         };
-        self.tally.on_granted(self.slots.taken());
+        self.counters.on_granted(self.slots.taken());
         let run = Run::new(self.plan(now), waiter.id, tx);
         // Where the caller is gone the run comes back and its drop gives the slot back.
         let _ = waiter.reply.send(Some(run));
     }
 
     fn refuse(&mut self, waiter: Waiter) {
-        self.tally.on_refused();
+        self.counters.on_refused();
         let _ = waiter.reply.send(None);
     }
 
@@ -237,7 +237,7 @@
         TargetCounts {
             in_flight,
             queued,
-            ..self.tally.counts()
+            ..self.counters.counts()
         }
     }
 }
