--- a/crates/rig/src/target/egress.rs
+++ b/crates/rig/src/target/egress.rs
@@ -18,7 +18,7 @@
 
 /// What calls to further services take over from the call they are made for.
 #[derive(Clone, Debug, Default)]
-pub struct Origin {
+pub struct ParentCall {
     /// The call's `x-rig-key`.
     pub key: SmolStr,
     /// The call's `coltsfootport-context`.
@@ -41,20 +41,20 @@
     /// Makes every call to further services that the settings name for a call of this path.
     pub async fn call_all(
         &self,
-        origin: &Origin,
+        parent: &ParentCall,
         path: &str,
         settings: &Settings,
     ) -> Vec<DownstreamEcho> {
         let calls = settings.calls_for(path);
         match settings.downstream_mode {
-            DownstreamMode::Sequential => self.call_in_turn(origin, calls, settings).await,
-            DownstreamMode::Parallel => self.call_at_once(origin, calls, settings).await,
+            DownstreamMode::Sequential => self.call_in_turn(parent, calls, settings).await,
+            DownstreamMode::Parallel => self.call_at_once(parent, calls, settings).await,
         }
     }
 
     async fn call_in_turn(
         &self,
-        origin: &Origin,
+        parent: &ParentCall,
         calls: &[MethodPath],
         settings: &Settings,
     ) -> Vec<DownstreamEcho> {
@@ -62,7 +62,7 @@
         for (index, downstream) in calls.iter().enumerate() {
             let echo = self
                 .clone()
-                .call(downstream, origin.nested(index), settings)
+                .call(downstream, parent.nested(index), settings)
                 .await;
             let is_over = settings.downstream_required && !echo.is_success();
             echoes.push(echo);
@@ -76,15 +76,15 @@
     /// The calls are tasks of a set that is dropped with the caller, so a cancel reaches each of them.
     async fn call_at_once(
         &self,
-        origin: &Origin,
+        parent: &ParentCall,
         calls: &[MethodPath],
         settings: &Settings,
     ) -> Vec<DownstreamEcho> {
         let mut running = JoinSet::new();
         for (index, downstream) in calls.iter().cloned().enumerate() {
-            let (egress, origin, settings) = (self.clone(), origin.nested(index), settings.clone());
+            let (egress, parent, settings) = (self.clone(), parent.nested(index), settings.clone());
             running
-                .spawn(async move { (index, egress.call(&downstream, origin, &settings).await) });
+                .spawn(async move { (index, egress.call(&downstream, parent, &settings).await) });
         }
         let mut echoes = vec![DownstreamEcho::default(); calls.len()];
         while let Some(ended) = running.join_next().await {
@@ -98,7 +98,7 @@
     async fn call(
         self,
         downstream: &MethodPath,
-        origin: Origin,
+        parent: ParentCall,
         settings: &Settings,
     ) -> DownstreamEcho {
         let mut echo = DownstreamEcho {
@@ -109,7 +109,7 @@
             return echo;
         };
         let call = ClientCall {
-            headers: origin.headers(),
+            headers: parent.headers(),
             timeout: Duration::from_millis(settings.downstream_timeout_ms),
             ..ClientCall::new(addr, downstream.method.clone(), downstream.path.as_str())
         };
@@ -124,7 +124,7 @@
     }
 }
 
-impl Origin {
+impl ParentCall {
     fn nested(&self, index: usize) -> Self {
         Self {
             key: Echo::downstream_key(&self.key, index),
--- a/crates/rig/src/target/routes.rs
+++ b/crates/rig/src/target/routes.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::http::{Answer, AnswerBody, Handled, Query, empty, json, read_body, text};
-use crate::target::egress::{CONTEXT_HEADER, Egress, Origin};
+use crate::target::egress::{CONTEXT_HEADER, Egress, ParentCall};
 use crate::target::owner::Command;
 use crate::target::run::{CallId, Run, RunEnd};
 use crate::target::slots::Waiter;
@@ -126,11 +126,11 @@
     run.work_done(Instant::now());
 
     let mut echo = echo(&cx.service, &parts, &body, &settings);
-    let origin = Origin {
+    let parent = ParentCall {
         key: echo.key.clone(),
         context: parts.headers.get(CONTEXT_HEADER).cloned(),
     };
-    echo.downstream = cx.egress.call_all(&origin, &echo.path, &settings).await;
+    echo.downstream = cx.egress.call_all(&parent, &echo.path, &settings).await;
 
     let status = status(run.plan.fails, &echo.downstream, &settings);
     run.end(if status.is_success() {
