--- a/crates/rig/src/target.rs
+++ b/crates/rig/src/target.rs
@@ -1,4 +1,5 @@
-//! Stand-in for a target: slots, service time, cold start, calls to further services, cancel, drain, lying health.
+//! Stand-in target with slots, service times, a cold start, calls to downstream services, cancellation, draining and
+//! configurable health and load reports.
 
 mod counters;
 mod counts;
@@ -25,26 +26,26 @@
 pub use self::owner::Load;
 pub use self::settings::{DownstreamMode, Health, PathCalls, ServiceTime, Settings, WhenFull};
 
-/// Header that names a request of a test; echoed and counted.
+/// Header with the key of a test request. The key is echoed in the response, and runs are counted by it.
 pub const KEY_HEADER: &str = "x-rig-key";
 
-/// Where a target stands.
+/// Service and node that a target belongs to.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The service that the target runs.
     pub service: SmolStr,
-    /// Address of its node's egress listener; calls to further services fail without one.
+    /// Address of the node's egress listener; calls to downstream services fail without one.
     pub egress: Option<SocketAddr>,
 }
 
-/// A running stand-in target; dropping it ends it as a crash would.
+/// A running stand-in target. Dropping it stops the target abruptly, like a crash.
 #[derive(Debug)]
 pub struct Target {
     server: Server,
 }
 
 impl Target {
-    /// Serves calls on `listener`.
+    /// Starts serving calls on `listener`.
     pub fn start(
         listener: TcpListener,
         placement: Placement,
@@ -59,7 +60,7 @@
         Ok(Self { server })
     }
 
-    /// The address that the target listens on.
+    /// Returns the listen address of the target.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
