--- a/crates/rig/src/target/counts.rs
+++ b/crates/rig/src/target/counts.rs
@@ -1,40 +1,40 @@
-//! What a stand-in target counts.
+//! Counts reported by a stand-in target.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Answer of `GET /counts`.
+/// Response to `GET /counts`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetCounts {
     /// Calls that reached the target.
     pub arrived: u64,
-    /// Calls that got a slot and began to run.
+    /// Calls that got a slot and started to run.
     pub started: u64,
-    /// Runs that ended with success.
+    /// Runs that succeeded.
     pub finished: u64,
-    /// Runs that ended with an error answer.
+    /// Runs that were answered with an error.
     pub failed: u64,
     /// Runs whose caller closed the connection.
     pub cancelled: u64,
-    /// Calls that were refused because the target drains or its queue is full.
+    /// Calls that were refused because the target was draining or its queue was full.
     pub refused: u64,
-    /// Runs at this moment.
+    /// Runs currently in progress.
     pub in_flight: usize,
-    /// Calls that wait for a slot at this moment.
+    /// Calls currently waiting for a slot.
     pub queued: usize,
-    /// Most runs at one moment.
+    /// Highest number of concurrent runs.
     pub max_in_flight: usize,
-    /// Milliseconds of work of all ended runs.
+    /// Total work of all ended runs, in milliseconds.
     pub work_ms: f64,
-    /// Milliseconds of work of runs that failed or were cancelled.
+    /// Total work of runs that failed or were cancelled, in milliseconds.
     pub wasted_ms: f64,
-    /// Counts by `coltsfootport-class`, under the empty name where the header was missing.
+    /// Counts by `coltsfootport-class`; calls without the header are counted under the empty name.
     pub classes: BTreeMap<SmolStr, ClassCounts>,
     /// Runs by `x-rig-key`.
     pub keys: BTreeMap<SmolStr, KeyRuns>,
-    /// Calls with a key that was not recorded because the table was full.
+    /// Runs whose key was not recorded because the table was full.
     pub keys_dropped: u64,
 }
 
@@ -43,27 +43,27 @@
 pub struct ClassCounts {
     /// Calls that reached the target.
     pub arrived: u64,
-    /// Runs that began.
+    /// Runs that started.
     pub started: u64,
-    /// Runs that ended with success.
+    /// Runs that succeeded.
     pub finished: u64,
 }
 
 /// Runs of one key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRuns {
-    /// Runs that began.
+    /// Runs that started.
     pub started: u64,
-    /// Runs that ended with success.
+    /// Runs that succeeded.
     pub finished: u64,
-    /// Runs that ended with an error answer.
+    /// Runs that were answered with an error.
     pub failed: u64,
     /// Runs whose caller closed the connection.
     pub cancelled: u64,
 }
 
 impl TargetCounts {
-    /// Most runs that began under one key.
+    /// Returns the highest number of runs started for a single key.
     pub fn max_runs_per_key(&self) -> u64 {
         self.keys
             .values()
