--- a/crates/rig/src/target/egress.rs
+++ b/crates/rig/src/target/egress.rs
@@ -1,4 +1,4 @@
-//! Calls of a target to further services, through its node's egress listener.
+//! Calls of a target to downstream services through its node's egress listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::http::{Client, ClientAnswer, ClientCall, MethodPath};
 use crate::target::{DownstreamEcho, DownstreamMode, Echo, KEY_HEADER, Settings};
 
-/// The header that a target copies into its own calls.
+/// Header that a target copies into its downstream calls.
 pub const CONTEXT_HEADER: &str = "coltsfootport-context";
 
-/// The header with what is known about whether a call ran.
+/// Header that states whether a call ran, as far as known.
 const OUTCOME_HEADER: &str = "coltsfootport-outcome";
 
-/// What calls to further services take over from the call they are made for.
+/// Headers that downstream calls inherit from the call that causes them.
 #[derive(Clone, Debug, Default)]
 pub struct ParentCall {
     /// The call's `x-rig-key`.
@@ -25,7 +25,7 @@
     pub context: Option<HeaderValue>,
 }
 
-/// The way to further services.
+/// Client for calls to downstream services.
 #[derive(Clone, Debug)]
 pub struct Egress {
     client: Client,
@@ -33,12 +33,12 @@
 }
 
 impl Egress {
-    /// Calls through the egress listener at `addr`.
+    /// Creates a client that calls through the egress listener at `addr`.
     pub fn new(client: Client, addr: Option<SocketAddr>) -> Self {
         Self { client, addr }
     }
 
-    /// Makes every call to further services that the settings name for a call of this path.
+    /// Makes every downstream call that the settings configure for this path.
     pub async fn call_all(
         &self,
         parent: &ParentCall,
@@ -47,12 +47,12 @@
     ) -> Vec<DownstreamEcho> {
         let calls = settings.calls_for(path);
         match settings.downstream_mode {
-            DownstreamMode::Sequential => self.call_in_turn(parent, calls, settings).await,
-            DownstreamMode::Parallel => self.call_at_once(parent, calls, settings).await,
+            DownstreamMode::Sequential => self.call_sequentially(parent, calls, settings).await,
+            DownstreamMode::Parallel => self.call_in_parallel(parent, calls, settings).await,
         }
     }
 
-    async fn call_in_turn(
+    async fn call_sequentially(
         &self,
         parent: &ParentCall,
         calls: &[MethodPath],
@@ -62,19 +62,19 @@
         for (index, downstream) in calls.iter().enumerate() {
             let echo = self
                 .clone()
-                .call(downstream, parent.nested(index), settings)
+                .call(downstream, parent.for_downstream(index), settings)
                 .await;
-            let is_over = settings.downstream_required && !echo.is_success();
+            let is_aborted = settings.downstream_required && !echo.is_success();
             echoes.push(echo);
-            if is_over {
+            if is_aborted {
                 break;
             }
         }
         echoes
     }
 
-    /// The calls are tasks of a set that is dropped with the caller, so a cancel reaches each of them.
-    async fn call_at_once(
+    /// Runs the calls as tasks of a `JoinSet`, which is dropped with the caller so that cancellation reaches each call.
+    async fn call_in_parallel(
         &self,
         parent: &ParentCall,
         calls: &[MethodPath],
@@ -82,7 +82,8 @@
     ) -> Vec<DownstreamEcho> {
         let mut running = JoinSet::new();
         for (index, downstream) in calls.iter().cloned().enumerate() {
-            let (egress, parent, settings) = (self.clone(), parent.nested(index), settings.clone());
+            let (egress, parent, settings) =
+                (self.clone(), parent.for_downstream(index), settings.clone());
             running
                 .spawn(async move { (index, egress.call(&downstream, parent, &settings).await) });
         }
@@ -116,7 +117,7 @@
         while echo.sent <= settings.downstream_retries && !echo.is_success() {
             echo.sent += 1;
             match self.client.send(call.clone()).await {
-                Ok(answer) => note_answer(&mut echo, &answer),
+                Ok(answer) => record_response(&mut echo, &answer),
                 Err(_) => echo.status = 0,
             }
         }
@@ -125,7 +126,7 @@
 }
 
 impl ParentCall {
-    fn nested(&self, index: usize) -> Self {
+    fn for_downstream(&self, index: usize) -> Self {
         Self {
             key: Echo::downstream_key(&self.key, index),
             context: self.context.clone(),
@@ -147,7 +148,7 @@
     }
 }
 
-fn note_answer(echo: &mut DownstreamEcho, answer: &ClientAnswer) {
+fn record_response(echo: &mut DownstreamEcho, answer: &ClientAnswer) {
     echo.status = answer.status.as_u16();
     echo.outcome = answer.header(OUTCOME_HEADER).map(SmolStr::from);
     if answer.status.is_success() {
