--- a/crates/rig/src/target/routes.rs
+++ b/crates/rig/src/target/routes.rs
@@ -18,46 +18,46 @@
 use crate::target::{DownstreamEcho, Echo, KEY_HEADER, Settings};
 use crate::timer;
 
-/// Largest request body in bytes.
-const BODY_LIMIT: usize = 16 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The header with the name of a call's class.
+/// Header with the class of a call.
 const CLASS_HEADER: &str = "coltsfootport-class";
 
-/// What every request needs.
+/// State shared by all request handlers.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// The owner of the target's state.
+    /// Sends commands to the owner of the target's state.
     pub owner: mpsc::UnboundedSender<Command>,
-    /// The way to further services.
+    /// Client for downstream calls.
     pub egress: Egress,
     /// The service that the target runs.
     pub service: SmolStr,
 }
 
-/// Answers one request; dropping the future cancels the call.
+/// Handles a request. Dropping the future cancels the call.
 pub async fn handle(cx: Context, req: Request<Incoming>) -> Handled {
     match (req.method(), req.uri().path()) {
         (&Method::GET, "/health") => health(&cx).await.into(),
-        (&Method::GET, "/load") => asked(ask(&cx, Command::Load).await).into(),
+        (&Method::GET, "/load") => json_or_error(query_owner(&cx, Command::Load).await).into(),
         (&Method::GET, "/counts") => counts(&cx, req.uri()).await.into(),
         (&Method::GET, "/settings") => settings(&cx).await.into(),
         (&Method::PUT, "/settings") => configure(&cx, req).await.into(),
-        (&Method::POST, "/drain") => asked(ask(&cx, Command::Drain).await).into(),
+        (&Method::POST, "/drain") => json_or_error(query_owner(&cx, Command::Drain).await).into(),
         _ => call(cx, req).await.into(),
     }
 }
 
 async fn health(cx: &Context) -> Answer {
-    match ask(cx, Command::Health).await {
+    match query_owner(cx, Command::Health).await {
         Some(true) => text(StatusCode::OK, "healthy"),
         Some(false) | None => text(StatusCode::SERVICE_UNAVAILABLE, "unhealthy"),
     }
 }
 
-/// `?keys=repeated` leaves out the keys that ran once or never, `?keys=none` all of them.
+/// `?keys=repeated` omits keys with at most one run, `?keys=none` omits all keys.
 async fn counts(cx: &Context, uri: &Uri) -> Answer {
-    let Some(mut counts) = ask(cx, Command::Counts).await else {
+    let Some(mut counts) = query_owner(cx, Command::Counts).await else {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
     };
     match Query::of(uri).get("keys") {
@@ -69,17 +69,17 @@
 }
 
 async fn settings(cx: &Context) -> Answer {
-    match ask(cx, Command::Settings).await {
+    match query_owner(cx, Command::Settings).await {
         Some(settings) => json(StatusCode::OK, &*settings),
         None => empty(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
 async fn configure(cx: &Context, req: Request<Incoming>) -> Answer {
-    let Some(body) = read_body(req.into_body(), BODY_LIMIT).await else {
+    let Some(body) = read_body(req.into_body(), MAX_BODY_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    let Some(current) = ask(cx, Command::Settings).await else {
+    let Some(current) = query_owner(cx, Command::Settings).await else {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
     };
     let patched = match current.with_patch(&body) {
@@ -95,21 +95,21 @@
 
 async fn call(cx: Context, req: Request<Incoming>) -> Answer {
     let (parts, body) = req.into_parts();
-    let Some(body) = read_body(body, BODY_LIMIT).await else {
+    let Some(body) = read_body(body, MAX_BODY_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let id = CallId {
         key: header_text(&parts.headers, KEY_HEADER),
         class: header_text(&parts.headers, CLASS_HEADER),
     };
-    let slot = ask(&cx, |reply| Command::Arrived(Waiter { id, reply })).await;
+    let slot = query_owner(&cx, |reply| Command::Arrived(Waiter { id, reply })).await;
     let Some(run) = slot.flatten() else {
         return text(StatusCode::SERVICE_UNAVAILABLE, "no slot");
     };
     if !run.plan.settings.ignore_cancel {
         return work(cx, run, parts, body).await;
     }
-    // A task of its own outlives the connection that this future belongs to.
+    // A separate task outlives the connection, and with it this future.
     let worker = tokio::spawn(work(cx, run, parts, body));
     worker
         .await
@@ -138,7 +138,7 @@
     } else {
         RunEnd::Failed
     });
-    truncated(json(status, &echo), &echo, &settings)
+    truncate(json(status, &echo), &echo, &settings)
 }
 
 fn status(fails: bool, downstream: &[DownstreamEcho], settings: &Settings) -> StatusCode {
@@ -170,7 +170,7 @@
     }
 }
 
-fn truncated(answer: Answer, echo: &Echo, settings: &Settings) -> Answer {
+fn truncate(answer: Answer, echo: &Echo, settings: &Settings) -> Answer {
     let Some(sent) = settings.truncate_bytes else {
         return answer;
     };
@@ -185,7 +185,7 @@
     value.map(SmolStr::from).unwrap_or_default()
 }
 
-fn asked<T>(value: Option<T>) -> Answer
+fn json_or_error<T>(value: Option<T>) -> Answer
 where
     T: serde::Serialize,
 {
@@ -195,7 +195,7 @@
     }
 }
 
-async fn ask<T, C>(cx: &Context, command: C) -> Option<T>
+async fn query_owner<T, C>(cx: &Context, command: C) -> Option<T>
 where
     C: FnOnce(oneshot::Sender<T>) -> Command,
 {
