--- a/crates/rig/src/target/settings.rs
+++ b/crates/rig/src/target/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a stand-in target, changeable while it runs.
+//! Settings of a stand-in target, which can be changed at runtime.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -17,98 +17,98 @@
     Exponential,
 }
 
-/// What happens to a call when every slot is taken.
+/// Handling of a call when all slots are in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenFull {
-    /// It waits for a slot, first in first out.
+    /// The call waits for a slot in FIFO order.
     #[default]
     Queue,
-    /// It runs at once, slower by the number of calls in flight per slot.
+    /// The call runs immediately, slowed down by the number of calls in flight per slot.
     Slow,
 }
 
-/// Whether calls to further services run one after the other.
+/// Order of the calls to downstream services.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DownstreamMode {
-    /// One after the other; the first failure ends the rest.
+    /// One after the other. With `downstream_required`, the first failure skips the rest.
     #[default]
     Sequential,
-    /// All at once.
+    /// All concurrently.
     Parallel,
 }
 
-/// What `GET /health` says.
+/// Health reported by `GET /health`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// Unhealthy while the target drains or hangs, as last published.
+    /// Unhealthy while the target is draining, as last published, or hangs.
     #[default]
     Truthful,
-    /// Healthy whatever happens.
+    /// Always healthy.
     AlwaysHealthy,
-    /// Unhealthy whatever happens.
+    /// Always unhealthy.
     AlwaysUnhealthy,
 }
 
-/// Calls to further services for calls whose path begins with `prefix`.
+/// Downstream calls for calls whose path starts with `prefix`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PathCalls {
-    /// Begin of the path as the target sees it.
+    /// Prefix of the path as received by the target.
     pub prefix: String,
-    /// The calls.
+    /// Downstream calls to make.
     pub calls: Vec<MethodPath>,
 }
 
-/// Everything that a target's behaviour depends on.
+/// Settings that determine the behaviour of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Calls that run at once.
+    /// Number of calls that run concurrently.
     pub slots: usize,
-    /// Service time in milliseconds, the mean where it is distributed.
+    /// Service time in milliseconds; the mean if `service_time` is a distribution.
     pub service_ms: f64,
     /// Distribution of the service time.
     pub service_time: ServiceTime,
-    /// What happens when every slot is taken.
+    /// Handling of calls when all slots are in use.
     pub when_full: WhenFull,
-    /// Calls that may wait for a slot; further ones are answered `503`. No limit where missing.
+    /// Maximum number of calls waiting for a slot; further ones are answered with `503`. Unlimited if not set.
     pub queue_limit: Option<usize>,
-    /// Length of the cold start in milliseconds, counted from the start of the process.
+    /// Duration of the cold start in milliseconds, measured from the start of the process.
     pub cold_ms: u64,
-    /// Factor on the service time during the cold start.
+    /// Factor applied to the service time during the cold start.
     pub cold_factor: f64,
-    /// Share of calls that are answered `500` after their work.
+    /// Fraction of calls that are answered with `500` after their work.
     pub fail_ratio: f64,
-    /// Calls take a slot and are never answered.
+    /// Whether calls take a slot and are never answered.
     pub hang: bool,
-    /// Work goes on after the caller closes its connection.
+    /// Whether work continues after the caller closes its connection.
     pub ignore_cancel: bool,
-    /// Bytes of padding in an answer.
+    /// Bytes of padding in a response.
     pub answer_bytes: usize,
-    /// Answers are cut off after this many bytes.
+    /// Number of bytes after which responses are truncated.
     pub truncate_bytes: Option<usize>,
-    /// What `GET /health` says.
+    /// Health reported by `GET /health`.
     pub health: Health,
-    /// Factor on the numbers of `GET /load`.
+    /// Factor applied to the numbers reported by `GET /load`.
     pub load_factor: f64,
-    /// Age in milliseconds that the published load and health may reach.
+    /// Maximum age of the published load and health, in milliseconds.
     pub load_lag_ms: u64,
-    /// Calls to further services for each call.
+    /// Downstream calls for each call.
     pub downstream: Vec<MethodPath>,
-    /// Calls to further services in place of `downstream` for some paths; the first that matches decides.
+    /// Downstream calls that replace `downstream` for some paths; the first match applies.
     pub downstream_of: Vec<PathCalls>,
-    /// One after the other or all at once.
+    /// Whether downstream calls run sequentially or in parallel.
     pub downstream_mode: DownstreamMode,
-    /// Naive retries of each failed call to a further service, sent at once.
+    /// Number of immediate retries, without backoff, of each failed downstream call.
     pub downstream_retries: u32,
-    /// Time limit in milliseconds of each call to a further service.
+    /// Timeout of each downstream call, in milliseconds.
     pub downstream_timeout_ms: u64,
-    /// A failed call to a further service fails the call itself with `502`.
+    /// Whether a failed downstream call fails the call itself with `502`.
     pub downstream_required: bool,
-    /// Seed of service times and failures; read at the start only.
+    /// Seed of the random service times and failures; only read at startup.
     pub seed: u64,
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl Settings {
-    /// These settings with the fields of a JSON object in place of their own.
+    /// Returns a copy with the fields of a JSON object replaced.
     pub fn with_patch(&self, patch: &[u8]) -> Result<Self, RigError> {
         let Value::Object(patch) = serde_json::from_slice(patch)? else {
             return Err(RigError::Settings("settings are a JSON object".into()));
@@ -156,16 +156,16 @@
         Ok(settings)
     }
 
-    /// Calls to further services for a call of this path.
+    /// Returns the downstream calls for a call of this path.
     pub fn calls_for(&self, path: &str) -> &[MethodPath] {
-        let special = self
+        let path_calls = self
             .downstream_of
             .iter()
-            .find(|special| path.starts_with(&special.prefix));
-        special.map_or(&self.downstream, |special| &special.calls)
+            .find(|path_calls| path.starts_with(&path_calls.prefix));
+        path_calls.map_or(&self.downstream, |path_calls| &path_calls.calls)
     }
 
-    /// Refuses values that can't be acted on.
+    /// Rejects values that are out of range.
     pub fn check(&self) -> Result<(), RigError> {
         let factors = [self.service_ms, self.cold_factor, self.load_factor];
         if factors
