--- a/crates/rig/src/target/counters.rs
+++ b/crates/rig/src/target/counters.rs
@@ -1,4 +1,4 @@
-//! Counting of a target's calls and runs.
+//! Counters of a target's calls and runs.
 
 use std::collections::btree_map::Entry;
 use std::time::Duration;
@@ -6,39 +6,39 @@
 use crate::target::run::{CallId, RunEnd};
 use crate::target::{ClassCounts, KeyRuns, TargetCounts};
 
-/// Keys that are recorded at most.
-const KEY_LIMIT: usize = 1_000_000;
+/// Maximum number of recorded keys.
+const MAX_KEYS: usize = 1_000_000;
 
-/// The counts of a target, without what is in flight at the moment.
+/// Cumulative counters of a target, without the numbers of current runs and queued calls.
 #[derive(Debug, Default)]
 pub struct Counters {
     counts: TargetCounts,
 }
 
 impl Counters {
-    /// The counts so far.
+    /// Returns a snapshot of the counters.
     pub fn counts(&self) -> TargetCounts {
         self.counts.clone()
     }
 
-    /// A call reached the target.
+    /// Counts a call that reached the target.
     pub fn on_arrived(&mut self, id: &CallId) {
         self.counts.arrived += 1;
         self.class(id).arrived += 1;
     }
 
-    /// A call was refused.
+    /// Counts a refused call.
     pub fn on_refused(&mut self) {
         self.counts.refused += 1;
     }
 
-    /// A call got a slot, with which `in_flight` are taken.
-    pub fn on_granted(&mut self, in_flight: usize) {
+    /// Records that a call got a slot and that `in_flight` slots are now in use.
+    pub fn on_slot_granted(&mut self, in_flight: usize) {
         self.counts.max_in_flight = self.counts.max_in_flight.max(in_flight);
     }
 
-    /// A call began to run.
-    pub fn on_began(&mut self, id: &CallId) {
+    /// Counts a call that started to run.
+    pub fn on_started(&mut self, id: &CallId) {
         self.counts.started += 1;
         self.class(id).started += 1;
         match self.key_runs(id) {
@@ -47,15 +47,15 @@
         }
     }
 
-    /// A call gave its slot back after `worked`.
-    pub fn on_ended(&mut self, id: &CallId, end: RunEnd, worked: Duration) {
-        let work_ms = worked.as_secs_f64() * 1000.0;
+    /// Counts a call that released its slot after `work_time`.
+    pub fn on_ended(&mut self, id: &CallId, end: RunEnd, work_time: Duration) {
+        let work_ms = work_time.as_secs_f64() * 1000.0;
         self.counts.work_ms += work_ms;
         if end != RunEnd::Finished {
             self.counts.wasted_ms += work_ms;
         }
         match end {
-            RunEnd::NotBegun => return,
+            RunEnd::NotStarted => return,
             RunEnd::Finished => {
                 self.counts.finished += 1;
                 self.class(id).finished += 1;
@@ -76,7 +76,7 @@
         if id.key.is_empty() {
             return None;
         }
-        let is_full = self.counts.keys.len() >= KEY_LIMIT;
+        let is_full = self.counts.keys.len() >= MAX_KEYS;
         match self.counts.keys.entry(id.key.clone()) {
             Entry::Occupied(entry) => Some(entry.into_mut()),
             Entry::Vacant(entry) if !is_full => Some(entry.insert(KeyRuns::default())),
@@ -88,7 +88,7 @@
 impl KeyRuns {
     fn end(&mut self, end: RunEnd) {
         match end {
-            RunEnd::NotBegun => {}
+            RunEnd::NotStarted => {}
             RunEnd::Finished => self.finished += 1,
             RunEnd::Failed => self.failed += 1,
             RunEnd::Cancelled => self.cancelled += 1,
--- a/crates/rig/src/target/owner.rs
+++ b/crates/rig/src/target/owner.rs
@@ -1,4 +1,4 @@
-//! The task that owns a target's slots, settings and counts.
+//! Task that owns the slots, settings and counters of a target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,55 +11,55 @@
 
 use crate::target::counters::Counters;
 use crate::target::run::{CallId, Run, RunEnd, RunPlan};
-use crate::target::slots::{Arrival, Slots, Waiter};
+use crate::target::slots::{Admission, Slots, Waiter};
 use crate::target::{Health, ServiceTime, Settings, TargetCounts, WhenFull};
 
-/// Longest service time, so that an extreme draw can't overflow.
+/// Upper bound of the service time, so that an extreme random value cannot overflow.
 const MAX_WORK_MS: f64 = 3_600_000.0;
 
-/// Answer of `GET /load`; may lag or lie as the settings say.
+/// Response to `GET /load`. Depending on the settings it may be outdated or scaled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Runs in flight.
+    /// Runs in progress.
     pub in_flight: usize,
-    /// Calls that wait for a slot.
+    /// Calls waiting for a slot.
     pub queued: usize,
-    /// Slots.
+    /// Number of slots.
     pub slots: usize,
-    /// Whether the target takes no new calls.
+    /// Whether the target refuses new calls.
     pub draining: bool,
 }
 
-/// Messages to the owner.
+/// Commands sent to the owner.
 #[derive(Debug)]
 pub enum Command {
-    /// A call arrived; answered with its slot, or nothing where it is refused.
+    /// A call arrived. Replies with its slot, or with `None` if it is refused.
     Arrived(Waiter),
-    /// A call began to run.
-    Began(CallId),
-    /// A call gave its slot back.
+    /// A call started to run.
+    Started(CallId),
+    /// A call released its slot.
     Ended {
         id: CallId,
         end: RunEnd,
-        worked: Duration,
+        work_time: Duration,
     },
-    /// Take no new calls from now on.
+    /// Refuse new calls from now on.
     Drain(oneshot::Sender<Load>),
-    /// The published load.
+    /// Get the published load.
     Load(oneshot::Sender<Load>),
-    /// The published health.
+    /// Get the published health.
     Health(oneshot::Sender<bool>),
-    /// The counts so far.
+    /// Get the counts.
     Counts(oneshot::Sender<TargetCounts>),
-    /// The current settings.
+    /// Get the current settings.
     Settings(oneshot::Sender<Arc<Settings>>),
     /// Replace the settings.
     Configure(Box<Settings>),
 }
 
-/// Starts the owner; it ends with its last sender.
+/// Starts the owner, which stops when its last sender is dropped.
 ///
-/// The channel is unbounded because a slot is given back in `drop`, which can't wait. Its length is bounded by the
+/// The channel is unbounded because slots are released in `drop`, which cannot wait. Its length is bounded by the
 /// number of open connections, each of which has at most one call.
 pub fn start(settings: Settings) -> mpsc::UnboundedSender<Command> {
     let (tx, rx) = mpsc::unbounded_channel();
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Replies go to nobody where the caller is gone, which is no fault.
+    /// Errors from sending a reply are ignored, since they only mean that the caller has gone away.
     fn on_command(&mut self, command: Command, now: Instant) {
         match command {
             Command::Arrived(waiter) => self.on_arrived(waiter, now),
-            Command::Began(id) => self.counters.on_began(&id),
-            Command::Ended { id, end, worked } => {
+            Command::Started(id) => self.counters.on_started(&id),
+            Command::Ended { id, end, work_time } => {
                 self.slots.release();
-                self.counters.on_ended(&id, end, worked);
+                self.counters.on_ended(&id, end, work_time);
                 self.fill_slots(now);
             }
             Command::Drain(reply) => {
@@ -142,10 +142,10 @@
         if self.draining {
             return self.refuse(waiter);
         }
-        match self.slots.arrive(waiter, &self.settings) {
-            Arrival::Run(waiter) => self.grant(waiter, now),
-            Arrival::Queued => {}
-            Arrival::Refused(waiter) => self.refuse(waiter),
+        match self.slots.admit(waiter, &self.settings) {
+            Admission::Run(waiter) => self.grant(waiter, now),
+            Admission::Queued => {}
+            Admission::Refused(waiter) => self.refuse(waiter),
         }
     }
 
@@ -159,9 +159,9 @@
         let Some(tx) = self.tx.upgrade() else {
             return;
         };
-        self.counters.on_granted(self.slots.taken());
+        self.counters.on_slot_granted(self.slots.taken());
         let run = Run::new(self.plan(now), waiter.id, tx);
-        // Where the caller is gone the run comes back and its drop gives the slot back.
+        // If the caller has gone away, the run is returned in the error and dropping it releases the slot.
         let _ = waiter.reply.send(Some(run));
     }
 
@@ -172,17 +172,18 @@
 
     fn plan(&mut self, now: Instant) -> RunPlan {
         let settings = Arc::clone(&self.settings);
-        let drawn = match settings.service_time {
+        let distribution_factor = match settings.service_time {
             ServiceTime::Fixed => 1.0,
             ServiceTime::Exponential => -(1.0 - self.rng.random::<f64>()).ln(),
         };
         let is_cold = now - self.started_at < Duration::from_millis(settings.cold_ms);
-        let cold = if is_cold { settings.cold_factor } else { 1.0 };
-        let crowded = match settings.when_full {
+        let cold_factor = if is_cold { settings.cold_factor } else { 1.0 };
+        let contention_factor = match settings.when_full {
             WhenFull::Queue => 1.0,
             WhenFull::Slow => (self.slots.taken() as f64 / settings.slots as f64).max(1.0),
         };
-        let work_ms = (settings.service_ms * drawn * cold * crowded).min(MAX_WORK_MS);
+        let work_ms = (settings.service_ms * distribution_factor * cold_factor * contention_factor)
+            .min(MAX_WORK_MS);
         let fails = self.rng.random::<f64>() < settings.fail_ratio;
         RunPlan {
             work: Duration::from_secs_f64(work_ms / 1000.0),
--- a/crates/rig/src/target/run.rs
+++ b/crates/rig/src/target/run.rs
@@ -1,4 +1,4 @@
-//! One call while it holds a slot.
+//! Call that holds a slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,76 +13,76 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It was never begun: its caller left while it waited.
-    NotBegun,
-    /// The answer is a success.
+    /// The run never started because its caller disconnected while the call was queued.
+    NotStarted,
+    /// The response is a success.
     Finished,
-    /// The answer is an error.
+    /// The response is an error.
     Failed,
     /// The caller closed its connection.
     Cancelled,
 }
 
-/// Who a call is.
+/// Key and class of a call.
 #[derive(Clone, Debug, Default)]
 pub struct CallId {
-    /// The call's `x-rig-key`, empty where it had none.
+    /// The call's `x-rig-key`, or empty if it has none.
     pub key: SmolStr,
-    /// The call's class, empty where it had none.
+    /// The call's class, or empty if it has none.
     pub class: SmolStr,
 }
 
-/// What the owner decided for a call when it got its slot.
+/// Parameters of a run, fixed by the owner when the call gets its slot.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// Time of the call's own work.
+    /// Duration of the call's own work, without downstream calls.
     pub work: Duration,
-    /// The call is answered `500` after its work.
+    /// Whether the call is answered with `500` after its work.
     pub fails: bool,
-    /// The settings at that moment.
+    /// Settings in effect when the slot was granted.
     pub settings: Arc<Settings>,
 }
 
-/// A slot taken by a call; dropping it gives the slot back.
+/// A slot held by a call. Dropping it releases the slot.
 #[derive(Debug)]
 pub struct Run {
-    /// What to do.
+    /// Parameters of the run.
     pub plan: RunPlan,
     id: CallId,
     tx: mpsc::UnboundedSender<Command>,
     end: RunEnd,
-    worked: Duration,
-    work_began: Option<Instant>,
+    work_time: Duration,
+    work_started_at: Option<Instant>,
 }
 
 impl Run {
-    /// A slot for the call `id`, reported to the owner behind `tx`.
+    /// Creates a run of the call `id` that reports to the owner through `tx`.
     pub fn new(plan: RunPlan, id: CallId, tx: mpsc::UnboundedSender<Command>) -> Self {
         Self {
             plan,
             id,
             tx,
-            end: RunEnd::NotBegun,
-            worked: Duration::ZERO,
-            work_began: None,
+            end: RunEnd::NotStarted,
+            work_time: Duration::ZERO,
+            work_started_at: None,
         }
     }
 
-    /// Tells the owner that the call runs from now on.
+    /// Reports to the owner that the call has started to run.
     pub fn begin(&mut self, now: Instant) {
         self.end = RunEnd::Cancelled;
-        self.work_began = Some(now);
-        let _ = self.tx.send(Command::Began(self.id.clone()));
+        self.work_started_at = Some(now);
+        let _ = self.tx.send(Command::Started(self.id.clone()));
     }
 
-    /// The call's own work is over.
+    /// Records the end of the call's own work.
     pub fn work_done(&mut self, now: Instant) {
-        if let Some(began) = self.work_began.take() {
-            self.worked += now - began;
+        if let Some(started_at) = self.work_started_at.take() {
+            self.work_time += now - started_at;
         }
     }
 
-    /// The answer is ready.
+    /// Records the result of the run.
     pub fn end(&mut self, end: RunEnd) {
         self.end = end;
     }
@@ -90,9 +90,9 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        // A cancelled call is dropped in the middle of its work, which then counts up to this moment.
+        // A cancelled call is dropped in the middle of its work, which is counted up to this point.
         self.work_done(Instant::now());
-        let (id, end, worked) = (std::mem::take(&mut self.id), self.end, self.worked);
-        let _ = self.tx.send(Command::Ended { id, end, worked });
+        let (id, end, work_time) = (std::mem::take(&mut self.id), self.end, self.work_time);
+        let _ = self.tx.send(Command::Ended { id, end, work_time });
     }
 }
--- a/crates/rig/src/target/slots.rs
+++ b/crates/rig/src/target/slots.rs
@@ -1,4 +1,4 @@
-//! Slots and the queue for them.
+//! Slots of a target and the queue of calls that wait for one.
 
 use std::collections::VecDeque;
 
@@ -7,27 +7,27 @@
 use crate::target::run::{CallId, Run};
 use crate::target::{Settings, WhenFull};
 
-/// A call that waits for a slot.
+/// A call that requests a slot.
 #[derive(Debug)]
 pub struct Waiter {
-    /// Who waits.
+    /// Key and class of the call.
     pub id: CallId,
-    /// Gets the slot, or nothing where the call is refused.
+    /// Receives the slot, or `None` if the call is refused.
     pub reply: oneshot::Sender<Option<Run>>,
 }
 
-/// What becomes of a call that arrives.
+/// Admission decision for an arriving call.
 #[derive(Debug)]
-pub enum Arrival {
-    /// It runs now.
+pub enum Admission {
+    /// The call runs immediately.
     Run(Waiter),
-    /// It waits.
+    /// The call waits for a slot.
     Queued,
-    /// The queue is full.
+    /// The call is refused because the queue is full.
     Refused(Waiter),
 }
 
-/// Taken slots and waiting calls.
+/// Slots in use and calls waiting for one.
 #[derive(Debug, Default)]
 pub struct Slots {
     taken: usize,
@@ -35,12 +35,12 @@
 }
 
 impl Slots {
-    /// Calls that hold a slot.
+    /// Returns the number of slots in use.
     pub fn taken(&self) -> usize {
         self.taken
     }
 
-    /// Calls that wait and whose caller is still there.
+    /// Returns the number of waiting calls whose caller is still connected.
     pub fn waiting(&self) -> usize {
         self.waiting
             .iter()
@@ -48,30 +48,30 @@
             .count()
     }
 
-    /// Takes a slot for a call or queues it.
-    pub fn arrive(&mut self, waiter: Waiter, settings: &Settings) -> Arrival {
-        if self.has_free(settings) {
+    /// Assigns a slot to a call, queues the call or refuses it.
+    pub fn admit(&mut self, waiter: Waiter, settings: &Settings) -> Admission {
+        if self.has_free_slot(settings) {
             self.taken += 1;
-            return Arrival::Run(waiter);
+            return Admission::Run(waiter);
         }
         if settings
             .queue_limit
-            .is_some_and(|limit| !self.has_room(limit))
+            .is_some_and(|limit| !self.has_queue_space(limit))
         {
-            return Arrival::Refused(waiter);
+            return Admission::Refused(waiter);
         }
         self.waiting.push_back(waiter);
-        Arrival::Queued
+        Admission::Queued
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&mut self) {
         self.taken = self.taken.saturating_sub(1);
     }
 
-    /// The next call that waits and whose caller is still there, with a slot taken for it.
+    /// Assigns a free slot to the next waiting call whose caller is still connected, and returns the call.
     pub fn next(&mut self, settings: &Settings) -> Option<Waiter> {
-        while self.has_free(settings) {
+        while self.has_free_slot(settings) {
             let waiter = self.waiting.pop_front()?;
             if !waiter.reply.is_closed() {
                 self.taken += 1;
@@ -81,15 +81,15 @@
         None
     }
 
-    /// Calls whose caller has left take no room.
-    fn has_room(&mut self, limit: usize) -> bool {
+    /// Whether the queue has space. Calls whose caller has disconnected do not count.
+    fn has_queue_space(&mut self, limit: usize) -> bool {
         if self.waiting.len() >= limit {
             self.waiting.retain(|waiter| !waiter.reply.is_closed());
         }
         self.waiting.len() < limit
     }
 
-    fn has_free(&self, settings: &Settings) -> bool {
+    fn has_free_slot(&self, settings: &Settings) -> bool {
         match settings.when_full {
             WhenFull::Queue => self.taken < settings.slots,
             WhenFull::Slow => true,
