--- a/crates/rig/tests/target.rs
+++ b/crates/rig/tests/target.rs
@@ -1,4 +1,4 @@
-//! The stand-in target: slots, cancel, drain, faults of answers and calls to further services.
+//! Tests of the stand-in target: slots, cancellation, draining, faulty responses and downstream calls.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use crate::common::{PATIENCE, counts, counts_until, keyed, target};
 
 /// Starts `n` calls with keys `k0`, `k1` and so on.
-fn burst(client: &Client, addr: std::net::SocketAddr, n: usize) -> JoinSet<u16> {
+fn start_calls(client: &Client, addr: std::net::SocketAddr, n: usize) -> JoinSet<u16> {
     let mut calls = JoinSet::new();
     for i in 0..n {
         let (client, call) = (
@@ -67,7 +67,7 @@
     let client = Client::default();
     for case in cases {
         let target = target(case.settings.clone(), None).await;
-        let _calls = burst(&client, target.addr(), 8);
+        let _calls = start_calls(&client, target.addr(), 8);
         let counts = counts_until(&client, &target, |counts| {
             counts.arrived == 8 && counts.started == case.in_flight as u64
         })
@@ -88,7 +88,7 @@
     };
     let target = target(settings, None).await;
     assert_eq!(
-        burst(&client, target.addr(), 40).join_all().await,
+        start_calls(&client, target.addr(), 40).join_all().await,
         [200; 40]
     );
     let counts = counts(&client, &target).await;
@@ -106,9 +106,8 @@
     );
 }
 
-/// Symptom: work is thrown away, or goes on unseen, after a caller has left.
-/// Sequence: a call runs, another waits for the only slot, both callers close their connections.
-/// Cause: a cancel reaches a target that honours it, or one that does not.
+/// One call runs and another waits for the only slot when both callers disconnect. A target that honours cancellation
+/// discards the work; one that ignores it finishes the work unobserved. The queued call must never run.
 #[tokio::test]
 async fn a_closed_connection_cancels() {
     struct Case {
@@ -161,9 +160,9 @@
             ..Settings::default()
         };
         let target = target(settings, None).await;
-        let runs = burst(&client, target.addr(), 1);
+        let runs = start_calls(&client, target.addr(), 1);
         counts_until(&client, &target, |counts| counts.in_flight == 1).await;
-        // The second finds the room in the queue that the first has left.
+        // The second call gets the queue space that the first one left.
         for _ in 0..2 {
             let waits = tokio::spawn({
                 let (client, call) = (
@@ -183,7 +182,11 @@
         })
         .await;
         assert_eq!(counts.keys.get("k0"), Some(&case.ran), "{counts:?}");
-        assert_eq!(counts.keys.get("waits"), None, "it never began: {counts:?}");
+        assert_eq!(
+            counts.keys.get("waits"),
+            None,
+            "the queued call must not run: {counts:?}"
+        );
         let is_wasted = case.ran.cancelled == 1 && !case.hang;
         assert!(!is_wasted || counts.wasted_ms > 0.0, "{counts:?}");
     }
@@ -198,13 +201,13 @@
         ..Settings::default()
     };
     let target = target(settings, None).await;
-    let running = burst(&client, target.addr(), 3);
+    let running = start_calls(&client, target.addr(), 3);
     counts_until(&client, &target, |counts| counts.in_flight == 3).await;
     let load = client
         .post_json(target.addr(), "/drain", &())
         .await
-        .expect("a drain");
-    let load: Load = serde_json::from_slice(&load.body).expect("a load");
+        .expect("drain");
+    let load: Load = serde_json::from_slice(&load.body).expect("parse load");
     assert_eq!(
         load,
         Load {
@@ -217,7 +220,7 @@
     let refused = client
         .send(keyed(target.addr(), "/x", "late", PATIENCE))
         .await;
-    assert_eq!(refused.expect("an answer").status.as_u16(), 503);
+    assert_eq!(refused.expect("response").status.as_u16(), 503);
     assert_eq!(running.join_all().await, [200; 3]);
     let counts = counts(&client, &target).await;
     assert_eq!((counts.finished, counts.refused), (3, 1));
@@ -245,22 +248,25 @@
             .send(keyed(target.addr(), "/health", "", PATIENCE))
             .await;
         assert_eq!(
-            answer.expect("an answer").status.as_u16(),
+            answer.expect("response").status.as_u16(),
             status,
             "{health:?} {hang}"
         );
         if hang {
-            let _hanging = burst(&client, target.addr(), 1);
+            let _hanging = start_calls(&client, target.addr(), 1);
             counts_until(&client, &target, |counts| counts.in_flight == 1).await;
-            let load: Load = client.get(target.addr(), "/load").await.expect("a load");
+            let load: Load = client
+                .get(target.addr(), "/load")
+                .await
+                .expect("parse load");
             assert_eq!(load.in_flight, 10);
         }
     }
 }
 
-/// Symptom: a caller gets a cut or failed answer, or one with foreign parts in it.
-/// Sequence: a service calls two further ones, which fail, cut their answers, or do as they should.
-/// Cause: faults of the lower target; the upper one retries naively or not at all.
+/// Guards against a truncated or failed response, or one with parts of another call in it. The upper target makes two
+/// calls to the lower one, which fails, truncates its responses or works as intended; the upper one retries
+/// immediately or not at all.
 #[tokio::test]
 async fn answers_nest_and_fail_with_further_services() {
     struct Case {
@@ -269,7 +275,7 @@
         retries: u32,
         required: bool,
         status: u16,
-        /// Sendings of each of the two calls.
+        /// Number of times each of the two calls is sent.
         sent: [u32; 2],
     }
     use DownstreamMode::{Parallel, Sequential};
@@ -308,7 +314,7 @@
         let lower = target(case.lower, None).await;
         let upper = Settings {
             downstream: ["GET /lower/a", "POST /lower/b?c=d"]
-                .map(|s| s.parse().expect("a call"))
+                .map(|s| s.parse().expect("parse call"))
                 .to_vec(),
             downstream_mode: case.mode,
             downstream_retries: case.retries,
@@ -319,9 +325,9 @@
         let answer = client
             .send(keyed(upper.addr(), "/x?y", "key", PATIENCE))
             .await;
-        let answer = answer.expect("a whole answer");
+        let answer = answer.expect("complete response");
         assert_eq!(answer.status.as_u16(), case.status, "case {number}");
-        let echo: Echo = serde_json::from_slice(&answer.body).expect("an echo");
+        let echo: Echo = serde_json::from_slice(&answer.body).expect("parse echo");
         assert!(
             echo.belongs_to("key") && !echo.belongs_to("other"),
             "case {number}: {echo:?}"
@@ -359,15 +365,15 @@
         (r#"{"downstream": ["GET a/b"]}"#, false),
         ("[]", false),
     ];
-    for (patch, is_taken) in cases {
+    for (patch, is_accepted) in cases {
         let result = client.put(target.addr(), "/settings", patch).await;
-        assert_eq!(result.is_ok(), is_taken, "{patch}: {result:?}");
+        assert_eq!(result.is_ok(), is_accepted, "{patch}: {result:?}");
     }
     let settings: Settings = client
         .get(target.addr(), "/settings")
         .await
         .expect("settings");
-    let downstream = vec!["GET /a/b".parse().expect("a call")];
+    let downstream = vec!["GET /a/b".parse().expect("parse call")];
     assert_eq!(
         settings,
         Settings {
