--- a/crates/rig/src/platform.rs
+++ b/crates/rig/src/platform.rs
@@ -14,11 +14,11 @@
 
 use crate::http::Server;
 
-pub use self::fault::{FaultMode, Faulty, Seen};
+pub use self::fault::{FaultMode, Faulty, ReadOutcome};
 pub use self::seed::Seed;
 pub use self::wire::{
     ConfigAnswer, ConfigEntry, Counts, FaultRequest, FaultScope, Instance, InstanceState,
-    InstancesAnswer, Written,
+    InstancesAnswer, WriteResponse,
 };
 
 /// A running stand-in platform; dropping it ends it.
--- a/crates/rig/src/platform/fault.rs
+++ b/crates/rig/src/platform/fault.rs
@@ -19,7 +19,7 @@
 
 /// What one call sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen<'a, T> {
+pub enum ReadOutcome<'a, T> {
     /// This state.
     State(&'a T),
     /// No answer; `drop` closes the connection.
@@ -66,13 +66,13 @@
     }
 
     /// What the call with this serial number sees.
-    pub fn seen_by(&self, call: u64) -> Seen<'_, T> {
+    pub fn read(&self, call: u64) -> ReadOutcome<'_, T> {
         match self.mode {
-            FaultMode::Up => Seen::State(&self.current),
-            FaultMode::Down => Seen::Down { drop: self.drop },
-            FaultMode::Stale => Seen::State(&self.frozen),
-            FaultMode::Flap if call.is_multiple_of(2) => Seen::State(&self.current),
-            FaultMode::Flap => Seen::State(&self.frozen),
+            FaultMode::Up => ReadOutcome::State(&self.current),
+            FaultMode::Down => ReadOutcome::Down { drop: self.drop },
+            FaultMode::Stale => ReadOutcome::State(&self.frozen),
+            FaultMode::Flap if call.is_multiple_of(2) => ReadOutcome::State(&self.current),
+            FaultMode::Flap => ReadOutcome::State(&self.frozen),
         }
     }
 }
--- a/crates/rig/src/platform/owner.rs
+++ b/crates/rig/src/platform/owner.rs
@@ -5,8 +5,8 @@
 
 use crate::platform::state::{ConfigStore, InstanceStore};
 use crate::platform::{
-    ConfigAnswer, Counts, FaultRequest, FaultScope, Faulty, Instance, InstancesAnswer, Seed, Seen,
-    Written,
+    ConfigAnswer, Counts, FaultRequest, FaultScope, Faulty, Instance, InstancesAnswer, ReadOutcome,
+    Seed, WriteResponse,
 };
 
 /// Commands that wait for the owner at most.
@@ -67,12 +67,12 @@
     PutKey {
         key: SmolStr,
         value: SmolStr,
-        reply: oneshot::Sender<Written>,
+        reply: oneshot::Sender<WriteResponse>,
     },
     /// Replace the instance list.
     PutInstances {
         instances: Vec<Instance>,
-        reply: oneshot::Sender<Written>,
+        reply: oneshot::Sender<WriteResponse>,
     },
     /// Begin or end a fault.
     Fault(FaultRequest),
@@ -141,12 +141,12 @@
             Command::PutKey { key, value, reply } => {
                 let revision = self.config.current_mut().write(key, value);
                 self.notify();
-                let _ = reply.send(Written { revision });
+                let _ = reply.send(WriteResponse { revision });
             }
             Command::PutInstances { instances, reply } => {
                 let revision = self.instances.current_mut().write(instances);
                 self.notify();
-                let _ = reply.send(Written { revision });
+                let _ = reply.send(WriteResponse { revision });
             }
             Command::Fault(fault) => {
                 self.set_fault(fault);
@@ -175,13 +175,13 @@
 
     fn read(&self, kind: ReadKind, call: Call) -> ReadAnswer {
         match kind {
-            ReadKind::Config => match self.config.seen_by(call.serial) {
-                Seen::Down { drop } => ReadAnswer::Down { drop },
-                Seen::State(store) => config_answer(store, call.after),
+            ReadKind::Config => match self.config.read(call.serial) {
+                ReadOutcome::Down { drop } => ReadAnswer::Down { drop },
+                ReadOutcome::State(store) => config_answer(store, call.after),
             },
-            ReadKind::Instances => match self.instances.seen_by(call.serial) {
-                Seen::Down { drop } => ReadAnswer::Down { drop },
-                Seen::State(store) => instances_answer(store, call.after),
+            ReadKind::Instances => match self.instances.read(call.serial) {
+                ReadOutcome::Down { drop } => ReadAnswer::Down { drop },
+                ReadOutcome::State(store) => instances_answer(store, call.after),
             },
         }
     }
--- a/crates/rig/src/platform/wire.rs
+++ b/crates/rig/src/platform/wire.rs
@@ -63,7 +63,7 @@
 
 /// Answer of an accepted write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct WriteResponse {
     /// The revision of the write.
     pub revision: u64,
 }
