--- a/crates/rig/src/platform.rs
+++ b/crates/rig/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: configuration service and instance list, with faults and counted calls.
+//! Stand-in for the platform: a configuration service and an instance list with fault injection and call counts.
 
 mod fault;
 mod owner;
@@ -21,21 +21,21 @@
     InstancesAnswer, WriteResponse,
 };
 
-/// A running stand-in platform; dropping it ends it.
+/// A running stand-in platform. Dropping it stops the server.
 #[derive(Debug)]
 pub struct Platform {
     server: Server,
 }
 
 impl Platform {
-    /// Serves the platform's interface on `listener`, with `seed` already written.
+    /// Starts serving the platform's interface on `listener`, with `seed` as the initial content.
     pub fn start(listener: TcpListener, seed: Seed) -> io::Result<Self> {
         let owner = owner::start(seed);
         let server = Server::start(listener, move |req| routes::handle(owner.clone(), req))?;
         Ok(Self { server })
     }
 
-    /// The address that the platform listens on.
+    /// Returns the listen address of the platform.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
