--- a/crates/rig/src/platform/fault.rs
+++ b/crates/rig/src/platform/fault.rs
@@ -1,39 +1,39 @@
-//! Faults of what readers see.
+//! Faults that affect the responses to readers.
 
 use serde::{Deserialize, Serialize};
 
-/// How the platform misbehaves towards readers.
+/// Fault that readers are exposed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultMode {
-    /// Readers see every write.
+    /// No fault: readers see every write.
     #[default]
     Up,
-    /// Readers get no answer.
+    /// Reads fail.
     Down,
-    /// Readers see what stood when the fault began.
+    /// Readers see a snapshot taken when the fault began.
     Stale,
-    /// Every second call sees what stood when the fault began, the others the current state.
+    /// Calls alternate between a snapshot taken when the fault began and the current state.
     Flap,
 }
 
-/// What one call sees.
+/// Result of a read through the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome<'a, T> {
-    /// This state.
+    /// The state to respond with.
     State(&'a T),
-    /// No answer; `drop` closes the connection.
+    /// The read fails.
     Down {
-        /// Whether the connection is closed without an answer.
+        /// Whether the connection is closed without a response, rather than answered with `503`.
         drop: bool,
     },
 }
 
-/// A state with a fault between it and its readers.
+/// State whose reads are subject to a fault.
 #[derive(Clone, Debug, Default)]
 pub struct Faulty<T> {
     current: T,
-    frozen: T,
+    snapshot: T,
     mode: FaultMode,
     drop: bool,
 }
@@ -42,7 +42,7 @@
 where
     T: Clone + Default,
 {
-    /// A state that readers see as it is.
+    /// Creates a state without a fault.
     pub fn new(current: T) -> Self {
         Self {
             current,
@@ -50,29 +50,29 @@
         }
     }
 
-    /// The state behind the fault, for writes.
+    /// Returns the current state for writing, regardless of the fault.
     pub fn current_mut(&mut self) -> &mut T {
         &mut self.current
     }
 
-    /// Begins a fault; `stale` and `flap` keep a copy of the current state.
+    /// Sets the fault. `Stale` and `Flap` keep a copy of the current state.
     pub fn set(&mut self, mode: FaultMode, drop: bool) {
         self.mode = mode;
         self.drop = drop;
-        self.frozen = match mode {
+        self.snapshot = match mode {
             FaultMode::Up | FaultMode::Down => T::default(),
             FaultMode::Stale | FaultMode::Flap => self.current.clone(),
         };
     }
 
-    /// What the call with this serial number sees.
+    /// Returns what the call with this sequence number reads.
     pub fn read(&self, call: u64) -> ReadOutcome<'_, T> {
         match self.mode {
             FaultMode::Up => ReadOutcome::State(&self.current),
             FaultMode::Down => ReadOutcome::Down { drop: self.drop },
-            FaultMode::Stale => ReadOutcome::State(&self.frozen),
+            FaultMode::Stale => ReadOutcome::State(&self.snapshot),
             FaultMode::Flap if call.is_multiple_of(2) => ReadOutcome::State(&self.current),
-            FaultMode::Flap => ReadOutcome::State(&self.frozen),
+            FaultMode::Flap => ReadOutcome::State(&self.snapshot),
         }
     }
 }
