--- a/crates/rig/src/platform/owner.rs
+++ b/crates/rig/src/platform/owner.rs
@@ -1,4 +1,4 @@
-//! The task that owns the platform's state.
+//! Task that owns the state of the platform.
 
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -9,19 +9,19 @@
     Seed, WriteResponse,
 };
 
-/// Commands that wait for the owner at most.
-const QUEUE: usize = 1024;
+/// Capacity of the command channel.
+const COMMAND_QUEUE_LEN: usize = 1024;
 
-/// A read call while it is open.
+/// A read call in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Serial number of the call.
-    pub serial: u64,
-    /// The revision that the reader has seen.
+    /// Sequence number of the call among those of its kind.
+    pub sequence: u64,
+    /// The last revision that the reader has seen.
     pub after: u64,
 }
 
-/// Which list a read call asks for.
+/// Resource requested by a read call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadKind {
     /// `GET /config`.
@@ -30,38 +30,38 @@
     Instances,
 }
 
-/// What a read call is answered at this moment.
+/// Current response to a read call.
 #[derive(Debug)]
 pub enum ReadAnswer {
-    /// The configuration service.
+    /// Entries of the configuration service.
     Config(ConfigAnswer),
     /// The instance list.
     Instances(InstancesAnswer),
-    /// Nothing is newer; a watch waits on, a read takes this.
+    /// Nothing is newer. A watch keeps waiting; a plain read responds with the contained value.
     Unchanged(Box<ReadAnswer>),
-    /// No answer.
+    /// The read fails.
     Down {
-        /// Whether the connection is closed without an answer.
+        /// Whether the connection is closed without a response, rather than answered with `503`.
         drop: bool,
     },
 }
 
-/// Messages to the owner.
+/// Commands sent to the owner.
 #[derive(Debug)]
 pub enum Command {
-    /// A read call arrived; answered with its serial number.
+    /// A read call arrived. Replies with its sequence number.
     Begin {
         kind: ReadKind,
         waits: bool,
         reply: oneshot::Sender<u64>,
     },
-    /// What does this call see now?
+    /// Get the current response to a read call.
     Read {
         kind: ReadKind,
         call: Call,
         reply: oneshot::Sender<ReadAnswer>,
     },
-    /// A read call was answered `503` or dropped.
+    /// A read call was answered with `503` or its connection was closed.
     Failed,
     /// Write a key.
     PutKey {
@@ -74,24 +74,24 @@
         instances: Vec<Instance>,
         reply: oneshot::Sender<WriteResponse>,
     },
-    /// Begin or end a fault.
+    /// Set or clear a fault.
     Fault(FaultRequest),
-    /// The counts so far.
+    /// Get the call counts.
     Counts(oneshot::Sender<Counts>),
 }
 
-/// The way to the owner.
+/// Handle to the owner.
 #[derive(Clone, Debug)]
 pub struct OwnerHandle {
-    /// Commands for the owner.
+    /// Sends commands to the owner.
     pub tx: mpsc::Sender<Command>,
-    /// Raised with each write and fault, so that waiting calls look again.
+    /// Changes with each write and fault, so that waiting calls read again.
     pub changes: watch::Receiver<u64>,
 }
 
-/// Starts the owner; it ends with its last handle.
+/// Starts the owner, which stops when its last handle is dropped.
 pub fn start(seed: Seed) -> OwnerHandle {
-    let (tx, rx) = mpsc::channel(QUEUE);
+    let (tx, rx) = mpsc::channel(COMMAND_QUEUE_LEN);
     let (changed, changes) = watch::channel(0);
     tokio::spawn(Owner::new(seed, changed).run(rx));
     OwnerHandle { tx, changes }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Replies go to nobody where the caller is gone, which is no fault.
+    /// Errors from sending a reply are ignored, since they only mean that the caller has gone away.
     fn on_command(&mut self, command: Command) {
         match command {
             Command::Begin { kind, waits, reply } => {
@@ -164,22 +164,22 @@
             true => self.counts.watches += 1,
             false => self.counts.reads += 1,
         }
-        // The serial counts the calls of one kind, so that a flap alternates for each kind by itself.
-        let serial = match kind {
+        // Calls are numbered per kind, so that `Flap` alternates independently for each kind.
+        let sequence = match kind {
             ReadKind::Config => &mut self.counts.config,
             ReadKind::Instances => &mut self.counts.instances,
         };
-        *serial += 1;
-        *serial
+        *sequence += 1;
+        *sequence
     }
 
     fn read(&self, kind: ReadKind, call: Call) -> ReadAnswer {
         match kind {
-            ReadKind::Config => match self.config.read(call.serial) {
+            ReadKind::Config => match self.config.read(call.sequence) {
                 ReadOutcome::Down { drop } => ReadAnswer::Down { drop },
                 ReadOutcome::State(store) => config_answer(store, call.after),
             },
-            ReadKind::Instances => match self.instances.read(call.serial) {
+            ReadKind::Instances => match self.instances.read(call.sequence) {
                 ReadOutcome::Down { drop } => ReadAnswer::Down { drop },
                 ReadOutcome::State(store) => instances_answer(store, call.after),
             },
@@ -196,7 +196,7 @@
     }
 
     fn notify(&self) {
-        self.changed.send_modify(|serial| *serial += 1);
+        self.changed.send_modify(|version| *version += 1);
     }
 }
 
--- a/crates/rig/src/platform/routes.rs
+++ b/crates/rig/src/platform/routes.rs
@@ -13,25 +13,27 @@
 use crate::platform::owner::{Call, Command, OwnerHandle, ReadAnswer, ReadKind};
 use crate::platform::{FaultRequest, Instance};
 
-/// Largest value of a key in bytes.
-const VALUE_LIMIT: usize = 1 << 20;
+/// Maximum size of a configuration value, in bytes.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Largest instance list in bytes.
-const INSTANCES_LIMIT: usize = 16 << 20;
+/// Maximum size of an instance list, in bytes.
+const MAX_INSTANCES_BYTES: usize = 16 << 20;
 
-/// Largest body of a control call in bytes.
-const CONTROL_LIMIT: usize = 4096;
+/// Maximum body size of a fault request, in bytes.
+const MAX_FAULT_BYTES: usize = 4096;
 
-/// Longest wait of a watch.
-const WAIT_LIMIT: Duration = Duration::from_secs(600);
+/// Maximum wait time of a watch.
+const MAX_WAIT: Duration = Duration::from_secs(600);
 
-/// Answers one request.
+/// Handles a request.
 pub async fn handle(owner: OwnerHandle, req: Request<Incoming>) -> Handled {
     let path = req.uri().path().to_owned();
     match (req.method(), path.as_str()) {
         (&Method::GET, "/config") => read(owner, ReadKind::Config, req.uri()).await,
         (&Method::GET, "/instances") => read(owner, ReadKind::Instances, req.uri()).await,
-        (&Method::GET, "/counts") => reply(ask(&owner, Command::Counts).await).into(),
+        (&Method::GET, "/counts") => {
+            json_or_error(query_owner(&owner, Command::Counts).await).into()
+        }
         (&Method::PUT, "/instances") => put_instances(owner, req).await.into(),
         (&Method::POST, "/fault") => set_fault(owner, req).await.into(),
         (&Method::PUT, path) => match path.strip_prefix("/config/") {
@@ -51,19 +53,20 @@
         )
         .into();
     };
-    let wait = Duration::from_millis(wait_ms).min(WAIT_LIMIT);
+    let wait = Duration::from_millis(wait_ms).min(MAX_WAIT);
     let waits = !wait.is_zero();
-    let Some(serial) = ask(&owner, |reply| Command::Begin { kind, waits, reply }).await else {
+    let Some(sequence) = query_owner(&owner, |reply| Command::Begin { kind, waits, reply }).await
+    else {
         return Handled::Drop;
     };
-    let answer = look_until_changed(&owner, kind, Call { serial, after }, wait).await;
+    let answer = read_until_changed(&owner, kind, Call { sequence, after }, wait).await;
     if matches!(answer, Some(ReadAnswer::Down { .. })) {
         let _ = owner.tx.send(Command::Failed).await;
     }
-    answer.map_or(Handled::Drop, handled)
+    answer.map_or(Handled::Drop, into_handled)
 }
 
-async fn look_until_changed(
+async fn read_until_changed(
     owner: &OwnerHandle,
     kind: ReadKind,
     call: Call,
@@ -72,9 +75,9 @@
     let deadline = Instant::now() + wait;
     let mut changes = owner.changes.clone();
     loop {
-        // Seen before the look: a write between look and wait is then still noticed by the wait.
+        // Marked before reading, so that a write between the read and the wait still ends the wait.
         changes.mark_unchanged();
-        let answer = ask(owner, |reply| Command::Read { kind, call, reply }).await?;
+        let answer = query_owner(owner, |reply| Command::Read { kind, call, reply }).await?;
         let ReadAnswer::Unchanged(last) = answer else {
             return Some(answer);
         };
@@ -85,40 +88,40 @@
     }
 }
 
-fn handled(answer: ReadAnswer) -> Handled {
+fn into_handled(answer: ReadAnswer) -> Handled {
     match answer {
         ReadAnswer::Config(answer) => json(StatusCode::OK, &answer).into(),
         ReadAnswer::Instances(answer) => json(StatusCode::OK, &answer).into(),
-        ReadAnswer::Unchanged(answer) => handled(*answer),
+        ReadAnswer::Unchanged(answer) => into_handled(*answer),
         ReadAnswer::Down { drop: true } => Handled::Drop,
         ReadAnswer::Down { drop: false } => empty(StatusCode::SERVICE_UNAVAILABLE).into(),
     }
 }
 
 async fn put_key(owner: OwnerHandle, key: SmolStr, req: Request<Incoming>) -> Answer {
-    let Some(body) = read_body(req.into_body(), VALUE_LIMIT).await else {
+    let Some(body) = read_body(req.into_body(), MAX_VALUE_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let Ok(value) = std::str::from_utf8(&body) else {
         return text(StatusCode::BAD_REQUEST, "the value is UTF-8 text");
     };
     let value = value.into();
-    reply(ask(&owner, |reply| Command::PutKey { key, value, reply }).await)
+    json_or_error(query_owner(&owner, |reply| Command::PutKey { key, value, reply }).await)
 }
 
 async fn put_instances(owner: OwnerHandle, req: Request<Incoming>) -> Answer {
-    let Some(body) = read_body(req.into_body(), INSTANCES_LIMIT).await else {
+    let Some(body) = read_body(req.into_body(), MAX_INSTANCES_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let instances: Vec<Instance> = match serde_json::from_slice(&body) {
         Ok(instances) => instances,
         Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
     };
-    reply(ask(&owner, |reply| Command::PutInstances { instances, reply }).await)
+    json_or_error(query_owner(&owner, |reply| Command::PutInstances { instances, reply }).await)
 }
 
 async fn set_fault(owner: OwnerHandle, req: Request<Incoming>) -> Answer {
-    let Some(body) = read_body(req.into_body(), CONTROL_LIMIT).await else {
+    let Some(body) = read_body(req.into_body(), MAX_FAULT_BYTES).await else {
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let fault: FaultRequest = match serde_json::from_slice(&body) {
@@ -131,7 +134,7 @@
     }
 }
 
-async fn ask<T, C>(owner: &OwnerHandle, command: C) -> Option<T>
+async fn query_owner<T, C>(owner: &OwnerHandle, command: C) -> Option<T>
 where
     C: FnOnce(oneshot::Sender<T>) -> Command,
 {
@@ -140,7 +143,7 @@
     rx.await.ok()
 }
 
-fn reply<T>(value: Option<T>) -> Answer
+fn json_or_error<T>(value: Option<T>) -> Answer
 where
     T: Serialize,
 {
