--- a/crates/rig/src/platform/seed.rs
+++ b/crates/rig/src/platform/seed.rs
@@ -1,4 +1,4 @@
-//! What the platform holds when it starts.
+//! Initial content of the platform.
 
 use std::ffi::OsStr;
 use std::fs;
@@ -9,16 +9,16 @@
 use crate::error::RigError;
 use crate::platform::Instance;
 
-/// Keys and instances written before the first reader.
+/// Configuration entries and instances written before the first read.
 #[derive(Clone, Debug, Default)]
 pub struct Seed {
-    /// Keys and values, written in this order.
+    /// Configuration entries, written in this order.
     pub config: Vec<SeedEntry>,
-    /// The instance list; revision 0 stays where it is empty.
+    /// The instance list. If it is empty, the revision of the list stays at 0.
     pub instances: Vec<Instance>,
 }
 
-/// One key with its first value.
+/// Initial value of a key.
 #[derive(Clone, Debug)]
 pub struct SeedEntry {
     /// The key.
@@ -28,8 +28,8 @@
 }
 
 impl Seed {
-    /// Reads document files, or every file of a directory, as `documents/{name up to the first dot}`, and the instance
-    /// list from a JSON file.
+    /// Reads documents from files or from all files of a directory, and the instance list from a JSON file. A document
+    /// gets the key `documents/{name}`, where the name is the file name up to the first dot.
     pub fn read(documents: &[PathBuf], instances: Option<&Path>) -> Result<Self, RigError> {
         let mut seed = Self::default();
         for path in documents {
