--- a/crates/rig/src/platform/state.rs
+++ b/crates/rig/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! The platform's stores.
+//! Stores of the configuration entries and the instance list.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::platform::{ConfigAnswer, ConfigEntry, Instance, InstancesAnswer};
 
-/// Keys, values and revisions of the configuration service.
+/// Entries of the configuration service with their revisions.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigStore {
     revision: u64,
@@ -14,7 +14,7 @@
 }
 
 impl ConfigStore {
-    /// Writes a key and returns the revision of the write.
+    /// Writes a value and returns the revision of the write.
     pub fn write(&mut self, key: SmolStr, value: SmolStr) -> u64 {
         self.revision += 1;
         let entry = ConfigEntry {
@@ -26,7 +26,7 @@
         self.revision
     }
 
-    /// What a reader that has seen `after` is told.
+    /// Returns the entries that are newer than revision `after`.
     pub fn read(&self, after: u64) -> ConfigAnswer {
         let newer = self.entries.values().filter(|entry| entry.revision > after);
         ConfigAnswer {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The instance list and its revision.
+/// Instance list with its revision.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceStore {
     revision: u64,
@@ -44,14 +44,14 @@
 }
 
 impl InstanceStore {
-    /// Replaces the list and returns its revision.
+    /// Replaces the list and returns its new revision.
     pub fn write(&mut self, instances: Vec<Instance>) -> u64 {
         self.revision += 1;
         self.instances = instances;
         self.revision
     }
 
-    /// What a reader that has seen `after` is told.
+    /// Returns the list if it is newer than revision `after`, otherwise an empty list.
     pub fn read(&self, after: u64) -> InstancesAnswer {
         let instances = if self.revision > after {
             self.instances.clone()
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether a reader that has seen `after` has missed a change.
+    /// Whether the list is newer than revision `after`.
     pub fn is_newer(&self, after: u64) -> bool {
         self.revision > after
     }
