--- a/crates/rig/src/platform/wire.rs
+++ b/crates/rig/src/platform/wire.rs
@@ -1,9 +1,9 @@
-//! JSON types of the platform's interface.
+//! JSON types of the platform's HTTP interface.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// One key of the configuration service.
+/// Entry of the configuration service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEntry {
     /// The key, such as `documents/bidding`.
@@ -14,26 +14,26 @@
     pub value: SmolStr,
 }
 
-/// Answer of `GET /config`.
+/// Response to `GET /config`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigAnswer {
     /// The highest revision of the store.
     pub revision: u64,
-    /// Every key above the revision that the reader named.
+    /// Every entry that is newer than the revision given by the reader.
     pub entries: Vec<ConfigEntry>,
 }
 
-/// State of an instance in the list.
+/// State of an instance in the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// The instance takes work.
+    /// The instance accepts calls.
     Live,
-    /// The instance is about to go.
+    /// The instance is about to shut down.
     Leaving,
 }
 
-/// One instance of the list.
+/// Instance in the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Name of the instance's node.
@@ -48,27 +48,27 @@
     pub peer: SmolStr,
     /// Address of the node's `operators` listener.
     pub operators: SmolStr,
-    /// Live or leaving.
+    /// Whether the instance is live or leaving.
     pub state: InstanceState,
 }
 
-/// Answer of `GET /instances`.
+/// Response to `GET /instances`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstancesAnswer {
     /// The revision of the list.
     pub revision: u64,
-    /// The whole list, empty where the reader already has this revision.
+    /// The complete list, or empty if the reader already has this revision.
     pub instances: Vec<Instance>,
 }
 
-/// Answer of an accepted write.
+/// Response to an accepted write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteResponse {
     /// The revision of the write.
     pub revision: u64,
 }
 
-/// Which reads a fault touches.
+/// Reads that a fault applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultScope {
@@ -85,29 +85,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRequest {
-    /// The fault from now on.
+    /// Fault to apply from now on.
     pub mode: super::FaultMode,
-    /// Which reads it touches.
+    /// Reads that the fault applies to.
     #[serde(default)]
     pub scope: FaultScope,
-    /// Whether `down` closes connections without an answer in place of `503`.
+    /// Whether `down` closes connections without a response instead of answering with `503`.
     #[serde(default)]
     pub drop: bool,
 }
 
-/// Answer of `GET /counts`: read calls by kind; writes and control calls aren't counted.
+/// Response to `GET /counts`: read calls by kind. Writes and control calls are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All read calls, also those that met a fault; a waiting watch counts as one.
+    /// All read calls, including those affected by a fault. A watch counts once, however long it waits.
     pub calls: u64,
-    /// Calls without `wait_ms`.
+    /// Calls with `wait_ms` absent or zero.
     pub reads: u64,
-    /// Calls with `wait_ms`.
+    /// Calls with a non-zero `wait_ms`.
     pub watches: u64,
     /// Calls of `GET /config`.
     pub config: u64,
     /// Calls of `GET /instances`.
     pub instances: u64,
-    /// Calls that were answered `503` or dropped.
+    /// Calls that were answered with `503` or whose connection was closed.
     pub failed: u64,
 }
