--- a/crates/rig/tests/platform.rs
+++ b/crates/rig/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform: reads, watches, faults and counts.
+//! Tests of the stand-in platform: reads, watches, faults and call counts.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use crate::common::{listener, until};
 
 async fn platform() -> Platform {
-    Platform::start(listener().await, Seed::default()).expect("a platform")
+    Platform::start(listener().await, Seed::default()).expect("start platform")
 }
 
 fn instance(node: &str, state: InstanceState) -> Instance {
@@ -68,11 +68,11 @@
         client
             .put(platform.addr(), &path, value)
             .await
-            .expect("a write");
+            .expect("write");
     }
     for case in &cases {
         let path = format!("/config?after={}&wait_ms=0", case.after);
-        let answer: ConfigAnswer = client.get(platform.addr(), &path).await.expect("a read");
+        let answer: ConfigAnswer = client.get(platform.addr(), &path).await.expect("read");
         let keys: Vec<_> = answer
             .entries
             .iter()
@@ -108,7 +108,7 @@
     client
         .put(addr, "/config/documents/a", "1")
         .await
-        .expect("a write");
+        .expect("write");
     let list = [
         instance("n1", InstanceState::Live),
         instance("n2", InstanceState::Leaving),
@@ -116,14 +116,15 @@
     client
         .put_json(addr, "/instances", &list)
         .await
-        .expect("a write");
+        .expect("write");
 
-    let config = config.await.expect("a task").expect("an answer");
-    let config: ConfigAnswer = serde_json::from_value(config).expect("the documented form");
+    let config = config.await.expect("join task").expect("response");
+    let config: ConfigAnswer = serde_json::from_value(config).expect("parse config response");
     assert_eq!((config.revision, config.entries.len()), (1, 1));
-    let instances = instances.await.expect("a task").expect("an answer");
+    let instances = instances.await.expect("join task").expect("response");
     assert_eq!(instances["instances"][1]["state"], "leaving");
-    let instances: InstancesAnswer = serde_json::from_value(instances).expect("the same");
+    let instances: InstancesAnswer =
+        serde_json::from_value(instances).expect("parse instances response");
     assert_eq!(
         (instances.revision, instances.instances),
         (1, list.to_vec())
@@ -132,27 +133,26 @@
     let empty: ConfigAnswer = client
         .get(addr, "/config?after=1&wait_ms=5")
         .await
-        .expect("a read");
+        .expect("read");
     assert_eq!((empty.revision, empty.entries), (1, Vec::new()));
     let counts = counts(&client, &platform).await;
     assert_eq!((counts.calls, counts.watches, counts.instances), (3, 3, 1));
 }
 
-/// Symptom: a reader acts on an old document, or on none.
-/// Sequence: a document is written, a fault begins, a newer one is written, readers look several times.
-/// Cause: the platform is down, serves an old copy, or serves old and current copies in turn.
+/// Under a fault readers get an outdated document or none: the platform is down, serves an old copy, or alternates
+/// between the old and the current copy. The fault begins between two writes, and readers read several times after it.
 #[tokio::test]
 async fn faults_change_what_readers_see() {
     struct Case {
         mode: FaultMode,
         scope: FaultScope,
         drop: bool,
-        /// Revisions seen by three reads of `/config`; `None` for no answer.
+        /// Revisions returned by three reads of `/config`, `None` for a failed read.
         config: [Option<u64>; 3],
-        /// The same of `/instances`.
+        /// Revisions returned by three reads of `/instances`.
         instances: [Option<u64>; 3],
     }
-    const NEW: [Option<u64>; 3] = [Some(2); 3];
+    const CURRENT: [Option<u64>; 3] = [Some(2); 3];
     const OLD: [Option<u64>; 3] = [Some(1); 3];
     const NONE: [Option<u64>; 3] = [None; 3];
     const FLAP: [Option<u64>; 3] = [Some(1), Some(2), Some(1)];
@@ -163,8 +163,8 @@
             mode: Up,
             scope: All,
             drop: false,
-            config: NEW,
-            instances: NEW,
+            config: CURRENT,
+            instances: CURRENT,
         },
         Case {
             mode: Down,
@@ -178,7 +178,7 @@
             scope: Config,
             drop: true,
             config: NONE,
-            instances: NEW,
+            instances: CURRENT,
         },
         Case {
             mode: Stale,
@@ -191,7 +191,7 @@
             mode: Stale,
             scope: Instances,
             drop: false,
-            config: NEW,
+            config: CURRENT,
             instances: OLD,
         },
         Case {
@@ -215,17 +215,17 @@
             client
                 .put(addr, "/config/documents/a", format!("{step}"))
                 .await
-                .expect("a write");
+                .expect("write");
             let list = [instance("n1", InstanceState::Live)];
             client
                 .put_json(addr, "/instances", &list)
                 .await
-                .expect("a write");
+                .expect("write");
             if step == 0 {
                 client
                     .post_json(addr, "/fault", &fault)
                     .await
-                    .expect("a fault");
+                    .expect("set fault");
             }
         }
         for (path, seen) in [("/config", &case.config), ("/instances", &case.instances)] {
@@ -258,8 +258,8 @@
         client
             .post_json(addr, "/fault", &up)
             .await
-            .expect("the end of the fault");
-        let healed: ConfigAnswer = client.get(addr, "/config").await.expect("a read");
+            .expect("clear fault");
+        let healed: ConfigAnswer = client.get(addr, "/config").await.expect("read");
         assert_eq!(healed.revision, 2, "after {:?}", case.mode);
     }
 }
@@ -288,8 +288,11 @@
         matches!(read, Err(RigError::Status { status: 400, .. })),
         "{read:?}"
     );
-    let whole = client
+    let max_size = client
         .put(platform.addr(), "/config/a", vec![b'x'; 1 << 20])
         .await;
-    assert!(whole.is_ok(), "a value of the largest size: {whole:?}");
+    assert!(
+        max_size.is_ok(),
+        "value of the maximum size rejected: {max_size:?}"
+    );
 }
