--- a/crates/rig/src/platform/seed.rs
+++ b/crates/rig/src/platform/seed.rs
@@ -61,7 +61,7 @@
             .and_then(|name| name.split('.').next());
         let Some(name) = name.filter(|name| !name.is_empty()) else {
             return Err(RigError::Settings(format!(
-                "{} has no usable name",
+                "cannot derive a document name from {}",
                 path.display()
             )));
         };
