--- a/crates/rig/src/platform/routes.rs
+++ b/crates/rig/src/platform/routes.rs
@@ -49,7 +49,7 @@
     let (Some(after), Some(wait_ms)) = (query.number("after"), query.number("wait_ms")) else {
         return text(
             StatusCode::BAD_REQUEST,
-            "after and wait_ms must be non-negative integers",
+            "after and wait_ms are whole numbers",
         )
         .into();
     };
@@ -103,7 +103,7 @@
         return empty(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let Ok(value) = std::str::from_utf8(&body) else {
-        return text(StatusCode::BAD_REQUEST, "the value must be UTF-8 text");
+        return text(StatusCode::BAD_REQUEST, "the value is UTF-8 text");
     };
     let value = value.into();
     json_or_error(query_owner(&owner, |reply| Command::PutKey { key, value, reply }).await)
--- a/crates/rig/src/proxy/faults.rs
+++ b/crates/rig/src/proxy/faults.rs
@@ -65,14 +65,12 @@
         let times = [self.latency_ms, self.jitter_ms, self.reorder_ms];
         if times.iter().any(|ms| !(0.0..=MAX_LATENCY_MS).contains(ms)) {
             return Err(RigError::Settings(
-                "latency_ms, jitter_ms and reorder_ms must be between 0 and 600000".into(),
+                "latencies are from 0 to 600000 ms".into(),
             ));
         }
         let shares = [self.loss, self.duplicate, self.reorder];
         if shares.iter().any(|share| !(0.0..=1.0).contains(share)) {
-            return Err(RigError::Settings(
-                "loss, duplicate and reorder must be between 0 and 1".into(),
-            ));
+            return Err(RigError::Settings("shares are from 0 to 1".into()));
         }
         Ok(())
     }
--- a/crates/rig/src/target/settings.rs
+++ b/crates/rig/src/target/settings.rs
@@ -145,7 +145,7 @@
     /// Returns a copy with the fields of a JSON object replaced.
     pub fn with_patch(&self, patch: &[u8]) -> Result<Self, RigError> {
         let Value::Object(patch) = serde_json::from_slice(patch)? else {
-            return Err(RigError::Settings("settings must be a JSON object".into()));
+            return Err(RigError::Settings("settings are a JSON object".into()));
         };
         let mut fields = serde_json::to_value(self)?;
         if let Value::Object(fields) = &mut fields {
@@ -173,16 +173,14 @@
             .any(|factor| !factor.is_finite() || *factor < 0.0)
         {
             return Err(RigError::Settings(
-                "service_ms, cold_factor and load_factor must be finite and non-negative".into(),
+                "times and factors are finite and not negative".into(),
             ));
         }
         if !(0.0..=1.0).contains(&self.fail_ratio) {
-            return Err(RigError::Settings(
-                "fail_ratio must be between 0 and 1".into(),
-            ));
+            return Err(RigError::Settings("fail_ratio is from 0 to 1".into()));
         }
         if self.slots == 0 {
-            return Err(RigError::Settings("slots must be at least 1".into()));
+            return Err(RigError::Settings("slots is at least 1".into()));
         }
         Ok(())
     }
