--- a/crates/rig/src/target/routes.rs
+++ b/crates/rig/src/target/routes.rs
@@ -109,7 +109,7 @@
     if !run.plan.settings.ignore_cancel {
         return work(cx, run, parts, body).await;
     }
-    // A separate task outlives the connection, and with it this future.
+    // A separate task keeps running when the connection closes and this future is dropped.
     let worker = tokio::spawn(work(cx, run, parts, body));
     worker
         .await
--- a/crates/rig/tests/proxy.rs
+++ b/crates/rig/tests/proxy.rs
@@ -37,9 +37,8 @@
     Proxy::start(plan).await.expect("start proxy")
 }
 
-/// Guards against TCP faults that do not affect calls as configured: a call fails, hangs, or runs without its response
-/// arriving when the link to its target closes, truncates or holds back traffic in one or both directions. A call sent
-/// after the fault has ended must succeed.
+/// A call fails, hangs, or runs without its response arriving when the link to its target closes, truncates or holds
+/// back traffic in one or both directions. A call sent after the fault has ended succeeds.
 #[tokio::test]
 async fn tcp_faults_break_or_hold_calls() {
     #[derive(Debug, PartialEq)]
