--- a/crates/rig/tests/common/hostile_peer.rs
+++ b/crates/rig/tests/common/hostile_peer.rs
@@ -1,4 +1,4 @@
-//! A QUIC client that keeps none of the peers' rules.
+//! QUIC client and server that send arbitrary bytes and frames to the nodes of a fleet.
 
 use std::future::IntoFuture;
 use std::net::SocketAddr;
@@ -16,43 +16,48 @@
 
 use super::common::PATIENCE;
 
-/// A connection to a node's listener for peers.
+/// Client connection to a node's peer listener.
 pub struct HostilePeer {
     pub connection: Connection,
     _endpoint: Endpoint,
 }
 
 impl HostilePeer {
-    /// Connects with the certificate of a `tls` section, or with none; `None` where the handshake fails here.
+    /// Connects with the client certificate of the `tls` section `identity`, or without one.
+    ///
+    /// `trusted` is the section whose CA verifies the node. Returns `None` if the handshake fails on this side.
     pub async fn connect(
-        to: SocketAddr,
+        addr: SocketAddr,
         node: &str,
-        trust: &Value,
-        own: Option<&Value>,
+        trusted: &Value,
+        identity: Option<&Value>,
     ) -> Option<Self> {
         let mut roots = RootCertStore::empty();
-        for cert in rustls_pemfile::certs(&mut pem(trust, "ca_pem").as_bytes()) {
-            roots.add(cert.expect("a certificate")).expect("an anchor");
+        for cert in rustls_pemfile::certs(&mut pem_text(trusted, "ca_pem").as_bytes()) {
+            roots
+                .add(cert.expect("valid CA certificate"))
+                .expect("usable trust anchor");
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let tls = rustls::ClientConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .expect("a protocol version")
+            .expect("TLS 1.3 is supported")
             .with_root_certificates(roots);
-        let mut tls = match own {
+        let mut tls = match identity {
             None => tls.with_no_client_auth(),
-            Some(own) => {
-                let (chain, key) = pair(own);
-                tls.with_client_auth_cert(chain, key).expect("a pair")
+            Some(identity) => {
+                let (chain, key) = parse_identity(identity);
+                tls.with_client_auth_cert(chain, key)
+                    .expect("key matches the certificate")
             }
         };
         tls.alpn_protocols = vec![b"coltsfootport/1".to_vec()];
-        let tls = QuicClientConfig::try_from(tls).expect("a QUIC configuration");
+        let tls = QuicClientConfig::try_from(tls).expect("TLS configuration suits QUIC");
         let mut cfg = ClientConfig::new(Arc::new(tls));
         cfg.transport_config(Arc::new(TransportConfig::default()));
-        let mut endpoint = Endpoint::client(loopback(0)).expect("an endpoint");
+        let mut endpoint = Endpoint::client(loopback(0)).expect("failed to bind the QUIC endpoint");
         endpoint.set_default_client_config(cfg);
-        let connecting = endpoint.connect(to, node).expect("a valid name");
+        let connecting = endpoint.connect(addr, node).expect("valid server name");
         let connection = timeout(PATIENCE, connecting).await.ok()?.ok()?;
         Some(Self {
             connection,
@@ -60,7 +65,7 @@
         })
     }
 
-    /// Sends bytes on a stream of their own, ends it, and waits until the node has ended its side.
+    /// Sends bytes on a new stream, finishes it, and returns what the node sends until it closes its side.
     pub async fn send(&self, bytes: &[u8]) -> Vec<u8> {
         let Ok((mut tx, mut rx)) = self.connection.open_bi().await else {
             return Vec::new();
@@ -68,53 +73,61 @@
         let _ = tx.write_all(bytes).await;
         let _ = tx.finish();
         let reply = timeout(PATIENCE, rx.read_to_end(1 << 20)).await;
-        reply.expect("the node ends the stream").unwrap_or_default()
+        reply
+            .expect("node did not close the stream in time")
+            .unwrap_or_default()
     }
 
-    /// Opens a stream, sends bytes and leaves it open.
-    pub async fn hold(&self, bytes: &[u8]) -> Option<SendStream> {
+    /// Sends bytes on a new stream without finishing it.
+    pub async fn send_unfinished(&self, bytes: &[u8]) -> Option<SendStream> {
         let (mut tx, _) = self.connection.open_bi().await.ok()?;
         tx.write_all(bytes).await.ok()?;
         Some(tx)
     }
 
-    /// Sends a control request; `None` where no reply comes.
-    pub async fn control(&self, request: ControlRequest) -> Option<ControlReply> {
+    /// Sends a control request and returns the reply, or `None` if there is none.
+    pub async fn send_control(&self, request: ControlRequest) -> Option<ControlReply> {
         let (mut tx, mut rx) = self.connection.open_bi().await.ok()?;
-        tx.write_all(&framed(&PeerRequest::Control(request)))
+        tx.write_all(&encode_head(&PeerRequest::Control(request)))
             .await
             .ok()?;
         tx.finish().ok()?;
         let head = timeout(PATIENCE, read_head(&mut rx, 1 << 20)).await;
-        match head.expect("the node ends the stream").ok()?.value {
+        match head
+            .expect("node did not close the stream in time")
+            .ok()?
+            .value
+        {
             PeerReply::Control(reply) => Some(reply),
             PeerReply::Call(_) => None,
         }
     }
 }
 
-/// Serves under the certificate of a `tls` section; each stream is answered by what `answer` makes of its request.
-pub fn serve<A>(at: SocketAddr, own: &Value, answer: A) -> Endpoint
+/// Starts a server with the certificate of the `tls` section `identity`.
+///
+/// On each stream it sends the bytes that `answer` returns for the request; for `None` it keeps the stream open without a reply.
+pub fn start_server<A>(addr: SocketAddr, identity: &Value, answer: A) -> Endpoint
 where
     A: Fn(PeerRequest) -> Option<Vec<u8>> + Clone + Send + 'static,
 {
-    let (chain, key) = pair(own);
+    let (chain, key) = parse_identity(identity);
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut tls = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .expect("a protocol version")
+        .expect("TLS 1.3 is supported")
         .with_no_client_auth()
         .with_single_cert(chain, key)
-        .expect("a pair");
+        .expect("key matches the certificate");
     tls.alpn_protocols = vec![b"coltsfootport/1".to_vec()];
-    let tls = QuicServerConfig::try_from(tls).expect("a QUIC configuration");
+    let tls = QuicServerConfig::try_from(tls).expect("TLS configuration suits QUIC");
     let cfg = ServerConfig::with_crypto(Arc::new(tls));
-    let endpoint = Endpoint::server(cfg, at).expect("an endpoint");
-    tokio::spawn(accept(endpoint.clone(), answer));
+    let endpoint = Endpoint::server(cfg, addr).expect("failed to bind the QUIC endpoint");
+    tokio::spawn(accept_connections(endpoint.clone(), answer));
     endpoint
 }
 
-async fn accept<A>(endpoint: Endpoint, answer: A)
+async fn accept_connections<A>(endpoint: Endpoint, answer: A)
 where
     A: Fn(PeerRequest) -> Option<Vec<u8>> + Clone + Send + 'static,
 {
@@ -127,7 +140,10 @@
             while let Ok((mut tx, mut rx)) = connection.accept_bi().await {
                 let answer = answer.clone();
                 tokio::spawn(async move {
-                    let request = read_head(&mut rx, 1 << 20).await.expect("a head").value;
+                    let request = read_head(&mut rx, 1 << 20)
+                        .await
+                        .expect("valid frame head")
+                        .value;
                     match answer(request) {
                         Some(bytes) => drop(tx.write_all(&bytes).await),
                         None => drop(tx.stopped().await),
@@ -138,25 +154,32 @@
     }
 }
 
-fn pair(own: &Value) -> (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>) {
-    let chain = rustls_pemfile::certs(&mut pem(own, "cert_pem").as_bytes())
+/// Parses the certificate chain and private key of a `tls` section.
+fn parse_identity(identity: &Value) -> (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>) {
+    let chain = rustls_pemfile::certs(&mut pem_text(identity, "cert_pem").as_bytes())
         .collect::<Result<_, _>>()
-        .expect("a chain");
-    let key = rustls_pemfile::private_key(&mut pem(own, "key_pem").as_bytes());
-    (chain, key.expect("a PEM text").expect("a key"))
+        .expect("valid certificate chain");
+    let key = rustls_pemfile::private_key(&mut pem_text(identity, "key_pem").as_bytes());
+    (
+        chain,
+        key.expect("valid PEM")
+            .expect("private key in the PEM text"),
+    )
 }
 
-/// A head as a node writes it.
-pub fn framed<T>(head: &T) -> Vec<u8>
+/// Encodes a frame head with its length prefix, as nodes do.
+pub fn encode_head<T>(head: &T) -> Vec<u8>
 where
     T: Serialize,
 {
-    let head = postcard::to_allocvec(head).expect("an encodable head");
+    let head = postcard::to_allocvec(head).expect("failed to encode the frame head");
     let mut bytes = (head.len() as u32).to_be_bytes().to_vec();
     bytes.extend(head);
     bytes
 }
 
-fn pem<'a>(tls: &'a Value, key: &str) -> &'a str {
-    tls["tls"][key].as_str().expect("a PEM text")
+fn pem_text<'a>(tls: &'a Value, key: &str) -> &'a str {
+    tls["tls"][key]
+        .as_str()
+        .expect("PEM text in the `tls` section")
 }
--- a/crates/rig/tests/hostile_peers.rs
+++ b/crates/rig/tests/hostile_peers.rs
@@ -1,4 +1,4 @@
-//! Peers that lie, flood or send garbage harm neither the node nor the calls of others.
+//! Forged, excessive or malformed traffic from a peer must not affect the node or unrelated calls.
 
 mod common;
 #[path = "common/hostile_peer.rs"]
@@ -21,20 +21,20 @@
 use serde_json::{Value, json};
 
 use common::{metric, text, until};
-use hostile_peer::{HostilePeer, framed, serve};
+use hostile_peer::{HostilePeer, encode_head, start_server};
 
 /// The attacked node.
 const VICTIM: &str = "bidding-1";
 
-/// The name in the certificate that the hostile peer holds.
-const STRANGER: &str = "bidding-9";
+/// Node name in the certificate of the hostile peer.
+const ATTACKER: &str = "bidding-9";
 
-async fn fleet() -> Fleet {
-    fleet_with(1000).await
+async fn start_fleet() -> Fleet {
+    start_fleet_with_frame_timeout(1000).await
 }
 
-/// A fleet in which a frame has so many milliseconds to arrive.
-async fn fleet_with(frame_ms: u64) -> Fleet {
+/// Starts a fleet whose nodes wait at most `frame_ms` milliseconds for a complete frame.
+async fn start_fleet_with_frame_timeout(frame_ms: u64) -> Fleet {
     let plan = FleetPlan {
         services: vec![
             ServicePlan::new("bidding", &["a"]),
@@ -43,31 +43,37 @@
         node: json!({ "limits": { "header_timeout_ms": frame_ms, "peer_streams": 1024 } }),
         ..FleetPlan::default()
     };
-    Fleet::start(plan).await.expect("a fleet")
+    Fleet::start(plan).await.expect("failed to start the fleet")
 }
 
 fn node_program() -> std::path::PathBuf {
-    Programs::beside_this().expect("programs").node
+    Programs::beside_this()
+        .expect("programs not found beside the test")
+        .node
 }
 
-/// The `tls` section of a node of that name.
-fn tls(keys: &FleetKeys, name: &str) -> Value {
-    let sections = keys.sections(&node_program(), name).expect("keys");
+/// Returns the `tls` settings section of the node `name`.
+fn tls_section(keys: &FleetKeys, name: &str) -> Value {
+    let sections = keys
+        .sections(&node_program(), name)
+        .expect("failed to create the keys");
     let found = sections.into_iter().find(|part| part.get("tls").is_some());
-    found.expect("a tls section")
+    found.expect("missing `tls` section")
 }
 
-async fn insider(fleet: &Fleet) -> HostilePeer {
-    insider_with(fleet, &tls(&fleet.keys, STRANGER)).await
+/// Connects the hostile peer to the attacked node with a valid certificate of the fleet.
+async fn connect_attacker(fleet: &Fleet) -> HostilePeer {
+    connect_with_identity(fleet, &tls_section(&fleet.keys, ATTACKER)).await
 }
 
-async fn insider_with(fleet: &Fleet, own: &Value) -> HostilePeer {
+async fn connect_with_identity(fleet: &Fleet, identity: &Value) -> HostilePeer {
     let to = fleet.member(VICTIM).addresses.peers;
-    let peer = HostilePeer::connect(to, VICTIM, own, Some(own)).await;
-    peer.expect("a connection")
+    let peer = HostilePeer::connect(to, VICTIM, identity, Some(identity)).await;
+    peer.expect("failed to connect to the node")
 }
 
-async fn rejected(fleet: &Fleet, what: &str) -> u64 {
+/// Reads how often the attacked node has rejected something for the reason `what`.
+async fn rejected_count(fleet: &Fleet, what: &str) -> u64 {
     let operators = fleet.member(VICTIM).addresses.operators;
     metric(
         &fleet.client,
@@ -77,20 +83,24 @@
     .await
 }
 
-/// Calls from outside and from node to node are served, and no invariant is broken.
-async fn serves(fleet: &Fleet, after: &str) {
+/// Asserts that calls through every node to both services succeed and that no invariant is violated.
+async fn assert_serving(fleet: &Fleet, after: &str) {
     for entry in fleet.entries() {
         for service in ["bidding", "prices"] {
             let call = ClientCall::new(entry, Method::GET, format!("/{service}/lots/1"));
-            let answer = fleet.client.send(call).await.expect("an answer");
+            let answer = fleet.client.send(call).await.expect("call failed");
             assert_eq!(answer.status, 200, "after {after}: {}", text(&answer));
         }
     }
-    let breaches = fleet.breaches().await.expect("statuses");
+    let breaches = fleet
+        .breaches()
+        .await
+        .expect("failed to read the node statuses");
     assert_eq!(breaches, Vec::<String>::new(), "after {after}");
 }
 
-fn call(change: fn(&mut CallFrame)) -> Vec<u8> {
+/// Encodes a valid call frame with its body after applying `change` to the frame.
+fn call_bytes(change: fn(&mut CallFrame)) -> Vec<u8> {
     let body = b"bid";
     let mut frame = CallFrame {
         stamp: Stamp::default(),
@@ -114,16 +124,17 @@
         body_crc: checksum(body),
     };
     change(&mut frame);
-    let mut bytes = framed(&PeerRequest::Call(Box::new(frame)));
+    let mut bytes = encode_head(&PeerRequest::Call(Box::new(frame)));
     bytes.extend(body);
     bytes
 }
 
-fn control(request: ControlRequest) -> Vec<u8> {
-    framed(&PeerRequest::Control(request))
+fn control_bytes(request: ControlRequest) -> Vec<u8> {
+    encode_head(&PeerRequest::Control(request))
 }
 
-fn hello(node: &str, state: NodeState) -> HelloFrame {
+/// Builds a greeting whose numbers are at their extremes.
+fn hello_frame(node: &str, state: NodeState) -> HelloFrame {
     HelloFrame {
         stamp: Stamp {
             wall_ms: u64::MAX,
@@ -144,7 +155,7 @@
     }
 }
 
-fn digest(node: &str) -> DigestFrame {
+fn digest_frame(node: &str) -> DigestFrame {
     DigestFrame {
         state_report: StateReportFrame {
             node: node.into(),
@@ -159,7 +170,7 @@
     }
 }
 
-fn news(node: &str) -> NewsFrame {
+fn news_frame(node: &str) -> NewsFrame {
     NewsFrame {
         node: node.into(),
         notices: Vec::new(),
@@ -167,72 +178,85 @@
     }
 }
 
-// Symptom: whoever reaches the peers' port runs calls at the target or changes the view of the fleet.
-// Sequence: a client without a certificate, then one with a certificate of another fleet, connects and asks.
-// Cause: the accepting side takes any client, or any certificate.
+// Clients without a certificate or with one from another fleet must be rejected and counted. If the peer listener accepted
+// them, anyone who can reach its port could run calls at the target or change the node's view of the fleet.
 #[tokio::test(flavor = "multi_thread")]
 async fn strangers_are_refused_and_counted() {
-    let fleet = fleet().await;
-    let trust = tls(&fleet.keys, STRANGER);
-    let other = FleetKeys::random(&node_program()).expect("keys");
+    let fleet = start_fleet().await;
+    let trusted = tls_section(&fleet.keys, ATTACKER);
+    let other = FleetKeys::random(&node_program()).expect("failed to create the keys");
     let cases = [
-        ("no certificate", None),
-        ("another fleet", Some(tls(&other, VICTIM))),
+        ("client without a certificate", None),
+        (
+            "certificate of another fleet",
+            Some(tls_section(&other, VICTIM)),
+        ),
     ];
     let to = fleet.member(VICTIM).addresses.peers;
     for (name, own) in cases {
-        let before = rejected(&fleet, "certificate").await;
-        if let Some(peer) = HostilePeer::connect(to, VICTIM, &trust, own.as_ref()).await {
-            let reply = peer.control(ControlRequest::Ping).await;
+        let before = rejected_count(&fleet, "certificate").await;
+        if let Some(peer) = HostilePeer::connect(to, VICTIM, &trusted, own.as_ref()).await {
+            let reply = peer.send_control(ControlRequest::Ping).await;
             assert!(reply.is_none(), "{name}: {reply:?}");
             peer.connection.closed().await;
         }
-        until(async || (rejected(&fleet, "certificate").await > before).then_some(())).await;
-        serves(&fleet, name).await;
+        until(async || (rejected_count(&fleet, "certificate").await > before).then_some(())).await;
+        assert_serving(&fleet, name).await;
     }
 }
 
-/// Bytes of a peer with a valid certificate and what they are counted as.
-struct Garbage {
+/// Bytes sent by a peer with a valid certificate, and the rejection they are counted as, if any.
+struct FrameCase {
     name: &'static str,
     bytes: Vec<u8>,
     counted: Option<&'static str>,
 }
 
-// Symptom: a defective or malicious node of the fleet takes other nodes down, by one message.
-// Sequence: each frame of the table arrives on a connection with a valid certificate.
-// Cause: a length, number or name of a frame is believed: allocation of 4 GiB, overflow of an instant, an index out of
-//   bounds, a second request smuggled into the target's connection.
+// A single message of a defective or malicious node, sent with a valid certificate, must not take another node down.
+// Using a length, number or name of a frame unchecked leads to a 4 GiB allocation, overflow of an `Instant`, an index out of
+// bounds, or a second request smuggled into the target's connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn frames_of_a_hostile_peer_end_on_their_own_stream() {
-    let fleet = fleet().await;
-    let peer = insider(&fleet).await;
+    let fleet = start_fleet().await;
+    let peer = connect_attacker(&fleet).await;
     let frame = Some("frame");
-    let far = |name: &str| StateReportFrame {
+    let leaving = |name: &str| StateReportFrame {
         node: name.into(),
         incarnation: 0,
         state: NodeState::Leaving,
         tick: u64::MAX,
     };
-    let garbage = |name, bytes, counted| Garbage {
+    let case = |name, bytes, counted| FrameCase {
         name,
         bytes,
         counted,
     };
     let cases = [
-        garbage("garbage", vec![0, 0, 0, 4, 255, 255, 255, 255], frame),
-        garbage("no head", vec![0, 0, 0, 0], frame),
-        garbage("a head of 4 GiB", vec![255; 64], frame),
-        garbage("a cut length", vec![0, 0], None),
-        garbage("a cut head", vec![0, 0, 1, 0, 1], None),
-        garbage("a wrong checksum", call(|f| f.body_crc ^= 1), frame),
-        garbage("a body of 4 GiB", call(|f| f.body_len = u32::MAX), frame),
-        garbage("a cut body", call(|f| f.body_len = 100), None),
-        garbage("an unknown class", call(|f| f.class = 200), frame),
-        garbage("a bad method", call(|f| f.method = "P OST".into()), frame),
-        garbage(
-            "a bad header",
-            call(|f| {
+        case(
+            "undecodable head",
+            vec![0, 0, 0, 4, 255, 255, 255, 255],
+            frame,
+        ),
+        case("empty head", vec![0, 0, 0, 0], frame),
+        case("4 GiB head", vec![255; 64], frame),
+        case("truncated length prefix", vec![0, 0], None),
+        case("truncated head", vec![0, 0, 1, 0, 1], None),
+        case(
+            "wrong body checksum",
+            call_bytes(|f| f.body_crc ^= 1),
+            frame,
+        ),
+        case("4 GiB body", call_bytes(|f| f.body_len = u32::MAX), frame),
+        case("truncated body", call_bytes(|f| f.body_len = 100), None),
+        case("unknown class", call_bytes(|f| f.class = 200), frame),
+        case(
+            "invalid method",
+            call_bytes(|f| f.method = "P OST".into()),
+            frame,
+        ),
+        case(
+            "line break in a header value",
+            call_bytes(|f| {
                 f.headers = vec![HeaderFrame {
                     name: "x".into(),
                     value: b"a\r\nb: c".to_vec(),
@@ -240,50 +264,57 @@
             }),
             frame,
         ),
-        garbage(
-            "a path of no URI",
-            call(|f| f.path = "no path".into()),
+        case(
+            "path that is not a valid URI",
+            call_bytes(|f| f.path = "no path".into()),
+            None,
+        ),
+        case(
+            "maximum remaining time",
+            call_bytes(|f| f.remaining_us = u64::MAX),
             None,
         ),
-        garbage(
-            "a deadline without end",
-            call(|f| f.remaining_us = u64::MAX),
+        case(
+            "no remaining time",
+            call_bytes(|f| f.remaining_us = 0),
             None,
         ),
-        garbage("no time left", call(|f| f.remaining_us = 0), None),
-        garbage(
-            "another service",
-            call(|f| f.service = "prices".into()),
+        case(
+            "call to a service the node does not host",
+            call_bytes(|f| f.service = "prices".into()),
             None,
         ),
-        garbage(
-            "far words",
-            control(ControlRequest::StateReports(vec![far("x")])),
+        case(
+            "state report about an unknown node",
+            control_bytes(ControlRequest::StateReports(vec![leaving("x")])),
             None,
         ),
-        garbage(
-            "own words",
-            control(ControlRequest::Greet(hello(STRANGER, NodeState::Serving))),
+        case(
+            "greeting with extreme values",
+            control_bytes(ControlRequest::Greet(hello_frame(
+                ATTACKER,
+                NodeState::Serving,
+            ))),
             None,
         ),
-        garbage(
-            "a digest from the future",
-            control(ControlRequest::Digest(digest(STRANGER))),
+        case(
+            "digest with extreme revisions",
+            control_bytes(ControlRequest::Digest(digest_frame(ATTACKER))),
             None,
         ),
-        garbage(
-            "a pull of everything",
-            control(ControlRequest::PullSince(0)),
+        case(
+            "pull since revision 0",
+            control_bytes(ControlRequest::PullSince(0)),
             None,
         ),
-        garbage(
-            "a pull from the future",
-            control(ControlRequest::PullList(u64::MAX)),
+        case(
+            "list pull from the highest revision",
+            control_bytes(ControlRequest::PullList(u64::MAX)),
             None,
         ),
-        garbage(
-            "an entry that is no document",
-            control(ControlRequest::Entries(vec![EntryFrame {
+        case(
+            "entry with malformed JSON",
+            control_bytes(ControlRequest::Entries(vec![EntryFrame {
                 key: "documents/".into(),
                 revision: 2,
                 value: "{".into(),
@@ -292,94 +323,109 @@
         ),
     ];
     for case in cases {
-        let before = rejected(&fleet, "frame").await;
+        let before = rejected_count(&fleet, "frame").await;
         peer.send(&case.bytes).await;
         if case.counted.is_some() {
-            until(async || (rejected(&fleet, "frame").await == before + 1).then_some(())).await;
+            until(async || (rejected_count(&fleet, "frame").await == before + 1).then_some(()))
+                .await;
         } else {
-            assert_eq!(rejected(&fleet, "frame").await, before, "{}", case.name);
+            assert_eq!(
+                rejected_count(&fleet, "frame").await,
+                before,
+                "{}",
+                case.name
+            );
         }
-        serves(&fleet, case.name).await;
+        assert_serving(&fleet, case.name).await;
     }
 }
 
-// Symptom: the target takes the body of one call for another call's request.
-// Sequence: a peer sends a call whose headers name another length than its body has.
-// Cause: the host passes on headers that belong to one connection, as they came from the peer.
+// Guards against request smuggling: a peer sends hop-by-hop or framing headers that do not match the body. If the host
+// forwarded them unchanged, the target would read the body of one call as the request of another.
 #[tokio::test(flavor = "multi_thread")]
 async fn framing_headers_of_a_peer_do_not_reach_the_target() {
-    let fleet = fleet().await;
-    let peer = insider(&fleet).await;
+    let fleet = start_fleet().await;
+    let peer = connect_attacker(&fleet).await;
     for (name, value) in [
         ("content-length", "90"),
         ("transfer-encoding", "chunked"),
         ("connection", "close"),
     ] {
-        let before = fleet.counts("bidding").await.expect("counts")[0].started;
-        let mut bytes = call(|f| f.remaining_us = 3_000_000);
-        let PeerRequest::Call(mut frame) =
-            postcard::from_bytes(&bytes[4..bytes.len() - 3]).expect("the own frame")
+        let before = fleet
+            .counts("bidding")
+            .await
+            .expect("failed to read the target counts")[0]
+            .started;
+        let mut bytes = call_bytes(|f| f.remaining_us = 3_000_000);
+        let PeerRequest::Call(mut frame) = postcard::from_bytes(&bytes[4..bytes.len() - 3])
+            .expect("failed to decode the encoded frame")
         else {
-            unreachable!("a call")
+            unreachable!("the frame is a call")
         };
         frame.headers = vec![HeaderFrame {
             name: name.into(),
             value: value.into(),
         }];
-        bytes = framed(&PeerRequest::Call(frame));
+        bytes = encode_head(&PeerRequest::Call(frame));
         bytes.extend(b"bid");
         let reply = peer.send(&bytes).await;
         let echo = String::from_utf8_lossy(&reply).into_owned();
         assert!(echo.contains("\"body_bytes\":3"), "{name}: {echo}");
-        let after = fleet.counts("bidding").await.expect("counts")[0].started;
+        let after = fleet
+            .counts("bidding")
+            .await
+            .expect("failed to read the target counts")[0]
+            .started;
         assert_eq!(after, before + 1, "{name}");
-        serves(&fleet, name).await;
+        assert_serving(&fleet, name).await;
     }
 }
 
-// Symptom: a node gets no work any more although it is well, or its place is taken by another.
-// Sequence: a peer with a certificate of its own greets, announces, compares or tells news under the name of another.
-// Cause: the name in the message is believed, not that of the certificate.
+// A peer sends greetings, announcements, digests and news under another node's name. If the name in the message were
+// trusted instead of the name in the certificate, a healthy node could lose its calls or be impersonated.
 #[tokio::test(flavor = "multi_thread")]
 async fn nobody_speaks_under_the_name_of_another() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let forged = [
-        ControlRequest::Greet(hello("prices-1", NodeState::Leaving)),
-        ControlRequest::Announce(hello("prices-1", NodeState::Leaving)),
-        ControlRequest::Announce(hello("PRICES 1", NodeState::Leaving)),
-        ControlRequest::Digest(digest("prices-1")),
-        ControlRequest::News(news("prices-1")),
+        ControlRequest::Greet(hello_frame("prices-1", NodeState::Leaving)),
+        ControlRequest::Announce(hello_frame("prices-1", NodeState::Leaving)),
+        ControlRequest::Announce(hello_frame("PRICES 1", NodeState::Leaving)),
+        ControlRequest::Digest(digest_frame("prices-1")),
+        ControlRequest::News(news_frame("prices-1")),
     ];
     for request in forged {
         let name = format!("{:?}", request.kind());
-        let before = rejected(&fleet, "name").await;
-        let peer = insider(&fleet).await;
-        assert!(peer.control(request).await.is_none(), "{name}");
-        until(async || (rejected(&fleet, "name").await > before).then_some(())).await;
-        serves(&fleet, &name).await;
+        let before = rejected_count(&fleet, "name").await;
+        let peer = connect_attacker(&fleet).await;
+        assert!(peer.send_control(request).await.is_none(), "{name}");
+        until(async || (rejected_count(&fleet, "name").await > before).then_some(())).await;
+        assert_serving(&fleet, &name).await;
     }
-    let peer = insider(&fleet).await;
-    let own = ControlRequest::Announce(hello(STRANGER, NodeState::Serving));
-    assert!(matches!(peer.control(own).await, Some(ControlReply::Done)));
+    let peer = connect_attacker(&fleet).await;
+    let request = ControlRequest::Announce(hello_frame(ATTACKER, NodeState::Serving));
+    assert!(matches!(
+        peer.send_control(request).await,
+        Some(ControlReply::Done)
+    ));
 }
 
-// Symptom: one peer keeps all others out, seen as calls between nodes that expire.
-// Sequence: a peer opens connection after connection, each with as many streams as it may, and ends no frame.
-// Cause: places for streams are shared by all peers, and a frame may take for ever to arrive.
+// One peer opens many connections with the maximum number of streams each and completes no frame. If all peers shared one
+// stream limit, or a frame could take forever to arrive, calls between other nodes would expire.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peer_that_opens_thousands_of_streams_does_not_keep_others_out() {
-    // With much time for a frame only the count of connections bounds the peer, with little only the time its last ones.
+    // With a long frame timeout only the connection limit bounds the peer; with a short one the timeout also closes the streams
+    // of its last connections.
     for frame_ms in [60_000, 1000] {
-        let mut fleet = fleet_with(frame_ms).await;
-        serves(&fleet, "the start").await;
-        let own = tls(&fleet.keys, STRANGER);
+        let mut fleet = start_fleet_with_frame_timeout(frame_ms).await;
+        assert_serving(&fleet, "startup").await;
+        let identity = tls_section(&fleet.keys, ATTACKER);
         let mut held = Vec::new();
         let mut streams = 0;
         for _ in 0..18 {
-            let peer = insider_with(&fleet, &own).await;
+            let peer = connect_with_identity(&fleet, &identity).await;
             let mut open = Vec::new();
             for _ in 0..1000 {
-                let opening = peer.hold(&[0, 0, 1]);
+                let opening = peer.send_unfinished(&[0, 0, 1]);
                 match tokio::time::timeout(Duration::from_millis(500), opening).await {
                     Ok(Some(tx)) => open.push(tx),
                     _ => break,
@@ -389,39 +435,52 @@
             held.push((peer, open));
         }
         assert!(streams >= 17_000, "{streams} streams");
-        serves(&fleet, "the streams").await;
-        let node = fleet.member_mut(VICTIM).node().expect("a node").pid();
+        assert_serving(&fleet, "opening the streams").await;
+        let node = fleet
+            .member_mut(VICTIM)
+            .node()
+            .expect("node is not running")
+            .pid();
         let used = common::resident(node);
         println!("{streams} streams, {used} bytes resident");
-        assert!(used < 112 << 20, "{used} bytes");
-        let (_, last) = held.last_mut().expect("a connection");
-        let ended = last.last_mut().expect("a stream").stopped();
+        assert!(used < 112 << 20, "{used} bytes resident");
+        let (_, last) = held.last_mut().expect("no connection was opened");
+        let ended = last.last_mut().expect("no stream was opened").stopped();
         if frame_ms < 60_000 {
             let ended = tokio::time::timeout(common::PATIENCE, ended).await;
-            assert!(ended.is_ok(), "a stream without an end is still open");
+            assert!(
+                ended.is_ok(),
+                "an unfinished stream is still open after the frame timeout"
+            );
         }
     }
 }
 
-// Symptom: memory and traffic of every node grow with what one peer invents.
-// Sequence: a peer passes on words of tens of thousands of nodes, and documents of a hundred services, that don't exist.
-// Cause: words and entries are taken from peers without a bound, and passed on.
+// A peer sends state reports of tens of thousands of nonexistent nodes and documents of a hundred nonexistent services. If
+// nodes stored and forwarded these without a bound, the memory and traffic of every node would grow with them.
 #[tokio::test(flavor = "multi_thread")]
 async fn words_and_documents_that_a_peer_invents_take_bounded_room() {
-    let mut fleet = fleet().await;
-    let peer = insider(&fleet).await;
+    let mut fleet = start_fleet().await;
+    let peer = connect_attacker(&fleet).await;
     let nodes = [VICTIM, "prices-1"];
-    let pids = nodes.map(|name| fleet.member_mut(name).node().expect("a node").pid());
+    let pids = nodes.map(|name| {
+        fleet
+            .member_mut(name)
+            .node()
+            .expect("node is not running")
+            .pid()
+    });
     let before = pids.map(common::resident);
     for batch in 0..4 {
-        let word = |i| StateReportFrame {
+        let state_report = |i| StateReportFrame {
             node: format!("invented-{batch}-{i}").into(),
             incarnation: 1,
             state: NodeState::Leaving,
             tick: 1,
         };
-        let words = (0..8000).map(word).collect();
-        peer.control(ControlRequest::StateReports(words)).await;
+        let reports = (0..8000).map(state_report).collect();
+        peer.send_control(ControlRequest::StateReports(reports))
+            .await;
     }
     for i in 0..100 {
         let entry = EntryFrame {
@@ -429,28 +488,34 @@
             revision: 1000 + i,
             value: "x".repeat(900_000),
         };
-        peer.control(ControlRequest::Entries(vec![entry])).await;
+        peer.send_control(ControlRequest::Entries(vec![entry]))
+            .await;
     }
     for ((name, pid), before) in nodes.iter().zip(pids).zip(before) {
         let grown = common::resident(pid).saturating_sub(before);
-        println!("{name}: 32000 invented words, 90 MB of documents: {grown} bytes");
-        assert!(grown < 80 << 20, "{name}: {grown} bytes");
+        println!(
+            "{name}: memory growth after 32000 forged state reports and 90 MB of documents: {grown} bytes"
+        );
+        assert!(grown < 80 << 20, "{name}: memory grew by {grown} bytes");
     }
-    serves(&fleet, "the inventions").await;
+    assert_serving(&fleet, "forged state reports and documents").await;
 }
 
-// Symptom: a call that its caller may still repeat is refused for good, or a node's memory grows with each message.
-// Sequence: a peer asks for the refusal of tokens: of other nodes, of other runs, and of more than there is room for.
-// Cause: a record is kept for each token that anybody names.
+// A peer requests refusal of tokens of other nodes, of other incarnations, and of more tokens than the table holds. If a
+// record were kept for every token in a request, memory would grow with each message and a call that its caller may still
+// retry would be refused permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_of_invented_tokens_take_no_unbounded_room() {
-    let mut fleet = fleet().await;
-    let peer = insider(&fleet).await;
+    let mut fleet = start_fleet().await;
+    let peer = connect_attacker(&fleet).await;
     let greeted = peer
-        .control(ControlRequest::Greet(hello(STRANGER, NodeState::Serving)))
+        .send_control(ControlRequest::Greet(hello_frame(
+            ATTACKER,
+            NodeState::Serving,
+        )))
         .await;
     let Some(ControlReply::Hello(victim)) = greeted else {
-        panic!("no greeting: {greeted:?}")
+        panic!("unexpected reply to the greeting: {greeted:?}")
     };
     let token = |id, home: &str, incarnation| Token {
         id,
@@ -460,31 +525,35 @@
         tick: Tick(victim.report.tick),
     };
     for (name, foreign) in [
-        ("another node", token(1, "prices-1", 7)),
-        ("another run", token(1, VICTIM, 7)),
+        ("token of another node", token(1, "prices-1", 7)),
+        ("token of another incarnation", token(1, VICTIM, 7)),
     ] {
         let refuse = ControlRequest::Refuse {
             token: foreign,
             up_to: u32::MAX,
         };
-        let reply = peer.control(refuse).await;
+        let reply = peer.send_control(refuse).await;
         let unknown = matches!(reply, Some(ControlReply::Refuse(RefusalFrame::Unknown)));
         assert!(unknown, "{name}: {reply:?}");
     }
-    let pid = fleet.member_mut(VICTIM).node().expect("a node").pid();
+    let pid = fleet
+        .member_mut(VICTIM)
+        .node()
+        .expect("node is not running")
+        .pid();
     let before = common::resident(pid);
     for id in 0..2000 {
         let refuse = ControlRequest::Refuse {
             token: token(id, VICTIM, victim.report.incarnation),
             up_to: u32::MAX,
         };
-        assert!(peer.control(refuse).await.is_some());
+        assert!(peer.send_control(refuse).await.is_some());
     }
     let grown = common::resident(pid).saturating_sub(before);
-    println!("2000 invented tokens: {grown} bytes");
-    assert!(grown < 16 << 20, "{grown} bytes");
-    serves(&fleet, "the refusals").await;
-    let forged = call(|f| {
+    println!("memory growth after 2000 forged tokens: {grown} bytes");
+    assert!(grown < 16 << 20, "memory grew by {grown} bytes");
+    assert_serving(&fleet, "refusal requests").await;
+    let forged = call_bytes(|f| {
         f.once = Some(OnceFrame {
             token: Token {
                 id: 1,
@@ -496,26 +565,39 @@
             number: 1,
         });
     });
-    let before = fleet.counts("bidding").await.expect("counts")[0].started;
+    let before = fleet
+        .counts("bidding")
+        .await
+        .expect("failed to read the target counts")[0]
+        .started;
     peer.send(&forged).await;
-    let after = fleet.counts("bidding").await.expect("counts")[0].started;
-    assert_eq!(after, before, "a token of another home ran");
+    let after = fleet
+        .counts("bidding")
+        .await
+        .expect("failed to read the target counts")[0]
+        .started;
+    assert_eq!(
+        after, before,
+        "a call with a token of another home node was run"
+    );
 }
 
-/// Replies of a hostile host to a call, by the query of its path.
-fn reply_of_a_hostile_host(request: PeerRequest) -> Option<Vec<u8>> {
-    let own = |state| hello("prices-1", state).report;
+/// Builds the reply of a hostile host; the query string of the call's path selects the fault.
+fn faulty_reply(request: PeerRequest) -> Option<Vec<u8>> {
+    let report = |state| hello_frame("prices-1", state).report;
     let call = match request {
         PeerRequest::Call(call) => call,
         PeerRequest::Control(ControlRequest::Greet(_)) => {
-            let mut greeting = hello("prices-1", NodeState::Serving);
+            let mut greeting = hello_frame("prices-1", NodeState::Serving);
             greeting.report.tick = 1;
             greeting.report.level_class = 7;
             greeting.report.revision = 0;
             let reply = ControlReply::Hello(greeting);
-            return Some(framed(&PeerReply::Control(reply)));
+            return Some(encode_head(&PeerReply::Control(reply)));
+        }
+        PeerRequest::Control(_) => {
+            return Some(encode_head(&PeerReply::Control(ControlReply::Done)));
         }
-        PeerRequest::Control(_) => return Some(framed(&PeerReply::Control(ControlReply::Done))),
     };
     let mode = call.path.split_once('?').map_or("", |(_, mode)| mode);
     let mut reply = ReplyFrame {
@@ -527,7 +609,7 @@
             headers: Vec::new(),
             replayed: false,
         },
-        report: own(NodeState::Serving),
+        report: report(NodeState::Serving),
         body_len: 2,
         body_crc: checksum(b"ok"),
     };
@@ -536,7 +618,7 @@
     match mode {
         "garbage" => return Some(vec![0, 0, 0, 4, 255, 255, 255, 255]),
         "giant" => return Some(vec![255; 64]),
-        "control" => return Some(framed(&PeerReply::Control(ControlReply::Done))),
+        "control" => return Some(encode_head(&PeerReply::Control(ControlReply::Done))),
         "cut" => return Some(vec![0, 0, 1, 0, 1]),
         "hang" => return None,
         "sum" => reply.body_crc ^= 1,
@@ -544,28 +626,28 @@
         "short" => reply.body_len = 100,
         "attempt" => reply.attempt ^= 1,
         "allowance" => reply.allowance_left = u16::MAX,
-        "name" => reply.report = hello("bidding-1", NodeState::Leaving).report,
+        "name" => reply.report = hello_frame("bidding-1", NodeState::Leaving).report,
         _ => {}
     }
-    let mut bytes = framed(&PeerReply::Call(Box::new(reply)));
+    let mut bytes = encode_head(&PeerReply::Call(Box::new(reply)));
     bytes.extend(b"ok");
     Some(bytes)
 }
 
-// Symptom: a caller takes something else for the answer to its call, or an entry believes what one host says of another.
-// Sequence: a host with a valid certificate replies to a call in each way of the table; then other calls are made.
-// Cause: a reply is believed before its length, sum, attempt and name are checked.
+// A host with a valid certificate sends each faulty reply of the table; calls made afterwards must still succeed. If a reply
+// were used before its length, checksum, attempt and node name are checked, the caller would get a wrong answer, or the entry
+// node would accept a report that one host makes about another.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_replies_anything_harms_its_own_call_only() {
-    let mut fleet = fleet().await;
-    serves(&fleet, "the start").await;
+    let mut fleet = start_fleet().await;
+    assert_serving(&fleet, "startup").await;
     let host = fleet.member_mut("prices-1");
-    host.kill_node().expect("a kill");
+    host.kill_node().expect("failed to kill the node");
     let at = host.addresses.peers;
-    let endpoint = serve(at, &tls(&fleet.keys, "prices-1"), reply_of_a_hostile_host);
+    let endpoint = start_server(at, &tls_section(&fleet.keys, "prices-1"), faulty_reply);
     let get = async |path: String| {
         let mut call = ClientCall::new(fleet.member(VICTIM).addresses.callers, Method::GET, path);
-        let limit = "1500".parse().expect("a value");
+        let limit = "1500".parse().expect("valid header value");
         call.headers.insert("coltsfootport-deadline-ms", limit);
         let path = call.path.clone();
         let answer = fleet.client.send(call).await;
@@ -590,7 +672,7 @@
     for (mode, status, counted) in cases {
         let mut before = Vec::new();
         for what in ["frame", "reply", "name"] {
-            let expected = rejected(&fleet, what).await + u64::from(counted == Some(what));
+            let expected = rejected_count(&fleet, what).await + u64::from(counted == Some(what));
             before.push((what, expected));
         }
         let answer = get(format!("/prices/p?{mode}")).await;
@@ -598,7 +680,11 @@
         let outcome = answer.header("coltsfootport-outcome");
         assert_eq!(outcome, Some("unknown"), "{mode}");
         for (what, expected) in before {
-            assert_eq!(rejected(&fleet, what).await, expected, "{mode}: {what}");
+            assert_eq!(
+                rejected_count(&fleet, what).await,
+                expected,
+                "{mode}: {what}"
+            );
         }
         for _ in 0..2 {
             assert_eq!(
@@ -610,7 +696,10 @@
         let good = async || (get("/prices/p".into()).await.body == "ok").then_some(());
         until(good).await;
     }
-    let breaches = fleet.breaches().await.expect("statuses");
+    let breaches = fleet
+        .breaches()
+        .await
+        .expect("failed to read the node statuses");
     assert_eq!(breaches, Vec::<String>::new());
     endpoint.close(0u32.into(), b"end");
 }
