--- a/crates/rig/tests/hostile_callers.rs
+++ b/crates/rig/tests/hostile_callers.rs
@@ -1,4 +1,4 @@
-//! Callers and targets that send anything, or nothing, take bounded memory and harm no other call.
+//! Malformed, slow or excessive traffic from callers and targets must use bounded memory and not affect other calls.
 
 mod common;
 
@@ -24,14 +24,16 @@
 /// Largest body in these tests, in bytes.
 const BODY_BYTES: usize = 64 * 1024;
 
-/// Most connections of callers where thousands come.
+/// Limit on the connections of callers in the test that opens thousands of them.
 const CONNECTIONS: u64 = 2200;
 
-/// Memory that a connection may take beside its body, in bytes.
+/// Memory that a connection may use in addition to its body, in bytes.
 const CONNECTION_BYTES: u64 = 32 * 1024;
 
-/// A fleet of two services with one instance each, the first of which has settings and a target of its own.
-async fn fleet(node: Value, target: Settings) -> Fleet {
+/// Starts a fleet of two services with one instance each.
+///
+/// `node` and `target` are the settings of the node and target of the first service, `bidding`.
+async fn start_fleet(node: Value, target: Settings) -> Fleet {
     let bidding = ServicePlan {
         node,
         target,
@@ -41,31 +43,33 @@
         services: vec![bidding, ServicePlan::new("prices", &["a"])],
         ..FleetPlan::default()
     };
-    Fleet::start(plan).await.expect("a fleet")
+    Fleet::start(plan).await.expect("failed to start the fleet")
 }
 
-fn victim(fleet: &Fleet) -> SocketAddr {
+fn victim_addr(fleet: &Fleet) -> SocketAddr {
     fleet.member(VICTIM).addresses.callers
 }
 
 async fn send(fleet: &Fleet, call: ClientCall) -> ClientAnswer {
-    fleet.client.send(call).await.expect("an answer")
+    fleet.client.send(call).await.expect("call failed")
 }
 
-/// A call to the attacked node with headers.
+/// Builds a call to the attacked node with the given headers.
 fn call(fleet: &Fleet, method: Method, path: &str, headers: &[(&str, &str)]) -> ClientCall {
-    let mut call = ClientCall::new(victim(fleet), method, path);
+    let mut call = ClientCall::new(victim_addr(fleet), method, path);
     call.timeout = PATIENCE;
     for (name, value) in headers {
-        let name = HeaderName::try_from(*name).expect("a name");
-        call.headers
-            .append(name, HeaderValue::from_str(value).expect("a value"));
+        let name = HeaderName::try_from(*name).expect("valid header name");
+        call.headers.append(
+            name,
+            HeaderValue::from_str(value).expect("valid header value"),
+        );
     }
     call
 }
 
-/// Calls through every node to `services` are served, and no invariant is broken.
-async fn serves(fleet: &Fleet, services: &[&str], after: &str) {
+/// Asserts that calls through every node to `services` succeed and that no invariant is violated.
+async fn assert_serving(fleet: &Fleet, services: &[&str], after: &str) {
     for entry in fleet.entries() {
         for service in services {
             let call = ClientCall::new(entry, Method::GET, format!("/{service}/lots/1"));
@@ -73,46 +77,52 @@
             assert_eq!(answer.status, 200, "after {after}: {}", text(&answer));
         }
     }
-    let breaches = fleet.breaches().await.expect("statuses");
+    let breaches = fleet
+        .breaches()
+        .await
+        .expect("failed to read the node statuses");
     assert_eq!(breaches, Vec::<String>::new(), "after {after}");
 }
 
-async fn tokens(fleet: &Fleet, count: usize) -> Vec<String> {
+/// Requests `count` tokens for calls to `bidding`.
+async fn request_tokens(fleet: &Fleet, count: usize) -> Vec<String> {
     let path = format!("/coltsfootport/tokens?service=bidding&count={count}");
     let answer = send(fleet, call(fleet, Method::POST, &path, &[])).await;
-    let page: Value = serde_json::from_slice(&answer.body).expect("tokens");
-    serde_json::from_value(page["tokens"].clone()).expect("texts")
+    let page: Value = serde_json::from_slice(&answer.body).expect("token response is not JSON");
+    serde_json::from_value(page["tokens"].clone()).expect("tokens are not strings")
 }
 
-/// Sends bytes, ends the sending side if the caller is to leave, and reads until the node closes.
-async fn raw(to: SocketAddr, bytes: &[u8], leaves: bool) -> String {
-    let mut stream = TcpStream::connect(to).await.expect("a connection");
+/// Sends bytes, shuts down the sending side if `shutdown` is set, and returns what the node sends until it closes the connection.
+async fn send_raw(addr: SocketAddr, bytes: &[u8], shutdown: bool) -> String {
+    let mut stream = TcpStream::connect(addr).await.expect("failed to connect");
     let _ = stream.write_all(bytes).await;
-    if leaves {
+    if shutdown {
         let _ = stream.shutdown().await;
     }
     let mut answer = Vec::new();
     let reading = timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
-    let _ = reading.expect("the node closes");
+    let _ = reading.expect("node did not close the connection in time");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A request of a hostile caller, byte for byte, and the status that it is told; none where the caller leaves halfway.
-struct Bytes {
+/// Raw request of a hostile caller and the expected outcome.
+///
+/// `status` is empty where the caller shuts down its sending side before the request is complete and no success may follow.
+/// `counted` is the value of the `error` label under which the request is counted, if any.
+struct RawRequest {
     name: &'static str,
     sent: String,
     status: &'static str,
     counted: Option<&'static str>,
 }
 
-// Symptom: one request ends a node, fills its memory, or runs although it never arrived whole.
-// Sequence: each request of the table is sent on a connection of its own.
-// Cause: a length, a number or a header of a caller is believed before it is checked.
+// Sends each malformed request of the table on its own connection. If a length, number or header were used before it is
+// checked, one request could crash the node, exhaust its memory, or run although it did not arrive completely.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_are_refused_and_run_nothing() {
     let node = json!({ "limits": { "body_bytes": BODY_BYTES, "header_timeout_ms": 1000 } });
-    let fleet = fleet(node, Settings::default()).await;
-    let token = tokens(&fleet, 1).await.remove(0);
+    let fleet = start_fleet(node, Settings::default()).await;
+    let token = request_tokens(&fleet, 1).await.remove(0);
     let flipped = if token.ends_with('A') { "B" } else { "A" };
     let forged = format!("{}{flipped}", &token[..token.len() - 1]);
     let post = |headers: &str, body: &str| {
@@ -126,7 +136,7 @@
     let chunked = "transfer-encoding: chunked\r\n";
     let large = format!("content-length: {}\r\n", 40 * BODY_BYTES);
     let (limit, bad, none) = (Some("too-large"), Some("bad-request"), None);
-    let case = |name, sent, status, counted| Bytes {
+    let case = |name, sent, status, counted| RawRequest {
         name,
         sent,
         status,
@@ -134,105 +144,120 @@
     };
     let cases = [
         case(
-            "a body above the limit",
+            "body above the limit",
             post(&large, &"b".repeat(40 * BODY_BYTES)),
             "413",
             limit,
         ),
         case(
-            "a body said to be 16 EiB",
+            "content-length of 9 * 10^18 bytes",
             post("content-length: 9000000000000000000\r\n", "b"),
             "413",
             limit,
         ),
         case(
-            "no number as a length",
+            "negative content-length",
             post("content-length: -1\r\n", "b"),
             "400",
             none,
         ),
         case(
-            "two lengths",
+            "two content-length headers",
             post("content-length: 1\r\ncontent-length: 2\r\n", "bb"),
             "400",
             none,
         ),
         case(
-            "chunks above the limit",
+            "chunked body above the limit",
             post(chunked, &chunk(BODY_BYTES + 1)),
             "413",
             limit,
         ),
-        case("chunks without an end", post(chunked, &chunk(10)), "", none),
-        case("a chunk that is cut", post(chunked, "ff\r\nbid"), "", none),
         case(
-            "a chunk of no number",
-            post(chunked, "zz\r\nbid"),
-            "400",
-            bad,
+            "chunked body without the last chunk",
+            post(chunked, &chunk(10)),
+            "",
+            none,
         ),
+        case("truncated chunk", post(chunked, "ff\r\nbid"), "", none),
+        case("invalid chunk size", post(chunked, "zz\r\nbid"), "400", bad),
         case(
-            "a cut body",
+            "truncated body",
             post("content-length: 10\r\n", "bid"),
             "",
             none,
         ),
         case(
-            "a head above the limit",
+            "header section above the limit",
             post(&format!("x: {}\r\n", "h".repeat(40_000)), ""),
             "431",
             none,
         ),
         case(
-            "two hundred headers",
+            "200 headers",
             post(&"x: y\r\n".repeat(200), ""),
             "431",
             none,
         ),
-        case("a header without a colon", post("bid\r\n", ""), "400", none),
-        case("no HTTP", line("\x16\x03\x01\x02"), "400", none),
-        case("no version", line("GET /bidding/lots/1"), "400", none),
+        case("header without a colon", post("bid\r\n", ""), "400", none),
+        case("not HTTP", line("\x16\x03\x01\x02"), "400", none),
+        case(
+            "request line without a version",
+            line("GET /bidding/lots/1"),
+            "400",
+            none,
+        ),
         case(
-            "a path of no URI",
+            "path that is not a valid URI",
             line("GET /bidding/\u{7f}{} HTTP/1.1"),
             "400",
             none,
         ),
-        case("no service", line("GET / HTTP/1.1"), "400", bad),
-        case("an empty service", line("GET //lots HTTP/1.1"), "400", bad),
-        case("a star", line("OPTIONS * HTTP/1.1"), "400", bad),
+        case("path without a service", line("GET / HTTP/1.1"), "400", bad),
+        case(
+            "empty service name",
+            line("GET //lots HTTP/1.1"),
+            "400",
+            bad,
+        ),
+        case(
+            "asterisk-form request target",
+            line("OPTIONS * HTTP/1.1"),
+            "400",
+            bad,
+        ),
         case(
-            "an authority",
+            "authority-form request target",
             line("CONNECT bidding:80 HTTP/1.1"),
             "400",
             bad,
         ),
         case(
-            "an unknown service",
+            "unknown service",
             line("GET /x%00/lots HTTP/1.1"),
             "404",
             Some("unknown-service"),
         ),
         case(
-            "a token of no form",
+            "malformed token",
             with("coltsfootport-token: x"),
             "403",
             Some("bad-token"),
         ),
         case(
-            "a forged token",
+            "forged token",
             with(&format!("coltsfootport-token: {forged}")),
             "403",
             Some("bad-token"),
         ),
         case(
-            "a token of 8 kB",
+            "8 kB token",
             with(&format!("coltsfootport-token: {}", "A".repeat(8000))),
             "403",
             Some("bad-token"),
         ),
         case(
-            "a token of another service",
+            "token of another service",
             with(&format!("coltsfootport-token: {token}")).replace("/bidding/", "/prices/"),
             "403",
             Some("bad-token"),
@@ -244,39 +269,44 @@
             bad,
         ),
         case(
-            "a token of no text",
+            "non-ASCII token",
             with("coltsfootport-token: \u{e9}"),
             "400",
             bad,
         ),
-        case("try 0", with("coltsfootport-try: 0"), "400", bad),
-        case("try text", with("coltsfootport-try: first"), "400", bad),
+        case("try number 0", with("coltsfootport-try: 0"), "400", bad),
         case(
-            "a huge try",
+            "try number is not a number",
+            with("coltsfootport-try: first"),
+            "400",
+            bad,
+        ),
+        case(
+            "try number above 32 bits",
             with("coltsfootport-try: 4294967296"),
             "400",
             bad,
         ),
         case(
-            "no time left",
+            "deadline of 0 ms",
             with("coltsfootport-deadline-ms: 0"),
             "504",
             Some("expired-before-dispatch"),
         ),
         case(
-            "negative time",
+            "negative deadline",
             with("coltsfootport-deadline-ms: -5"),
             "400",
             bad,
         ),
         case(
-            "time text",
+            "deadline is not a number",
             with("coltsfootport-deadline-ms: soon"),
             "400",
             bad,
         ),
         case(
-            "time above 64 bits",
+            "deadline above 64 bits",
             with("coltsfootport-deadline-ms: 18446744073709551616"),
             "400",
             bad,
@@ -288,16 +318,25 @@
         let label = format!("error=\"{error}\"");
         let before = metric(&fleet.client, operators, &label).await;
         let forged = metric(&fleet.client, operators, "what=\"token\"").await;
-        let answer = raw(victim(&fleet), case.sent.as_bytes(), case.status.is_empty()).await;
-        let told = answer.strip_prefix("HTTP/1.1 ").unwrap_or_default();
-        assert!(told.starts_with(case.status), "{}: {answer:?}", case.name);
-        assert!(!told.starts_with('2'), "{}: {answer:?}", case.name);
+        let answer = send_raw(
+            victim_addr(&fleet),
+            case.sent.as_bytes(),
+            case.status.is_empty(),
+        )
+        .await;
+        let status_line = answer.strip_prefix("HTTP/1.1 ").unwrap_or_default();
+        assert!(
+            status_line.starts_with(case.status),
+            "{}: {answer:?}",
+            case.name
+        );
+        assert!(!status_line.starts_with('2'), "{}: {answer:?}", case.name);
         let counted = u64::from(case.counted.is_some());
         let after = metric(&fleet.client, operators, &label).await;
         assert_eq!(
             after,
             before + counted,
-            "{} counted as {error}: {answer}",
+            "{}: requests counted with error={error}: {answer}",
             case.name
         );
         let bad_token = u64::from(error == "bad-token");
@@ -305,26 +344,31 @@
         assert_eq!(
             after,
             forged + bad_token,
-            "{} counted as rejected",
+            "{}: rejected tokens counted",
             case.name
         );
-        serves(&fleet, &["bidding", "prices"], case.name).await;
+        assert_serving(&fleet, &["bidding", "prices"], case.name).await;
     }
     for service in ["bidding", "prices"] {
-        assert_eq!(fleet.runs(service, "bad").await.expect("counts"), 0);
+        assert_eq!(
+            fleet
+                .runs(service, "bad")
+                .await
+                .expect("failed to read the target counts"),
+            0
+        );
     }
     let endless = with("coltsfootport-deadline-ms: 18446744073709551615");
-    let answer = raw(victim(&fleet), endless.as_bytes(), false).await;
+    let answer = send_raw(victim_addr(&fleet), endless.as_bytes(), false).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-// Symptom: a call runs twice, or every call of the node is refused, under a flood of tokens.
-// Sequence: more tokens are used at one node than its table has room for.
-// Cause: the table forgets a record early to make room, or counts refused calls as kept ones.
+// More tokens are used at one node than its table can hold. If the table evicted records early to make room, a call could run
+// twice; if refused calls counted towards its capacity, the node would refuse every call.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_table_of_tokens_refuses_new_ones_and_keeps_the_old() {
     let once = json!({ "once": { "capacity": 4, "retention_ms": 8000, "record_margin_ms": 1000 } });
-    let fleet = fleet(once, Settings::default()).await;
+    let fleet = start_fleet(once, Settings::default()).await;
     let bid = async |token: &str, number: &str, key: &str| {
         let headers = [
             ("coltsfootport-token", token),
@@ -337,7 +381,7 @@
         )
         .await
     };
-    let all = tokens(&fleet, 40).await;
+    let all = request_tokens(&fleet, 40).await;
     let (kept, refused) = all.split_at(4);
     for token in kept {
         assert_eq!(bid(token, "1", token).await.status, 200);
@@ -351,28 +395,39 @@
         assert!(answer.header("coltsfootport-retry-after-ms").is_some());
         fresh = answer
             .header("coltsfootport-token")
-            .expect("a fresh token")
+            .expect("missing replacement token")
             .to_owned();
         assert_ne!(fresh, *token);
     }
     let untokened = send(&fleet, call(&fleet, Method::POST, "/bidding/bids", &[])).await;
     assert_eq!(untokened.header("coltsfootport-outcome"), Some("not-run"));
-    serves(&fleet, &["bidding", "prices"], "a full table").await;
+    assert_serving(&fleet, &["bidding", "prices"], "filling the token table").await;
     for token in kept {
         let answer = bid(token, "2", token).await;
         assert_eq!(answer.status, 200, "{}", text(&answer));
         assert_eq!(answer.header("coltsfootport-replayed"), Some("true"));
-        assert_eq!(fleet.runs("bidding", token).await.expect("counts"), 1);
+        assert_eq!(
+            fleet
+                .runs("bidding", token)
+                .await
+                .expect("failed to read the target counts"),
+            1
+        );
     }
     for token in refused {
-        assert_eq!(fleet.runs("bidding", token).await.expect("counts"), 0);
+        assert_eq!(
+            fleet
+                .runs("bidding", token)
+                .await
+                .expect("failed to read the target counts"),
+            0
+        );
     }
     until(async || (bid(&fresh, "1", "later").await.status != 503).then_some(())).await;
 }
 
-// Symptom: a node whose target hangs takes in call after call until its memory is gone.
-// Sequence: more calls than `limits.in_flight` arrive while none ends.
-// Cause: only calls at the target are bounded, not those that the node holds.
+// More calls than `limits.in_flight` arrive while the target hangs. If only calls at the target were limited and not those the
+// node holds, the node would accept calls until its memory is exhausted.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_above_in_flight_are_shed_at_once() {
     let hung = Settings {
@@ -380,7 +435,7 @@
         ..Settings::default()
     };
     let node = json!({ "limits": { "in_flight": 4 }, "admission": { "mode": "off" } });
-    let fleet = fleet(node, hung).await;
+    let fleet = start_fleet(node, hung).await;
     let mut held = JoinSet::new();
     for _ in 0..4 {
         let limit = [("coltsfootport-deadline-ms", "4000")];
@@ -389,7 +444,10 @@
         held.spawn(async move { client.send(call).await });
     }
     let started = async || {
-        let counts = fleet.counts("bidding").await.expect("counts");
+        let counts = fleet
+            .counts("bidding")
+            .await
+            .expect("failed to read the target counts");
         (counts[0].started == 4).then_some(())
     };
     until(started).await;
@@ -401,7 +459,7 @@
     }
     assert!(
         held.try_join_next().is_none(),
-        "shed while the others were held"
+        "a held call ended before the excess calls were shed"
     );
     let other = ClientCall::new(
         fleet.member("prices-1").addresses.callers,
@@ -410,40 +468,40 @@
     );
     assert_eq!(send(&fleet, other).await.status, 200);
     while let Some(ended) = held.join_next().await {
-        let answer = ended.expect("a task").expect("an answer");
+        let answer = ended.expect("task panicked").expect("call failed");
         assert_eq!(answer.status, 504, "{}", text(&answer));
     }
     let freed = call(&fleet, Method::GET, "/prices/lots/1", &[]);
     assert_eq!(send(&fleet, freed).await.status, 200);
 }
 
-/// What a connection that never sends a whole request does.
+/// Behaviour of a connection that never sends a complete request.
 #[derive(Clone, Copy, Debug)]
-enum Slow {
+enum SlowKind {
     Idle,
     Head,
     Body,
     Chunks,
 }
 
-/// Silence after which an idle caller sends a byte: three times as long as the node waits for the head of a request.
+/// Time after which an idle caller sends a byte: three times the node's timeout for the header section of a request.
 ///
-/// With both queues of the listener full the kernel answers with SYN cookies and keeps nothing. Where the last packet of such a
-/// handshake is dropped, the caller counts a connection as open that no node ever had, and only a byte shows it.
+/// When both queues of the listener are full, the kernel answers with SYN cookies and keeps no state. If the final packet of
+/// such a handshake is dropped, the caller sees an open connection that the node never had; only sending a byte reveals this.
 const IDLE_SENDS_AFTER: Duration = Duration::from_secs(9);
 
-/// Opens a connection, sends a byte now and then, and ends when the node closes it.
-async fn creep(to: SocketAddr, slow: Slow) {
-    let Ok(mut stream) = TcpStream::connect(to).await else {
+/// Opens a connection, sends a byte every 500 ms (idle ones only after [`IDLE_SENDS_AFTER`]), and returns when it is closed.
+async fn send_slowly(addr: SocketAddr, slow: SlowKind) {
+    let Ok(mut stream) = TcpStream::connect(addr).await else {
         return;
     };
     let post = "POST /bidding/lots/1 HTTP/1.1\r\nhost: x\r\n";
     let start = match slow {
-        Slow::Idle => String::new(),
-        Slow::Head => "GET /bidding/lots/1 HTTP/1.1\r\nx: ".to_owned(),
-        Slow::Body => format!("{post}content-length: 1000\r\n\r\n"),
-        // Single bytes cost most where each is kept as a buffer of its own.
-        Slow::Chunks => format!(
+        SlowKind::Idle => String::new(),
+        SlowKind::Head => "GET /bidding/lots/1 HTTP/1.1\r\nx: ".to_owned(),
+        SlowKind::Body => format!("{post}content-length: 1000\r\n\r\n"),
+        // One-byte chunks use the most memory if each is kept in its own buffer.
+        SlowKind::Chunks => format!(
             "{post}transfer-encoding: chunked\r\n\r\n{}",
             "1\r\nb\r\n".repeat(8000)
         ),
@@ -454,7 +512,7 @@
     let mut answer = [0; 512];
     let began = Instant::now();
     loop {
-        let silent = matches!(slow, Slow::Idle) && began.elapsed() < IDLE_SENDS_AFTER;
+        let silent = matches!(slow, SlowKind::Idle) && began.elapsed() < IDLE_SENDS_AFTER;
         match timeout(Duration::from_millis(500), stream.read(&mut answer)).await {
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(_)) => {}
@@ -465,77 +523,100 @@
     }
 }
 
-// Symptom: a node serves nobody any more, or is killed for its memory, while its processor idles.
-// Sequence: thousands of connections are opened that send nothing, or a byte now and then.
-// Cause: connections without a bound, or a head or body that may take for ever to arrive.
+// Thousands of connections send nothing or a byte at a time. If connections were not limited, or a header section or body could
+// take forever to arrive, the node would stop serving or run out of memory while its CPU is idle.
 #[tokio::test(flavor = "multi_thread")]
 async fn thousands_of_slow_connections_are_cut_and_others_served() {
     let node = json!({ "limits": { "connections": CONNECTIONS, "header_timeout_ms": 3000 } });
-    let mut fleet = fleet(node, Settings::default()).await;
-    let to = victim(&fleet);
-    let pid = fleet.member_mut(VICTIM).node().expect("a node").pid();
-    let mut open = TcpStream::connect(to).await.expect("a connection");
-    serves(&fleet, &["bidding"], "the start").await;
+    let mut fleet = start_fleet(node, Settings::default()).await;
+    let addr = victim_addr(&fleet);
+    let pid = fleet
+        .member_mut(VICTIM)
+        .node()
+        .expect("node is not running")
+        .pid();
+    let mut established = TcpStream::connect(addr).await.expect("failed to connect");
+    assert_serving(&fleet, &["bidding"], "startup").await;
     let before = resident(pid);
     let mut slow = JoinSet::new();
     for i in 0..3000 {
-        let kind = [Slow::Idle, Slow::Head, Slow::Body, Slow::Chunks][i % 4];
-        slow.spawn(creep(to, kind));
-        // The kernel drops what it has no room for, and tries again only after seconds.
+        let kind = [
+            SlowKind::Idle,
+            SlowKind::Head,
+            SlowKind::Body,
+            SlowKind::Chunks,
+        ][i % 4];
+        slow.spawn(send_slowly(addr, kind));
+        // The kernel drops connection attempts that exceed the listen queue and retries them only after seconds.
         if i % 25 == 0 {
             sleep(Duration::from_millis(10)).await;
         }
     }
-    let mut most = 0;
+    let mut peak = 0;
     for _ in 0..5 {
         sleep(Duration::from_millis(200)).await;
         let request = b"GET /bidding/lots/1 HTTP/1.1\r\nhost: x\r\n\r\n";
-        open.write_all(request).await.expect("an open connection");
+        established
+            .write_all(request)
+            .await
+            .expect("established connection was closed");
         let mut answer = [0; 4096];
-        let read = timeout(PATIENCE, open.read(&mut answer)).await;
-        let read = read.expect("an answer in time").expect("an answer");
+        let read = timeout(PATIENCE, established.read(&mut answer)).await;
+        let read = read
+            .expect("no response in time")
+            .expect("failed to read the response");
         assert!(
             answer[..read].starts_with(b"HTTP/1.1 200"),
-            "on a connection that was open"
+            "no 200 response on the established connection"
         );
         let entry = fleet.member("prices-1").addresses.callers;
         for service in ["bidding", "prices"] {
             let call = ClientCall::new(entry, Method::GET, format!("/{service}/lots/1"));
-            assert_eq!(send(&fleet, call).await.status, 200, "through another node");
+            assert_eq!(
+                send(&fleet, call).await.status,
+                200,
+                "call through another node"
+            );
         }
-        most = most.max(resident(pid));
+        peak = peak.max(resident(pid));
     }
-    let grown = most.saturating_sub(before);
-    println!("3000 slow connections, {CONNECTIONS} taken: {grown} bytes more, {most} in all");
-    assert!(grown < CONNECTIONS * CONNECTION_BYTES, "{grown} bytes");
+    let grown = peak.saturating_sub(before);
+    println!(
+        "3000 slow connections, limit {CONNECTIONS}: memory grew by {grown} bytes to {peak} bytes"
+    );
+    assert!(
+        grown < CONNECTIONS * CONNECTION_BYTES,
+        "memory grew by {grown} bytes"
+    );
     let cut = async {
         while let Some(ended) = slow.join_next().await {
-            ended.expect("a task");
+            ended.expect("task panicked");
         }
     };
     timeout(3 * PATIENCE, cut)
         .await
-        .expect("every slow connection is cut");
-    serves(&fleet, &["bidding", "prices"], "the flood").await;
+        .expect("slow connections were not closed in time");
+    assert_serving(&fleet, &["bidding", "prices"], "the slow connections").await;
 }
 
-/// What the target of a test has seen.
+/// Event observed by the hostile target.
 #[derive(Debug)]
-enum Seen {
-    /// The head of a request.
+enum TargetEvent {
+    /// The target received a request with this header section.
     Head(String),
-    /// The node closed the connection on which this was asked.
+    /// The node closed the connection after a request with this mode.
     Dropped(String),
 }
 
-/// Serves connections of a node and answers each request by what its query asks for.
-async fn hostile_target(listener: TcpListener, tx: mpsc::UnboundedSender<Seen>) {
+/// Accepts connections of a node; the query string of each request selects the fault of the response.
+async fn hostile_target(listener: TcpListener, tx: mpsc::UnboundedSender<TargetEvent>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(misbehave(stream, tx.clone()));
+        tokio::spawn(serve_faulty(stream, tx.clone()));
     }
 }
 
-async fn misbehave(mut stream: TcpStream, tx: mpsc::UnboundedSender<Seen>) {
+/// Serves one connection of the hostile target.
+async fn serve_faulty(mut stream: TcpStream, tx: mpsc::UnboundedSender<TargetEvent>) {
     let mut head = Vec::new();
     loop {
         head.clear();
@@ -548,24 +629,25 @@
         let head = String::from_utf8_lossy(&head).into_owned();
         let path = head.split(' ').nth(1).unwrap_or_default();
         let mode = path.split_once('?').map_or("", |(_, mode)| mode).to_owned();
-        let _ = tx.send(Seen::Head(head));
-        let endless = |start: &str, more: &str| (start.to_owned(), more.repeat(1000));
+        let _ = tx.send(TargetEvent::Head(head));
+        // The start of the response, and the part repeated until the node closes the connection; empty if nothing follows.
+        let response = |start: &str, more: &str| (start.to_owned(), more.repeat(1000));
         let (start, more) = match mode.as_str() {
-            "malformed" => endless("HTTP/1.1 banana\r\n\r\n", ""),
-            "oversized" => endless("HTTP/1.1 200 OK\r\ncontent-length: 9999999999\r\n\r\n", "b"),
-            "chunks" => endless(
+            "malformed" => response("HTTP/1.1 banana\r\n\r\n", ""),
+            "oversized" => response("HTTP/1.1 200 OK\r\ncontent-length: 9999999999\r\n\r\n", "b"),
+            "chunks" => response(
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n",
                 "5\r\nhello\r\n",
             ),
-            "headers" => endless("HTTP/1.1 200 OK\r\n", "x-more: header\r\n"),
-            "header" => endless("HTTP/1.1 200 OK\r\nx: ", "x"),
-            "hints" => endless("", "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n"),
-            "cut" => endless("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf", ""),
+            "headers" => response("HTTP/1.1 200 OK\r\n", "x-more: header\r\n"),
+            "header" => response("HTTP/1.1 200 OK\r\nx: ", "x"),
+            "hints" => response("", "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n"),
+            "cut" => response("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf", ""),
             "hang" => (String::new(), String::new()),
             "close" => return,
             "surplus" => {
                 let ok = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-                endless(&format!("{ok}{}", ok.replace("ok", "no")), "")
+                response(&format!("{ok}{}", ok.replace("ok", "no")), "")
             }
             _ => {
                 let ok = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -580,35 +662,35 @@
         }
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
-        let _ = tx.send(Seen::Dropped(mode));
+        let _ = tx.send(TargetEvent::Dropped(mode));
         return;
     }
 }
 
-/// How a target answers, and what the caller is told.
-struct Answer {
+/// Fault of a target's response and the expected result for the caller.
+struct ResponseCase {
     mode: &'static str,
     status: u16,
     error: Option<&'static str>,
     dropped: bool,
 }
 
-// Symptom: a caller takes half an answer, or another call's, for its own; or a node's memory grows with one answer.
-// Sequence: the target answers a call in each way of the table; then other calls are made.
-// Cause: an answer that is not whole is passed on, or a connection is used again that holds the rest of an answer.
+// The target sends each faulty response of the table; calls made afterwards must still succeed. If an incomplete response were
+// forwarded, or a connection with unread response bytes reused, a caller would get a partial response or that of another
+// call. One response must not grow the node's memory without a bound either.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_answers_anything_harms_its_own_call_only() {
     let listener = listener().await;
-    let (tx, mut seen) = mpsc::unbounded_channel();
+    let (tx, mut events) = mpsc::unbounded_channel();
     let node = json!({
-        "target": { "address": listener.local_addr().expect("an address") },
+        "target": { "address": listener.local_addr().expect("listener has an address") },
         "limits": { "body_bytes": BODY_BYTES },
         "routing": { "eject_share": 0 },
     });
     let serving = tokio::spawn(hostile_target(listener, tx));
-    let mut fleet = fleet(node, Settings::default()).await;
+    let mut fleet = start_fleet(node, Settings::default()).await;
     let (failed, expired) = (Some("target-failed"), Some("expired-in-flight"));
-    let case = |mode, status, error, dropped| Answer {
+    let case = |mode, status, error, dropped| ResponseCase {
         mode,
         status,
         error,
@@ -626,8 +708,12 @@
         case("hang", 504, expired, true),
         case("surplus", 200, None, true),
     ];
-    let pid = fleet.member_mut(VICTIM).node().expect("a node").pid();
-    for Answer {
+    let pid = fleet
+        .member_mut(VICTIM)
+        .node()
+        .expect("node is not running")
+        .pid();
+    for ResponseCase {
         mode,
         status,
         error,
@@ -646,8 +732,8 @@
             "{mode}"
         );
         let until_dropped = async {
-            while let Some(next) = seen.recv().await {
-                if matches!(next, Seen::Dropped(of) if of == mode) {
+            while let Some(next) = events.recv().await {
+                if matches!(next, TargetEvent::Dropped(of) if of == mode) {
                     return;
                 }
             }
@@ -663,24 +749,24 @@
                 "after {mode}"
             );
         }
-        serves(&fleet, &["prices"], mode).await;
+        assert_serving(&fleet, &["prices"], mode).await;
     }
     let used = resident(pid);
-    println!("after every answer: {used} bytes resident");
-    assert!(used < 96 << 20, "{used} bytes");
+    println!("{used} bytes resident after all faulty responses");
+    assert!(used < 96 << 20, "{used} bytes resident");
     serving.abort();
 }
 
-// Symptom: a caller outside joins the request of another, or chooses its class and its time.
-// Sequence: a caller sends the headers that nodes give to targets.
-// Cause: internal headers are passed on as they came.
+// A caller sends headers that nodes set for targets. If nodes forwarded them unchanged, an external caller could join another
+// caller's request or choose its own class and deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn internal_headers_of_callers_never_reach_the_target() {
     let listener = listener().await;
-    let (tx, mut seen) = mpsc::unbounded_channel();
-    let node = json!({ "target": { "address": listener.local_addr().expect("an address") } });
+    let (tx, mut events) = mpsc::unbounded_channel();
+    let node =
+        json!({ "target": { "address": listener.local_addr().expect("listener has an address") } });
     let serving = tokio::spawn(hostile_target(listener, tx));
-    let fleet = fleet(node, Settings::default()).await;
+    let fleet = start_fleet(node, Settings::default()).await;
     let forged = [
         ("coltsfootport-context", "forged"),
         ("Coltsfootport-Class", "forged"),
@@ -698,9 +784,12 @@
             ..call(&fleet, Method::GET, "/bidding/lots/1", &forged)
         };
         assert_eq!(send(&fleet, call).await.status, 200);
-        let head = match timeout(PATIENCE, seen.recv()).await.expect("a call") {
-            Some(Seen::Head(head)) => head,
-            other => panic!("{other:?}"),
+        let head = match timeout(PATIENCE, events.recv())
+            .await
+            .expect("no request in time")
+        {
+            Some(TargetEvent::Head(head)) => head,
+            other => panic!("unexpected event: {other:?}"),
         };
         assert!(!head.contains("forged"), "{head}");
         assert!(head.contains("x-own: kept"), "{head}");
