--- a/crates/rig/tests/documents.rs
+++ b/crates/rig/tests/documents.rs
@@ -1,4 +1,4 @@
-//! An accepted document is in force on every instance and never falls back.
+//! An accepted document comes into force on every instance, and no instance returns to an older revision.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,11 @@
 use http::Method;
 use serde_json::{Value, json};
 
-/// The promise; each test also prints what it saw.
+/// Guaranteed time in which an accepted document is in force everywhere. Most tests also print the time they measured.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
 
-/// How long a state that must not change is watched.
-const WATCHED: Duration = Duration::from_millis(1500);
+/// How long a state that must not change is observed.
+const OBSERVED_FOR: Duration = Duration::from_millis(1500);
 
 const SERVICE: &str = "bidding";
 
@@ -22,19 +22,24 @@
     FleetPlan {
         services: vec![bidding],
         proxied: true,
-        // A node that starts alone waits for its peers, as in production, before the platform's word is enough.
+        // As in production, a node that starts alone waits for its peers before it relies on the platform only.
         node: json!({ "spread": { "start_wait_ms": 2000 } }),
         ..FleetPlan::default()
     }
 }
 
-async fn fleet() -> Fleet {
-    Fleet::start(plan()).await.expect("a fleet")
+async fn start_fleet() -> Fleet {
+    Fleet::start(plan())
+        .await
+        .expect("failed to start the fleet")
 }
 
-/// The revision in force at a node, 0 where there is none.
-async fn in_force(fleet: &Fleet, node: &str) -> u64 {
-    let status = fleet.status(node).await.expect("a status");
+/// Returns the revision in force at a node, or 0 if there is none.
+async fn revision_in_force(fleet: &Fleet, node: &str) -> u64 {
+    let status = fleet
+        .status(node)
+        .await
+        .expect("failed to read the node status");
     let documents = status["documents"].as_array().cloned().unwrap_or_default();
     let document = documents
         .iter()
@@ -44,7 +49,8 @@
         .unwrap_or(0)
 }
 
-fn nodes(fleet: &Fleet) -> Vec<String> {
+/// Names of the nodes that are running.
+fn running_nodes(fleet: &Fleet) -> Vec<String> {
     let running = fleet
         .members
         .values()
@@ -52,8 +58,10 @@
     running.map(|member| member.name.to_string()).collect()
 }
 
-/// Waits until a revision is in force at all of the nodes; no node may show a lower one after a higher one.
-async fn all_in_force(
+/// Waits until at least `revision` is in force at all `nodes` and returns the time it took.
+///
+/// Panics if a node returns to a lower revision or the wait exceeds `within`.
+async fn wait_in_force(
     fleet: &Fleet,
     nodes: &[String],
     revision: u64,
@@ -63,8 +71,11 @@
     let mut seen = vec![0; nodes.len()];
     loop {
         for (seen, node) in seen.iter_mut().zip(nodes) {
-            let now = in_force(fleet, node).await;
-            assert!(now >= *seen, "{node} fell back from {seen} to {now}");
+            let now = revision_in_force(fleet, node).await;
+            assert!(
+                now >= *seen,
+                "{node} went back from revision {seen} to {now}"
+            );
             *seen = now;
         }
         if seen.iter().all(|seen| *seen >= revision) {
@@ -72,25 +83,30 @@
         }
         assert!(
             started.elapsed() < within,
-            "{revision} not in force: {nodes:?} {seen:?}"
+            "revision {revision} is not in force everywhere: nodes {nodes:?}, revisions {seen:?}"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn stays_in_force(fleet: &Fleet, nodes: &[String], revision: u64) {
-    let until = Instant::now() + WATCHED;
-    while Instant::now() < until {
+/// Asserts that `revision` stays in force at all `nodes` for [`OBSERVED_FOR`].
+async fn assert_stays_in_force(fleet: &Fleet, nodes: &[String], revision: u64) {
+    let deadline = Instant::now() + OBSERVED_FOR;
+    while Instant::now() < deadline {
         for node in nodes {
-            assert_eq!(in_force(fleet, node).await, revision, "{node}");
+            assert_eq!(revision_in_force(fleet, node).await, revision, "{node}");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn no_breach(fleet: &Fleet) {
+/// Asserts that no node reports a violated invariant.
+async fn assert_no_breaches(fleet: &Fleet) {
     assert_eq!(
-        fleet.breaches().await.expect("statuses"),
+        fleet
+            .breaches()
+            .await
+            .expect("failed to read the node statuses"),
         Vec::<String>::new()
     );
 }
@@ -101,64 +117,70 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_is_in_force_everywhere() {
-    let fleet = fleet().await;
-    let all = nodes(&fleet);
+    let fleet = start_fleet().await;
+    let all = running_nodes(&fleet);
     let mut slowest = Duration::ZERO;
     for round in 0..6 {
         let revision = fleet
             .publish(SERVICE, &document(round))
             .await
-            .expect("a write");
-        slowest = slowest.max(all_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await);
+            .expect("failed to publish the document");
+        slowest = slowest.max(wait_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await);
     }
-    println!("slowest of 6 changes on 6 nodes: {slowest:?}");
-    no_breach(&fleet).await;
+    println!("slowest of 6 changes on 6 nodes: in force after {slowest:?}");
+    assert_no_breaches(&fleet).await;
 }
 
-// Symptom: after an outage of the platform some nodes act on a document older than the one that their team saw accepted.
-// Sequence: a change is accepted; all readers of two failure domains lose the platform; one domain still reads.
-// Cause: nodes that depend on their own reads don't hear of a change while these fail.
+// A change is accepted while the platform fails or serves stale data in two of three failure domains. If nodes relied on their
+// own reads only, those in the two domains would keep using a document older than the one reported as accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_domain_that_reads_is_enough() {
     for mode in [FaultMode::Down, FaultMode::Stale] {
-        let fleet = fleet().await;
-        let all = nodes(&fleet);
+        let fleet = start_fleet().await;
+        let all = running_nodes(&fleet);
         for domain in ["b", "c"] {
             let fault = fleet.platform_fault_in(domain, mode, FaultScope::Config);
-            fault.await.expect("a fault");
+            fault.await.expect("failed to inject the platform fault");
         }
-        let revision = fleet.publish(SERVICE, &document(3)).await.expect("a write");
-        let took = all_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
-        println!("{mode:?} in two of three domains: {took:?}");
-        no_breach(&fleet).await;
+        let revision = fleet
+            .publish(SERVICE, &document(3))
+            .await
+            .expect("failed to publish the document");
+        let took = wait_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
+        println!("platform fault {mode:?} in two of three domains: in force after {took:?}");
+        assert_no_breaches(&fleet).await;
     }
 }
 
-// Symptom: a node flaps between two versions.
-// Sequence: the platform answers now with an old snapshot, now with the current one.
-// Cause: whatever was read last is put in force.
+// The platform alternates between an old snapshot and the current one. If the last read always came into force, nodes would
+// switch back and forth between two versions.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_flapping_platform_takes_no_node_back() {
-    let fleet = fleet().await;
-    let all = nodes(&fleet);
+    let fleet = start_fleet().await;
+    let all = running_nodes(&fleet);
     fleet
         .platform_fault(FaultMode::Flap, FaultScope::All)
         .await
-        .expect("a fault");
-    let revision = fleet.publish(SERVICE, &document(3)).await.expect("a write");
-    all_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
-    stays_in_force(&fleet, &all, revision).await;
-    no_breach(&fleet).await;
+        .expect("failed to inject the platform fault");
+    let revision = fleet
+        .publish(SERVICE, &document(3))
+        .await
+        .expect("failed to publish the document");
+    wait_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
+    assert_stays_in_force(&fleet, &all, revision).await;
+    assert_no_breaches(&fleet).await;
 }
 
-// Symptom: a node that was paused classifies calls by a document that was replaced three times.
-// Sequence: SIGSTOP, three changes, SIGCONT; the platform is down when it wakes.
-// Cause: its own watch is the only way by which it hears of changes.
+// A node is paused by SIGSTOP during three changes, and the platform is down when SIGCONT resumes it. If its own platform watch
+// were the only source of changes, it would classify calls by a document that has been replaced three times.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_node_catches_up_from_its_peers() {
-    let mut fleet = fleet().await;
-    let all = nodes(&fleet);
-    fleet.member_mut("bidding-1").freeze().expect("a signal");
+    let mut fleet = start_fleet().await;
+    let all = running_nodes(&fleet);
+    fleet
+        .member_mut("bidding-1")
+        .freeze()
+        .expect("failed to pause the node");
     let others: Vec<String> = all
         .iter()
         .filter(|node| *node != "bidding-1")
@@ -169,123 +191,148 @@
         revision = fleet
             .publish(SERVICE, &document(round))
             .await
-            .expect("a write");
-        all_in_force(&fleet, &others, revision, IN_FORCE_WITHIN).await;
+            .expect("failed to publish the document");
+        wait_in_force(&fleet, &others, revision, IN_FORCE_WITHIN).await;
     }
     fleet
         .platform_fault(FaultMode::Down, FaultScope::All)
         .await
-        .expect("a fault");
-    fleet.member_mut("bidding-1").wake().expect("a signal");
-    let took = all_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
-    println!("caught up after waking with the platform down: {took:?}");
-    no_breach(&fleet).await;
+        .expect("failed to inject the platform fault");
+    fleet
+        .member_mut("bidding-1")
+        .wake()
+        .expect("failed to resume the node");
+    let took = wait_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
+    println!("resumed node caught up with the platform down after {took:?}");
+    assert_no_breaches(&fleet).await;
 }
 
-// Symptom: a replaced node serves by an older document than all of its peers.
-// Sequence: a change is accepted; the configuration service turns stale; a node is killed and started again.
-// Cause: a new node takes the platform's word alone.
+// A change is accepted, the configuration service serves stale data or is down, and a node is killed and restarted. If a new
+// node relied on the platform alone, it would serve by an older document than its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_started_beside_a_stale_platform_takes_the_newest_of_its_peers() {
     for mode in [FaultMode::Stale, FaultMode::Down] {
-        let mut fleet = fleet().await;
-        let all = nodes(&fleet);
-        // A stale platform freezes at the revision of the moment, so the change comes after.
+        let mut fleet = start_fleet().await;
+        let all = running_nodes(&fleet);
+        // The stale mode serves the revision current when the fault is injected, so the change is published afterwards.
         fleet
             .platform_fault_in("c", mode, FaultScope::Config)
             .await
-            .expect("a fault");
-        let revision = fleet.publish(SERVICE, &document(3)).await.expect("a write");
-        all_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
+            .expect("failed to inject the platform fault");
+        let revision = fleet
+            .publish(SERVICE, &document(3))
+            .await
+            .expect("failed to publish the document");
+        wait_in_force(&fleet, &all, revision, IN_FORCE_WITHIN).await;
         fleet
             .platform_fault_in("a", FaultMode::Down, FaultScope::Config)
             .await
-            .expect("a fault");
+            .expect("failed to inject the platform fault");
         fleet
             .platform_fault_in("b", FaultMode::Down, FaultScope::Config)
             .await
-            .expect("a fault");
+            .expect("failed to inject the platform fault");
         let client = fleet.client.clone();
         let member = fleet.member_mut("bidding-5");
-        member.kill_node().expect("a kill");
-        member.start_node().expect("a start");
-        member.ready(&client).await.expect("a serving node");
+        member.kill_node().expect("failed to kill the node");
+        member.start_node().expect("failed to start the node");
+        member
+            .ready(&client)
+            .await
+            .expect("node did not become ready");
         assert_eq!(
-            in_force(&fleet, "bidding-5").await,
+            revision_in_force(&fleet, "bidding-5").await,
             revision,
-            "as soon as it serves, {mode:?}"
+            "revision in force once the node is ready, platform fault {mode:?}"
         );
-        no_breach(&fleet).await;
+        assert_no_breaches(&fleet).await;
     }
 }
 
-// Symptom: half of the fleet stays on another version for good.
-// Sequence: two operators publish at once, again and again, while one failure domain is cut off; then it heals.
-// Cause: both sides take what came last by their own count.
+// Two operators publish concurrently several times while one failure domain is partitioned, then the partition heals. If each
+// side chose the latest version by its own count, part of the fleet would stay on a different version permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_and_a_partition_leave_one_version() {
-    let mut fleet = fleet().await;
-    let all = nodes(&fleet);
+    let mut fleet = start_fleet().await;
+    let all = running_nodes(&fleet);
     for other in ["a", "b"] {
         fleet.cut("c", other, Cut::Blackhole);
     }
     fleet
         .platform_fault_in("c", FaultMode::Down, FaultScope::All)
         .await
-        .expect("a fault");
+        .expect("failed to inject the platform fault");
     let (one, two) = (document(1), document(2));
     let mut revision = 0;
     for _ in 0..5 {
         let (first, second) =
             tokio::join!(fleet.publish(SERVICE, &one), fleet.publish(SERVICE, &two));
-        revision = first.expect("a write").max(second.expect("a write"));
+        revision = first
+            .expect("failed to publish the document")
+            .max(second.expect("failed to publish the document"));
     }
-    let inside: Vec<String> = ["bidding-1", "bidding-2", "bidding-3", "bidding-4"]
+    let connected: Vec<String> = ["bidding-1", "bidding-2", "bidding-3", "bidding-4"]
         .map(Into::into)
         .into();
-    all_in_force(&fleet, &inside, revision, IN_FORCE_WITHIN).await;
+    wait_in_force(&fleet, &connected, revision, IN_FORCE_WITHIN).await;
     fleet.heal();
-    let took = all_in_force(&fleet, &all, revision, 3 * IN_FORCE_WITHIN).await;
-    println!("after healing: {took:?}");
-    stays_in_force(&fleet, &all, revision).await;
-    no_breach(&fleet).await;
+    let took = wait_in_force(&fleet, &all, revision, 3 * IN_FORCE_WITHIN).await;
+    println!("same revision everywhere {took:?} after the partition healed");
+    assert_stays_in_force(&fleet, &all, revision).await;
+    assert_no_breaches(&fleet).await;
 }
 
-// Symptom: a typing error takes a service's rules away, or its faults are shown to nobody.
-// Sequence: a document with a fault is published, then a node is replaced.
-// Cause: the newest version is put in force or dropped unseen.
+// An invalid document is published, then a node is restarted. If the newest version came into force unchecked or were dropped
+// silently, a typing error would remove the rules of a service, or its faults would not be reported to operators.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_document_leaves_the_last_good_one() {
-    let mut fleet = fleet().await;
-    let all = nodes(&fleet);
-    let good = fleet.publish(SERVICE, &document(3)).await.expect("a write");
-    all_in_force(&fleet, &all, good, IN_FORCE_WITHIN).await;
+    let mut fleet = start_fleet().await;
+    let all = running_nodes(&fleet);
+    let good = fleet
+        .publish(SERVICE, &document(3))
+        .await
+        .expect("failed to publish the document");
+    wait_in_force(&fleet, &all, good, IN_FORCE_WITHIN).await;
     let bad = r#"{ "service": "bidding", "clases": ["bid"] }"#;
-    let revision = fleet.publish(SERVICE, bad).await.expect("a write");
+    let revision = fleet
+        .publish(SERVICE, bad)
+        .await
+        .expect("failed to publish the document");
     let shown = |status: &Value| {
         let document = status["documents"][0].clone();
         document["revision"] == revision && document["rejected"][0].is_string()
     };
     for node in &all {
-        let until = Instant::now() + IN_FORCE_WITHIN;
-        while !shown(&fleet.status(node).await.expect("a status")) {
-            assert!(Instant::now() < until, "{node} doesn't show the faults");
+        let deadline = Instant::now() + IN_FORCE_WITHIN;
+        while !shown(
+            &fleet
+                .status(node)
+                .await
+                .expect("failed to read the node status"),
+        ) {
+            assert!(
+                Instant::now() < deadline,
+                "{node} does not report the document's faults"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(in_force(&fleet, node).await, good);
+        assert_eq!(revision_in_force(&fleet, node).await, good);
     }
     let client = fleet.client.clone();
     let member = fleet.member_mut("bidding-4");
-    member.kill_node().expect("a kill");
-    member.start_node().expect("a start");
-    member.ready(&client).await.expect("a serving node");
+    member.kill_node().expect("failed to kill the node");
+    member.start_node().expect("failed to start the node");
+    member
+        .ready(&client)
+        .await
+        .expect("node did not become ready");
     assert_eq!(
-        in_force(&fleet, "bidding-4").await,
+        revision_in_force(&fleet, "bidding-4").await,
         good,
-        "a new node gets the last good one"
+        "a restarted node gets the last valid document"
     );
     let entry = fleet.member("bidding-4").addresses.callers;
     let call = ClientCall::new(entry, Method::GET, "/bidding/lots/1");
-    assert_eq!(client.send(call).await.expect("an answer").status, 200);
-    no_breach(&fleet).await;
+    assert_eq!(client.send(call).await.expect("call failed").status, 200);
+    assert_no_breaches(&fleet).await;
 }
