--- a/crates/rig/src/soak/callers.rs
+++ b/crates/rig/src/soak/callers.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use coltsfootport_stand_ins::{Asked, Caller, HOST, get, key_line, post, workspace_line};
+use coltsfootport_stand_ins::{Asked, Caller, HOST, get, key_header, post, workspace_header};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
@@ -134,7 +134,7 @@
 
 /// A request with its key, and with a name of a workspace that its caller has made up.
 fn request(kind: Kind, key: Key, id: &str) -> String {
-    let headers = format!("{}{}", key_line(&key.text()), workspace_line("forged"));
+    let headers = format!("{}{}", key_header(&key.text()), workspace_header("forged"));
     let plain = match kind {
         Kind::Read => get(HOST, "/read/x", id, ""),
         Kind::Bid => post(HOST, "/bid/x", id, "a bid"),
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_stand_ins::{
-    Act, Asked, Caller, HOST, Mood, Store, config_with_workspaces, entry, get, key_line, route,
+    Act, Asked, Caller, HOST, Mood, Store, config_with_workspaces, entry, get, key_header, route,
     workspace,
 };
 use serde::Serialize;
@@ -383,7 +383,7 @@
             return false;
         };
         let version = self.shared.version.load(Ordering::SeqCst);
-        let key = key_line(&Key::Lasting.text());
+        let key = key_header(&Key::Lasting.text());
         let request = get(HOST, &format!("/v{version}/x"), "", &key);
         let asked = caller.ask(&request, ROUTE_LIMIT + LATE).await;
         matches!(asked, Asked::Answered(answer) if answer.status == 200)
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -5,7 +5,7 @@
 use coltsfootport_rig::soak::{
     self, CHANGING, Evidence, Key, Kind, LASTING, Record, SoakPlan, Span, breaches_of,
 };
-use coltsfootport_stand_ins::{Answer, Arrival, Asked, key_line, workspace_line};
+use coltsfootport_stand_ins::{Answer, Arrival, Asked, key_header, workspace_header};
 
 /// Seeds that have broken something, each with its cause; they are played again here.
 ///
@@ -53,7 +53,7 @@
         Self {
             start: Instant::now(),
             key: Key::Lasting,
-            headers: workspace_line(LASTING),
+            headers: workspace_header(LASTING),
             evidence: Evidence {
                 arrivals: vec![Vec::new(), Vec::new()],
                 ..Default::default()
@@ -194,7 +194,7 @@
         Case {
             name: "ran for another workspace",
             seen: || {
-                let seen = Seen::new().with_headers(workspace_line(CHANGING));
+                let seen = Seen::new().with_headers(workspace_header(CHANGING));
                 seen.asked(Kind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
@@ -203,7 +203,7 @@
         Case {
             name: "brought its key to a target",
             seen: || {
-                let headers = workspace_line(LASTING) + &key_line("key-lasting");
+                let headers = workspace_header(LASTING) + &key_header("key-lasting");
                 let seen = Seen::new().with_headers(headers);
                 seen.asked(Kind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
