--- a/crates/rig/src/soak/callers.rs
+++ b/crates/rig/src/soak/callers.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use coltsfootport_stand_ins::{Asked, Caller, HOST, get, key_header, post, workspace_header};
+use coltsfootport_stand_ins::{
+    Caller, HOST, RequestOutcome, get, key_header, post, workspace_header,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
@@ -70,9 +72,10 @@
             };
             let sent = Instant::now();
             let asked = caller
-                .ask(&request(kind, key, &id), ROUTE_LIMIT + LATE)
+                .request(&request(kind, key, &id), ROUTE_LIMIT + LATE)
                 .await;
-            if matches!(&asked, Asked::Answered(answer) if answer.whole && !closes(&answer.head)) {
+            if matches!(&asked, RequestOutcome::Answered(answer) if answer.whole && !closes(&answer.head))
+            {
                 open = Some(caller);
             }
             let record = Record {
@@ -104,7 +107,8 @@
 impl CrashingRequest {
     /// Sends one copy of it and notes what becomes of it.
     pub async fn send(self, copy: usize, shared: &Shared) {
-        let Some(mut caller) = Caller::open(self.address, Duration::from_secs(1)).await else {
+        let Some(mut caller) = Caller::try_connect(self.address, Duration::from_secs(1)).await
+        else {
             return;
         };
         let kind = Kind::Crashing(self.request);
@@ -116,7 +120,7 @@
             key: Key::Lasting,
             machine: self.machine,
             sent,
-            asked: caller.ask(&text, ROUTE_LIMIT + LATE).await,
+            asked: caller.request(&text, ROUTE_LIMIT + LATE).await,
             ended: Instant::now(),
             id,
         };
@@ -128,7 +132,7 @@
 async fn take(open: &mut Option<Caller>, address: SocketAddr) -> Option<Caller> {
     match open.take() {
         Some(caller) => Some(caller),
-        None => Caller::open(address, Duration::from_secs(1)).await,
+        None => Caller::try_connect(address, Duration::from_secs(1)).await,
     }
 }
 
--- a/crates/rig/src/soak/evidence.rs
+++ b/crates/rig/src/soak/evidence.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use coltsfootport_stand_ins::{Arrival, Asked};
+use coltsfootport_stand_ins::{Arrival, RequestOutcome};
 
 use super::Key;
 
@@ -36,7 +36,7 @@
     /// When its outcome was known.
     pub ended: Instant,
     /// What became of it.
-    pub asked: Asked,
+    pub asked: RequestOutcome,
 }
 
 /// A time in which something held.
@@ -158,7 +158,7 @@
 fn refused_as_crashing(evidence: &Evidence) -> Vec<String> {
     let wrongly = evidence.records.iter().filter(|record| {
         let refused =
-            matches!(&record.asked, Asked::Answered(answer) if answer.status == CRASHES_TARGETS);
+            matches!(&record.asked, RequestOutcome::Answered(answer) if answer.status == CRASHES_TARGETS);
         refused && !matches!(record.kind, Kind::Crashing(_))
     });
     wrongly
@@ -189,7 +189,8 @@
         }
     }
     let locked_out = evidence.records.iter().filter(|record| {
-        let unknown = matches!(&record.asked, Asked::Answered(answer) if answer.status == 401);
+        let unknown =
+            matches!(&record.asked, RequestOutcome::Answered(answer) if answer.status == 401);
         unknown && record.key == Key::Lasting
     });
     breaches.extend(locked_out.map(|record| format!("{} was answered 401", record.id)));
@@ -214,7 +215,7 @@
         return Some(format!("went to {arrivals} targets"));
     }
     match &record.asked {
-        Asked::Answered(answer) => {
+        RequestOutcome::Answered(answer) => {
             let promised = matches!(answer.status, 408 | 421 | 429 | 503);
             if once && promised && runs > 0 {
                 return Some(format!("ran, and was answered {}", answer.status));
@@ -223,11 +224,11 @@
             let mixed = answer.status == 200 && answer.whole && answer.body != own;
             mixed.then(|| format!("got another answer: {}", answer.body))
         }
-        Asked::Nothing => {
+        RequestOutcome::Nothing => {
             let excused = overlaps(&evidence.away, record.machine, record.sent, record.ended);
             (!excused).then(|| String::from("had no final answer in time"))
         }
-        Asked::Closed => {
+        RequestOutcome::Closed => {
             let stopped = overlaps(&evidence.stops, record.machine, record.sent, record.ended);
             let excused = overlaps(&evidence.away, record.machine, record.sent, record.ended)
                 || any_overlaps(&evidence.troubled, record.sent, record.ended);
@@ -244,7 +245,9 @@
     let mut records: Vec<&Record> = evidence.records.iter().collect();
     records.sort_by_key(|record| record.ended);
     for record in records {
-        let (Kind::Version(version), Asked::Answered(answer)) = (record.kind, &record.asked) else {
+        let (Kind::Version(version), RequestOutcome::Answered(answer)) =
+            (record.kind, &record.asked)
+        else {
             continue;
         };
         match answer.status {
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_stand_ins::{
-    Act, Asked, Caller, HOST, Mood, Store, config_with_workspaces, entry, get, key_header, route,
-    workspace,
+    Act, Caller, HOST, Mood, RequestOutcome, Store, config_with_workspaces, entry, get, key_header,
+    route, workspace,
 };
 use serde::Serialize;
 use tokio::sync::Mutex as AsyncMutex;
@@ -102,7 +102,7 @@
     if breaches.is_empty() {
         std::fs::remove_dir_all(&logs)?;
     }
-    let served = |asked: &Asked| matches!(asked, Asked::Answered(answer) if answer.status == 200);
+    let served = |asked: &RequestOutcome| matches!(asked, RequestOutcome::Answered(answer) if answer.status == 200);
     Ok(SoakReport {
         seed: plan.seed,
         requests: evidence.records.len(),
@@ -379,14 +379,15 @@
 
     async fn is_served(&self, at: usize) -> bool {
         let address = self.machines[at].callers;
-        let Some(mut caller) = Caller::open(address, Duration::from_millis(500)).await else {
+        let Some(mut caller) = Caller::try_connect(address, Duration::from_millis(500)).await
+        else {
             return false;
         };
         let version = self.shared.version.load(Ordering::SeqCst);
         let key = key_header(&Key::Lasting.text());
         let request = get(HOST, &format!("/v{version}/x"), "", &key);
-        let asked = caller.ask(&request, ROUTE_LIMIT + LATE).await;
-        matches!(asked, Asked::Answered(answer) if answer.status == 200)
+        let asked = caller.request(&request, ROUTE_LIMIT + LATE).await;
+        matches!(asked, RequestOutcome::Answered(answer) if answer.status == 200)
     }
 
     fn evidence(&self) -> Evidence {
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -5,7 +5,7 @@
 use coltsfootport_rig::soak::{
     self, CHANGING, Evidence, Key, Kind, LASTING, Record, SoakPlan, Span, breaches_of,
 };
-use coltsfootport_stand_ins::{Answer, Arrival, Asked, key_header, workspace_header};
+use coltsfootport_stand_ins::{Answer, Arrival, RequestOutcome, key_header, workspace_header};
 
 /// Seeds that have broken something, each with its cause; they are played again here.
 ///
@@ -74,7 +74,7 @@
     }
 
     /// A request from 1,000 to 1,100 at machine 0.
-    fn asked(mut self, kind: Kind, asked: Asked) -> Self {
+    fn asked(mut self, kind: Kind, asked: RequestOutcome) -> Self {
         let number = self.evidence.records.len() as u64;
         self.evidence.records.push(Record {
             id: String::from("r"),
@@ -114,8 +114,8 @@
     }
 }
 
-fn answer(status: u16, body: &str) -> Asked {
-    Asked::Answered(Answer {
+fn answer(status: u16, body: &str) -> RequestOutcome {
+    RequestOutcome::Answered(Answer {
         status,
         head: String::new(),
         body: body.to_owned(),
@@ -236,13 +236,13 @@
         },
         Case {
             name: "no final answer",
-            seen: || Seen::new().asked(Kind::Read, Asked::Nothing),
+            seen: || Seen::new().asked(Kind::Read, RequestOutcome::Nothing),
             breaches: 1,
         },
         Case {
             name: "no final answer of a node that stood still",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Read, Asked::Nothing);
+                let mut seen = Seen::new().asked(Kind::Read, RequestOutcome::Nothing);
                 seen.evidence.away.push(seen.span(Some(0), 900, 1050));
                 seen
             },
@@ -251,7 +251,9 @@
         Case {
             name: "cut off by a planned stop",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Bid, Asked::Closed).arrived(1, 1050);
+                let mut seen = Seen::new()
+                    .asked(Kind::Bid, RequestOutcome::Closed)
+                    .arrived(1, 1050);
                 seen.evidence.stops.push(seen.span(Some(0), 500, 4000));
                 seen
             },
@@ -260,7 +262,7 @@
         Case {
             name: "crossed the close of a planned stop",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Bid, Asked::Closed);
+                let mut seen = Seen::new().asked(Kind::Bid, RequestOutcome::Closed);
                 seen.evidence.stops.push(seen.span(Some(0), 500, 4000));
                 seen
             },
