--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_stand_ins::{
-    Act, Caller, HOST, Mood, RequestOutcome, Store, config_with_workspaces, entry, get, key_header,
-    route, workspace,
+    Act, Caller, HOST, RequestOutcome, Store, StoreMode, config_with_workspaces, entry, get,
+    key_header, route, workspace,
 };
 use serde::Serialize;
 use tokio::sync::Mutex as AsyncMutex;
@@ -202,10 +202,14 @@
                 node.process.signal(Signal::HUP)?;
             }
             Strike::Store { silent, ms } => {
-                let mood = if silent { Mood::Silent } else { Mood::Busy };
+                let mood = if silent {
+                    StoreMode::Silent
+                } else {
+                    StoreMode::Busy
+                };
                 self.mood(mood, ms, from).await;
             }
-            Strike::Forget { ms } => self.mood(Mood::Forgetful, ms, from).await,
+            Strike::Forget { ms } => self.mood(StoreMode::Compacted, ms, from).await,
             Strike::Configs { count, gap_ms } => {
                 for _ in 0..count {
                     self.shared.version.fetch_add(1, Ordering::SeqCst);
@@ -256,9 +260,9 @@
                 self.wire(machine, wire, faults, ms, from).await;
             }
             Strike::GoBack { lost, again_ms } => {
-                let lost = self.store.go_back(lost);
+                let lost = self.store.restore_backup(lost);
                 sleep(time(again_ms)).await;
-                self.store.write_again(lost);
+                self.store.repeat_lost(lost);
             }
             Strike::CrashTarget { machine, down_ms } => {
                 self.machines[machine].worker.crash(time(down_ms));
@@ -306,10 +310,10 @@
         }
     }
 
-    async fn mood(&self, mood: Mood, ms: u64, from: Instant) {
-        self.store.set(mood);
+    async fn mood(&self, mood: StoreMode, ms: u64, from: Instant) {
+        self.store.set_mode(mood);
         sleep(Duration::from_millis(ms)).await;
-        self.store.set(Mood::Sound);
+        self.store.set_mode(StoreMode::Normal);
         self.note(|e| &mut e.troubled, None, from);
     }
 
