--- a/crates/rig/src/soak/machine.rs
+++ b/crates/rig/src/soak/machine.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use coltsfootport_stand_ins::{Act, Crashes, Store, Worker};
+use coltsfootport_stand_ins::{Behavior, CrashTrigger, Store, Worker};
 
 use crate::error::RigError;
 use crate::fleet::Programs;
@@ -102,11 +102,11 @@
                 .map_err(|_| RigError::Settings(format!("no address: {text}")))
         };
         let worker = Worker::start(&inner, &format!("i-{at}")).await;
-        worker.always(Act::Work(WORK));
-        worker.crashes(Crashes {
-            mark: CRASHING.to_owned(),
+        worker.set_default(Behavior::Work(WORK));
+        worker.set_crash_trigger(CrashTrigger {
+            pattern: CRASHING.to_owned(),
             after: WORK,
-            down: CRASHED_FOR,
+            downtime: CRASHED_FOR,
         });
         let peers = address(&inner, peers_port)?;
         let links = vec![
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_stand_ins::{
-    Act, Caller, HOST, RequestOutcome, Store, StoreMode, config_with_workspaces, entry, get,
+    Behavior, Caller, HOST, RequestOutcome, Store, StoreMode, config_with_workspaces, entry, get,
     key_header, route, workspace,
 };
 use serde::Serialize;
@@ -229,7 +229,7 @@
                 count,
             } => {
                 let acts = std::iter::repeat_n(act_of(act), count);
-                self.machines[machine].worker.then(acts);
+                self.machines[machine].worker.queue(acts);
                 self.note(|e| &mut e.troubled, None, from);
             }
             Strike::Slow {
@@ -398,11 +398,13 @@
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         let records = self.shared.records.lock();
         let workers = self.machines.iter().map(|machine| &machine.worker);
-        let crashes = workers.flat_map(|worker| worker.ended()).map(|from| Span {
-            machine: None,
-            from,
-            to: from + CRASHED_FOR,
-        });
+        let crashes = workers
+            .flat_map(|worker| worker.crash_times())
+            .map(|from| Span {
+                machine: None,
+                from,
+                to: from + CRASHED_FOR,
+            });
         let troubled = spans.troubled.iter().copied().chain(crashes).collect();
         Evidence {
             troubled,
@@ -418,14 +420,14 @@
 }
 
 /// Ways in which targets fail.
-fn act_of(act: u8) -> Act {
+fn act_of(act: u8) -> Behavior {
     match act {
-        0 => Act::LoseAnswer,
-        1 => Act::Status(500),
-        2 => Act::Refuse,
-        3 => Act::Unsigned,
-        4 => Act::CutBody,
-        5 => Act::Garbage,
-        _ => Act::Twice(Duration::from_millis(2)),
+        0 => Behavior::LoseAnswer,
+        1 => Behavior::Status(500),
+        2 => Behavior::Refuse,
+        3 => Behavior::Unsigned,
+        4 => Behavior::CutBody,
+        5 => Behavior::Garbage,
+        _ => Behavior::Twice(Duration::from_millis(2)),
     }
 }
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -99,7 +99,7 @@
     }
 
     fn at_target(mut self, machine: usize, ms: u64, ran: bool) -> Self {
-        let mut arrival = Arrival::of("r", self.at(ms), ran);
+        let mut arrival = Arrival::new("r", self.at(ms), ran);
         arrival.head.push_str(&self.headers);
         self.evidence.arrivals[machine].push(arrival);
         self
