--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use coltsfootport_stand_ins::{
-    Act, Asked, Caller, HOST, Mood, Store, config_with_workspaces, entry, get, key_line, route,
-    workspace,
+    Behavior, Caller, HOST, RequestOutcome, Store, StoreMode, config_with_workspaces, entry, get,
+    key_header, route, workspace,
 };
 use serde::Serialize;
 use tokio::sync::Mutex as AsyncMutex;
@@ -102,7 +102,7 @@
     if breaches.is_empty() {
         std::fs::remove_dir_all(&logs)?;
     }
-    let served = |asked: &Asked| matches!(asked, Asked::Answered(answer) if answer.status == 200);
+    let served = |asked: &RequestOutcome| matches!(asked, RequestOutcome::Answered(answer) if answer.status == 200);
     Ok(SoakReport {
         seed: plan.seed,
         requests: evidence.records.len(),
@@ -202,10 +202,14 @@
                 node.process.signal(Signal::HUP)?;
             }
             Strike::Store { silent, ms } => {
-                let mood = if silent { Mood::Silent } else { Mood::Busy };
+                let mood = if silent {
+                    StoreMode::Silent
+                } else {
+                    StoreMode::Busy
+                };
                 self.mood(mood, ms, from).await;
             }
-            Strike::Forget { ms } => self.mood(Mood::Forgetful, ms, from).await,
+            Strike::Forget { ms } => self.mood(StoreMode::Compacted, ms, from).await,
             Strike::Configs { count, gap_ms } => {
                 for _ in 0..count {
                     self.shared.version.fetch_add(1, Ordering::SeqCst);
@@ -225,7 +229,7 @@
                 count,
             } => {
                 let acts = std::iter::repeat_n(act_of(act), count);
-                self.machines[machine].worker.then(acts);
+                self.machines[machine].worker.queue(acts);
                 self.note(|e| &mut e.troubled, None, from);
             }
             Strike::Slow {
@@ -256,9 +260,9 @@
                 self.wire(machine, wire, faults, ms, from).await;
             }
             Strike::GoBack { lost, again_ms } => {
-                let lost = self.store.go_back(lost);
+                let lost = self.store.restore_backup(lost);
                 sleep(time(again_ms)).await;
-                self.store.write_again(lost);
+                self.store.repeat_lost(lost);
             }
             Strike::CrashTarget { machine, down_ms } => {
                 self.machines[machine].worker.crash(time(down_ms));
@@ -306,10 +310,10 @@
         }
     }
 
-    async fn mood(&self, mood: Mood, ms: u64, from: Instant) {
-        self.store.set(mood);
+    async fn mood(&self, mood: StoreMode, ms: u64, from: Instant) {
+        self.store.set_mode(mood);
         sleep(Duration::from_millis(ms)).await;
-        self.store.set(Mood::Sound);
+        self.store.set_mode(StoreMode::Normal);
         self.note(|e| &mut e.troubled, None, from);
     }
 
@@ -379,25 +383,28 @@
 
     async fn is_served(&self, at: usize) -> bool {
         let address = self.machines[at].callers;
-        let Some(mut caller) = Caller::open(address, Duration::from_millis(500)).await else {
+        let Some(mut caller) = Caller::try_connect(address, Duration::from_millis(500)).await
+        else {
             return false;
         };
         let version = self.shared.version.load(Ordering::SeqCst);
-        let key = key_line(&Key::Lasting.text());
+        let key = key_header(&Key::Lasting.text());
         let request = get(HOST, &format!("/v{version}/x"), "", &key);
-        let asked = caller.ask(&request, ROUTE_LIMIT + LATE).await;
-        matches!(asked, Asked::Answered(answer) if answer.status == 200)
+        let asked = caller.request(&request, ROUTE_LIMIT + LATE).await;
+        matches!(asked, RequestOutcome::Answered(answer) if answer.status == 200)
     }
 
     fn evidence(&self) -> Evidence {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         let records = self.shared.records.lock();
         let workers = self.machines.iter().map(|machine| &machine.worker);
-        let crashes = workers.flat_map(|worker| worker.ended()).map(|from| Span {
-            machine: None,
-            from,
-            to: from + CRASHED_FOR,
-        });
+        let crashes = workers
+            .flat_map(|worker| worker.crash_times())
+            .map(|from| Span {
+                machine: None,
+                from,
+                to: from + CRASHED_FOR,
+            });
         let troubled = spans.troubled.iter().copied().chain(crashes).collect();
         Evidence {
             troubled,
@@ -413,14 +420,14 @@
 }
 
 /// Ways in which targets fail.
-fn act_of(act: u8) -> Act {
+fn act_of(act: u8) -> Behavior {
     match act {
-        0 => Act::LoseAnswer,
-        1 => Act::Status(500),
-        2 => Act::Refuse,
-        3 => Act::Unsigned,
-        4 => Act::CutBody,
-        5 => Act::Garbage,
-        _ => Act::Twice(Duration::from_millis(2)),
+        0 => Behavior::LoseAnswer,
+        1 => Behavior::Status(500),
+        2 => Behavior::Refuse,
+        3 => Behavior::Unsigned,
+        4 => Behavior::CutBody,
+        5 => Behavior::Garbage,
+        _ => Behavior::Twice(Duration::from_millis(2)),
     }
 }
