--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,4 +1,4 @@
-//! Random faults from outside on real mesh nodes, checked by what callers and targets see.
+//! Injects random faults into real mesh nodes and checks what callers and targets observe.
 
 mod callers;
 mod evidence;
@@ -7,8 +7,8 @@
 mod plan;
 mod run;
 
-pub use self::evidence::{Evidence, Kind, Record, Span, breaches_of};
-pub use self::key::{CHANGING, Key, LASTING};
+pub use self::evidence::{Evidence, RequestKind, RequestRecord, Span, find_breaches};
+pub use self::key::{CHANGING_WORKSPACE, Key, LASTING_WORKSPACE};
 pub use self::machine::{NodeSettings, settings_text};
-pub use self::plan::{SoakPlan, Strike, Timed, Wire};
+pub use self::plan::{Fault, Link, ScheduledFault, SoakPlan};
 pub use self::run::{SoakReport, run};
--- a/crates/rig/src/soak/callers.rs
+++ b/crates/rig/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! The load of a soak: callers that keep their connections for as long as they are open.
+//! Load of a soak test: callers that reuse a connection until it is closed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -10,58 +10,58 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
 
-use super::machine::CRASHING;
-use crate::soak::{Key, Kind, Record};
+use super::machine::CRASHING_MARK;
+use crate::soak::{Key, RequestKind, RequestRecord};
 
-/// Time limit of every route.
-pub const ROUTE_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of every route.
+pub const ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time beyond it in which the final answer must come; machines of tests are busy.
-pub const LATE: Duration = Duration::from_millis(1500);
+/// Tolerance past [`ROUTE_TIMEOUT`] for the final answer, since test machines are busy.
+pub const ANSWER_TOLERANCE: Duration = Duration::from_millis(1500);
 
-/// What all callers share.
+/// State shared by all callers.
 #[derive(Debug, Default)]
-pub struct Shared {
-    /// Newest version of the configuration.
+pub struct LoadState {
+    /// Newest configuration version.
     pub version: AtomicU32,
-    /// Whether they end.
-    pub over: AtomicBool,
-    /// What they have seen.
-    pub records: Mutex<Vec<Record>>,
+    /// Tells the callers to stop.
+    pub stopping: AtomicBool,
+    /// Finished requests of all callers.
+    pub records: Mutex<Vec<RequestRecord>>,
 }
 
-/// One caller of a machine.
+/// A caller that sends requests to one machine.
 pub struct SoakCaller {
-    /// The machine.
+    /// Index of the machine.
     pub machine: usize,
-    /// Where its node listens.
+    /// Caller address of the machine's node.
     pub address: SocketAddr,
-    /// Begins every id, so that ids are unique.
+    /// Prefix of request ids, which makes them unique.
     pub name: String,
-    /// Seed of its choices.
+    /// Seed of the caller's random numbers.
     pub seed: u64,
-    /// What all callers share.
-    pub shared: Arc<Shared>,
+    /// State shared by all callers.
+    pub shared: Arc<LoadState>,
 }
 
 impl SoakCaller {
-    /// Sends requests until the load is over.
+    /// Sends requests until the callers are told to stop.
     pub async fn run(self) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut open = None;
         let mut count = 0;
-        while !self.shared.over.load(Ordering::SeqCst) {
+        while !self.shared.stopping.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(rng.random_range(5..60))).await;
-            let Some(mut caller) = take(&mut open, self.address).await else {
+            let Some(mut caller) = take_or_open(&mut open, self.address).await else {
                 continue;
             };
             count += 1;
             let id = format!("{}x{count}", self.name);
             let version = self.shared.version.load(Ordering::SeqCst);
             let kind = match rng.random_range(0..10) {
-                0..5 => Kind::Read,
-                5..9 => Kind::Bid,
-                _ => Kind::Version(rng.random_range(0..=version)),
+                0..5 => RequestKind::Read,
+                5..9 => RequestKind::Bid,
+                _ => RequestKind::Version(rng.random_range(0..=version)),
             };
             let key = match rng.random_range(0..10) {
                 0..7 => Key::Lasting,
@@ -70,12 +70,13 @@
             };
             let sent = Instant::now();
             let asked = caller
-                .ask(&request(kind, key, &id), ROUTE_LIMIT + LATE)
+                .ask(&request(kind, key, &id), ROUTE_TIMEOUT + ANSWER_TOLERANCE)
                 .await;
-            if matches!(&asked, Asked::Answered(answer) if answer.whole && !closes(&answer.head)) {
+            if matches!(&asked, Asked::Answered(answer) if answer.whole && !has_connection_close(&answer.head))
+            {
                 open = Some(caller);
             }
-            let record = Record {
+            let record = RequestRecord {
                 id,
                 kind,
                 key,
@@ -90,33 +91,33 @@
     }
 }
 
-/// A request that crashes each target which runs it, at one machine.
+/// A request that crashes every target that runs it, sent to one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashingRequest {
-    /// The machine.
+    /// Index of the machine.
     pub machine: usize,
-    /// Where its node listens.
+    /// Caller address of the machine's node.
     pub address: SocketAddr,
-    /// Tells it from others of the run.
+    /// Number of the crashing request within the run.
     pub request: u32,
 }
 
 impl CrashingRequest {
-    /// Sends one copy of it and notes what becomes of it.
-    pub async fn send(self, copy: usize, shared: &Shared) {
+    /// Sends one copy of the request and records its outcome.
+    pub async fn send(self, copy: usize, shared: &LoadState) {
         let Some(mut caller) = Caller::open(self.address, Duration::from_secs(1)).await else {
             return;
         };
-        let kind = Kind::Crashing(self.request);
-        let id = format!("{CRASHING}{}x{copy}", self.request);
+        let kind = RequestKind::Crashing(self.request);
+        let id = format!("{CRASHING_MARK}{}x{copy}", self.request);
         let sent = Instant::now();
         let text = request(kind, Key::Lasting, &id);
-        let record = Record {
+        let record = RequestRecord {
             kind,
             key: Key::Lasting,
             machine: self.machine,
             sent,
-            asked: caller.ask(&text, ROUTE_LIMIT + LATE).await,
+            asked: caller.ask(&text, ROUTE_TIMEOUT + ANSWER_TOLERANCE).await,
             ended: Instant::now(),
             id,
         };
@@ -125,25 +126,27 @@
     }
 }
 
-async fn take(open: &mut Option<Caller>, address: SocketAddr) -> Option<Caller> {
+async fn take_or_open(open: &mut Option<Caller>, address: SocketAddr) -> Option<Caller> {
     match open.take() {
         Some(caller) => Some(caller),
         None => Caller::open(address, Duration::from_secs(1)).await,
     }
 }
 
-/// A request with its key, and with a name of a workspace that its caller has made up.
-fn request(kind: Kind, key: Key, id: &str) -> String {
+/// Formats a request with its key and a forged workspace header, which nodes must not pass on.
+fn request(kind: RequestKind, key: Key, id: &str) -> String {
     let headers = format!("{}{}", key_line(&key.text()), workspace_line("forged"));
     let plain = match kind {
-        Kind::Read => get(HOST, "/read/x", id, ""),
-        Kind::Bid => post(HOST, "/bid/x", id, "a bid"),
-        Kind::Crashing(request) => get(HOST, &format!("/read/{CRASHING}{request}"), id, ""),
-        Kind::Version(version) => get(HOST, &format!("/v{version}/x"), id, ""),
+        RequestKind::Read => get(HOST, "/read/x", id, ""),
+        RequestKind::Bid => post(HOST, "/bid/x", id, "a bid"),
+        RequestKind::Crashing(request) => {
+            get(HOST, &format!("/read/{CRASHING_MARK}{request}"), id, "")
+        }
+        RequestKind::Version(version) => get(HOST, &format!("/v{version}/x"), id, ""),
     };
     plain.replacen("\r\n", &format!("\r\n{headers}"), 1)
 }
 
-fn closes(head: &str) -> bool {
+fn has_connection_close(head: &str) -> bool {
     head.to_ascii_lowercase().contains("connection: close")
 }
--- a/crates/rig/src/soak/evidence.rs
+++ b/crates/rig/src/soak/evidence.rs
@@ -1,4 +1,4 @@
-//! What callers and targets saw, and which promises it breaks.
+//! Observations of callers and targets, and checks for violated guarantees.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,118 +7,120 @@
 
 use super::Key;
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// May be repeated.
+pub enum RequestKind {
+    /// Idempotent request, which may be repeated.
     Read,
-    /// May run once only.
+    /// Non-idempotent request, which must run at most once.
     Bid,
-    /// It crashes each target that runs it; the number tells it from others.
+    /// Crashes every target that runs it; numbered within the run.
     Crashing(u32),
-    /// A route that came with this version of the configuration and stays.
+    /// Request to a route added by this configuration version and kept by later ones.
     Version(u32),
 }
 
-/// One request of a caller.
+/// A caller's request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Record {
-    /// Its id.
+pub struct RequestRecord {
+    /// Id of the request.
     pub id: String,
-    /// What it asked for.
-    pub kind: Kind,
-    /// The key that it bore.
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Key sent with the request.
     pub key: Key,
-    /// The machine where it entered.
+    /// Index of the machine that received the request.
     pub machine: usize,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// When its outcome was known.
+    /// Time at which the outcome was known.
     pub ended: Instant,
-    /// What became of it.
+    /// Outcome as observed by the caller.
     pub asked: Asked,
 }
 
-/// A time in which something held.
+/// Time span of a condition, such as an outage.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// The machine; all where missing.
+    /// Index of the affected machine; `None` for all machines.
     pub machine: Option<usize>,
-    /// Its beginning.
+    /// Start of the span.
     pub from: Instant,
-    /// Its end.
+    /// End of the span.
     pub to: Instant,
 }
 
-/// Everything that was seen in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// The requests of all callers.
-    pub records: Vec<Record>,
-    /// Arrivals at each machine's target.
+    pub records: Vec<RequestRecord>,
+    /// Requests that arrived at each machine's target.
     pub arrivals: Vec<Vec<Arrival>>,
-    /// Times in which a node stood still or was down.
-    pub away: Vec<Span>,
-    /// Times in which a node was being stopped in order.
+    /// Times at which a node was suspended or down.
+    pub outages: Vec<Span>,
+    /// Times at which a node was stopping gracefully.
     pub stops: Vec<Span>,
-    /// Times from a target's word that it leaves, or its return, on.
-    pub leaves: Vec<Span>,
-    /// Times in which some node could not hear the store, or not be heard, or a target failed on its own.
-    pub troubled: Vec<Span>,
+    /// Times from a target being published as draining until it is ready again.
+    pub drains: Vec<Span>,
+    /// Times at which some node could not reach the store or be reached, or a target failed by itself.
+    pub impairments: Vec<Span>,
 }
 
-/// Attempts that every route allows.
-const MOST_ATTEMPTS: usize = 2;
+/// Maximum number of attempts per request on every route.
+const MAX_ATTEMPTS: usize = 2;
 
-/// Time after which nothing new may reach a target that leaves, with half a second for a busy machine.
-const DRAINED: Duration = Duration::from_millis(2500);
+/// Time after which a draining target must receive no new requests, including 0.5 s of tolerance
+/// for a busy machine.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2500);
 
-/// Time after an outage in which entries and configuration are caught up with.
-const SETTLED: Duration = Duration::from_millis(3000);
+/// Time that nodes need after an outage to catch up with entries and configuration.
+const CATCH_UP_TIME: Duration = Duration::from_millis(3000);
 
-/// Crashes after which a request must be known.
-const CRASHES_TO_KNOW: usize = 3;
+/// Number of target crashes after which nodes must block a request.
+const CRASH_THRESHOLD: usize = 3;
 
-/// Time after the last of them within which every node must know.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3000);
+/// Time after the last of these crashes within which every node must block the request.
+const BLOCK_LIMIT: Duration = Duration::from_millis(3000);
 
-/// Most arrivals of such a request after that.
-const MOST_AFTER_KNOWN: usize = 3;
+/// Maximum number of tolerated arrivals of a blocked request.
+const MAX_BLOCKED_ARRIVALS: usize = 3;
 
-/// Status by which a node ends requests that crash targets.
-const CRASHES_TARGETS: u16 = 400;
+/// Status of a node's answer to a request that is known to crash targets.
+const CRASHING_STATUS: u16 = 400;
 
-/// The promises that are broken, as lines for people.
-pub fn breaches_of(evidence: &Evidence) -> Vec<String> {
-    let mut at_targets: HashMap<&str, AtTargets> = HashMap::new();
+/// Describes every violated guarantee in one line.
+pub fn find_breaches(evidence: &Evidence) -> Vec<String> {
+    let mut target_counts: HashMap<&str, TargetCounts> = HashMap::new();
     for arrival in evidence.arrivals.iter().flatten() {
         if let Some(id) = arrival.id() {
-            let seen = at_targets.entry(id).or_default();
+            let seen = target_counts.entry(id).or_default();
             seen.arrivals += 1;
             seen.runs += usize::from(arrival.ran);
         }
     }
     let mut breaches = Vec::new();
     for record in &evidence.records {
-        let seen = at_targets.get(record.id.as_str());
-        let found = breach_of(evidence, record, seen.copied().unwrap_or_default());
+        let seen = target_counts.get(record.id.as_str());
+        let found = find_breach(evidence, record, seen.copied().unwrap_or_default());
         breaches.extend(
             found.map(|what| format!("{} at machine {}: {what}", record.id, record.machine)),
         );
     }
-    breaches.extend(wrong_workspaces(evidence));
-    breaches.extend(steps_back(evidence));
-    breaches.extend(late_arrivals(evidence));
-    breaches.extend(crashing_requests(evidence));
-    breaches.extend(refused_as_crashing(evidence));
+    breaches.extend(find_workspace_breaches(evidence));
+    breaches.extend(find_version_regressions(evidence));
+    breaches.extend(find_late_arrivals(evidence));
+    breaches.extend(find_unblocked_requests(evidence));
+    breaches.extend(find_wrongly_blocked_requests(evidence));
     breaches
 }
 
-/// Requests that reach targets although they have crashed three, sent by nodes that could know.
-fn crashing_requests(evidence: &Evidence) -> Vec<String> {
-    let mut by_request: HashMap<u32, Vec<&Record>> = HashMap::new();
+/// Finds requests that still reach targets after crashing three of them, from nodes that had time to
+/// learn of the crashes.
+fn find_unblocked_requests(evidence: &Evidence) -> Vec<String> {
+    let mut by_request: HashMap<u32, Vec<&RequestRecord>> = HashMap::new();
     for record in &evidence.records {
-        if let Kind::Crashing(request) = record.kind {
+        if let RequestKind::Crashing(request) = record.kind {
             by_request.entry(request).or_default().push(record);
         }
     }
@@ -133,42 +135,47 @@
             .filter_map(|one| Some((one.at, *entries.get(one.id()?)?)))
             .collect();
         arrived.sort_unstable();
-        let Some((third, _)) = arrived.get(CRASHES_TO_KNOW - 1).copied() else {
+        let Some((third, _)) = arrived.get(CRASH_THRESHOLD - 1).copied() else {
             continue;
         };
         let late = arrived.iter().filter(|(at, entry)| {
-            let since = at.checked_sub(KNOWN_WITHIN).unwrap_or(*at);
-            let excused = [&evidence.away, &evidence.stops];
-            *at > third + KNOWN_WITHIN
+            let since = at.checked_sub(BLOCK_LIMIT).unwrap_or(*at);
+            let excused = [&evidence.outages, &evidence.stops];
+            *at > third + BLOCK_LIMIT
                 && !excused
                     .iter()
                     .any(|spans| overlaps(spans, *entry, since, *at))
         });
         let late = late.count();
-        if late > MOST_AFTER_KNOWN {
+        if late > MAX_BLOCKED_ARRIVALS {
             breaches.push(format!(
-                "crashing request {request} reached targets {late} times after it was known"
+                "crashing request {request} reached targets {late} times after it had to be blocked"
             ));
         }
     }
     breaches
 }
 
-/// Other requests that are ended as if they crashed targets.
-fn refused_as_crashing(evidence: &Evidence) -> Vec<String> {
+/// Finds requests that are wrongly refused as crashing.
+fn find_wrongly_blocked_requests(evidence: &Evidence) -> Vec<String> {
     let wrongly = evidence.records.iter().filter(|record| {
         let refused =
-            matches!(&record.asked, Asked::Answered(answer) if answer.status == CRASHES_TARGETS);
-        refused && !matches!(record.kind, Kind::Crashing(_))
+            matches!(&record.asked, Asked::Answered(answer) if answer.status == CRASHING_STATUS);
+        refused && !matches!(record.kind, RequestKind::Crashing(_))
     });
     wrongly
-        .map(|record| format!("{} was answered {CRASHES_TARGETS}", record.id))
+        .map(|record| {
+            format!(
+                "{} was refused as crashing with {CRASHING_STATUS}",
+                record.id
+            )
+        })
         .collect()
 }
 
-/// Requests that ran for another workspace than that of their key, that brought their key to a target, or whose key is known and
-/// was called unknown.
-fn wrong_workspaces(evidence: &Evidence) -> Vec<String> {
+/// Finds requests that ran for a workspace other than their key's, that passed their key on to a
+/// target, or that were answered 401 despite a valid key.
+fn find_workspace_breaches(evidence: &Evidence) -> Vec<String> {
     let keys: HashMap<&str, Key> = evidence
         .records
         .iter()
@@ -182,69 +189,75 @@
         };
         let name = arrival.workspace();
         if name != key.owner() || key.owner().is_none() {
-            breaches.push(format!("{id} ran for {name:?} with a key of {key:?}"));
+            breaches.push(format!("{id} ran for workspace {name:?} with key {key:?}"));
         }
         if arrival.has_key() {
-            breaches.push(format!("{id} brought its key to a target"));
+            breaches.push(format!("{id} passed its key on to a target"));
         }
     }
-    let locked_out = evidence.records.iter().filter(|record| {
+    let wrongly_refused = evidence.records.iter().filter(|record| {
         let unknown = matches!(&record.asked, Asked::Answered(answer) if answer.status == 401);
         unknown && record.key == Key::Lasting
     });
-    breaches.extend(locked_out.map(|record| format!("{} was answered 401", record.id)));
+    breaches.extend(
+        wrongly_refused.map(|record| format!("{} was answered 401 despite a valid key", record.id)),
+    );
     breaches
 }
 
-/// What targets saw of one request.
+/// Number of arrivals and runs of one request at all targets.
 #[derive(Clone, Copy, Debug, Default)]
-struct AtTargets {
+struct TargetCounts {
     arrivals: usize,
-    /// Arrivals that the target worked on.
+    /// Arrivals that a target ran.
     runs: usize,
 }
 
-fn breach_of(evidence: &Evidence, record: &Record, seen: AtTargets) -> Option<String> {
-    let once = record.kind == Kind::Bid;
-    let AtTargets { arrivals, runs } = seen;
+fn find_breach(evidence: &Evidence, record: &RequestRecord, seen: TargetCounts) -> Option<String> {
+    let once = record.kind == RequestKind::Bid;
+    let TargetCounts { arrivals, runs } = seen;
     if once && runs > 1 {
         return Some(format!("ran {runs} times"));
     }
-    if arrivals > MOST_ATTEMPTS {
-        return Some(format!("went to {arrivals} targets"));
+    if arrivals > MAX_ATTEMPTS {
+        return Some(format!("was attempted {arrivals} times"));
     }
     match &record.asked {
         Asked::Answered(answer) => {
-            let promised = matches!(answer.status, 408 | 421 | 429 | 503);
-            if once && promised && runs > 0 {
-                return Some(format!("ran, and was answered {}", answer.status));
+            let says_not_run = matches!(answer.status, 408 | 421 | 429 | 503);
+            if once && says_not_run && runs > 0 {
+                return Some(format!(
+                    "ran although its answer {} says that it did not",
+                    answer.status
+                ));
             }
             let own = format!("answer to {}", record.id);
             let mixed = answer.status == 200 && answer.whole && answer.body != own;
-            mixed.then(|| format!("got another answer: {}", answer.body))
+            mixed.then(|| format!("got the answer to another request: {}", answer.body))
         }
         Asked::Nothing => {
-            let excused = overlaps(&evidence.away, record.machine, record.sent, record.ended);
-            (!excused).then(|| String::from("had no final answer in time"))
+            let excused = overlaps(&evidence.outages, record.machine, record.sent, record.ended);
+            (!excused).then(|| String::from("got no final answer in time"))
         }
         Asked::Closed => {
             let stopped = overlaps(&evidence.stops, record.machine, record.sent, record.ended);
-            let excused = overlaps(&evidence.away, record.machine, record.sent, record.ended)
-                || any_overlaps(&evidence.troubled, record.sent, record.ended);
+            let excused = overlaps(&evidence.outages, record.machine, record.sent, record.ended)
+                || any_overlaps(&evidence.impairments, record.sent, record.ended);
             let cut = stopped && !excused && arrivals > 0;
-            cut.then(|| String::from("was cut off by a planned stop"))
+            cut.then(|| String::from("was aborted by a graceful stop"))
         }
     }
 }
 
-/// A node that has handled a request by a version must not handle a later one by an older version, in one boot.
-fn steps_back(evidence: &Evidence) -> Vec<String> {
+/// Finds nodes that return to an older configuration version without a restart.
+fn find_version_regressions(evidence: &Evidence) -> Vec<String> {
     let mut breaches = Vec::new();
     let mut newest: HashMap<usize, (u32, Instant)> = HashMap::new();
-    let mut records: Vec<&Record> = evidence.records.iter().collect();
+    let mut records: Vec<&RequestRecord> = evidence.records.iter().collect();
     records.sort_by_key(|record| record.ended);
     for record in records {
-        let (Kind::Version(version), Asked::Answered(answer)) = (record.kind, &record.asked) else {
+        let (RequestKind::Version(version), Asked::Answered(answer)) = (record.kind, &record.asked)
+        else {
             continue;
         };
         match answer.status {
@@ -260,11 +273,11 @@
                 let Some((best, seen)) = newest.get(&record.machine) else {
                     continue;
                 };
-                let since_boot = !overlaps(&evidence.away, record.machine, *seen, record.ended)
+                let since_boot = !overlaps(&evidence.outages, record.machine, *seen, record.ended)
                     && !overlaps(&evidence.stops, record.machine, *seen, record.ended);
                 if since_boot && version <= *best && record.sent > *seen {
                     breaches.push(format!(
-                        "machine {} went back behind version {best}: 404 for {version}",
+                        "machine {} reverted to a version before {best}: 404 for {version}",
                         record.machine
                     ));
                 }
@@ -275,52 +288,50 @@
     breaches
 }
 
-/// Requests that reach a leaving target although every node could know.
-fn late_arrivals(evidence: &Evidence) -> Vec<String> {
+/// Finds requests that reach a draining target after every node had time to learn of it.
+fn find_late_arrivals(evidence: &Evidence) -> Vec<String> {
     let mut breaches = Vec::new();
-    for leave in &evidence.leaves {
-        let Some(machine) = leave.machine else {
+    for drain in &evidence.drains {
+        let Some(machine) = drain.machine else {
             continue;
         };
-        let from = leave.from + DRAINED;
-        let before = leave.from.checked_sub(SETTLED).unwrap_or(leave.from);
-        let unsettled = [&evidence.troubled, &evidence.away, &evidence.stops];
+        let from = drain.from + DRAIN_LIMIT;
+        let before = drain.from.checked_sub(CATCH_UP_TIME).unwrap_or(drain.from);
+        let unsettled = [&evidence.impairments, &evidence.outages, &evidence.stops];
         if unsettled
             .iter()
-            .any(|spans| any_overlaps(spans, before, leave.to))
+            .any(|spans| any_overlaps(spans, before, drain.to))
         {
             continue;
         }
         let late = evidence.arrivals[machine]
             .iter()
-            .filter(|arrival| arrival.at > from && arrival.at < leave.to)
+            .filter(|arrival| arrival.at > from && arrival.at < drain.to)
             .count();
         if late > 0 {
-            breaches.push(format!(
-                "{late} requests reached the leaving target {machine}"
-            ));
+            breaches.push(format!("{late} requests reached draining target {machine}"));
         }
     }
     breaches
 }
 
 impl Span {
-    /// Whether it has a moment in common with the time between two others.
-    fn meets(&self, from: Instant, to: Instant) -> bool {
+    /// Returns whether the span overlaps the time between `from` and `to`.
+    fn overlaps(&self, from: Instant, to: Instant) -> bool {
         self.from <= to && self.to >= from
     }
 
-    /// Whether it is about a machine.
-    fn is_of(&self, machine: usize) -> bool {
+    /// Returns whether the span affects a machine.
+    fn affects(&self, machine: usize) -> bool {
         self.machine.is_none_or(|other| other == machine)
     }
 }
 
 fn overlaps(spans: &[Span], machine: usize, from: Instant, to: Instant) -> bool {
-    let mut of_machine = spans.iter().filter(|span| span.is_of(machine));
-    of_machine.any(|span| span.meets(from, to))
+    let mut of_machine = spans.iter().filter(|span| span.affects(machine));
+    of_machine.any(|span| span.overlaps(from, to))
 }
 
 fn any_overlaps(spans: &[Span], from: Instant, to: Instant) -> bool {
-    spans.iter().any(|span| span.meets(from, to))
+    spans.iter().any(|span| span.overlaps(from, to))
 }
--- a/crates/rig/src/soak/key.rs
+++ b/crates/rig/src/soak/key.rs
@@ -1,24 +1,24 @@
-//! The keys that callers of a soak send, and what must come of each.
+//! Keys that soak callers send, and the workspace each one belongs to.
 
-/// Whose key a request bears.
+/// Key sent with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// One that its workspace always has.
+    /// Valid in every configuration version.
     Lasting,
-    /// One that was added with a version of the configuration and taken away with the next.
+    /// Added by one configuration version and removed by the next.
     OfVersion(u32),
-    /// One that no configuration ever held.
+    /// Not part of any configuration.
     Unknown,
 }
 
-/// Workspace of the lasting key.
-pub const LASTING: &str = "lasting";
+/// Workspace of [`Key::Lasting`].
+pub const LASTING_WORKSPACE: &str = "lasting";
 
-/// Workspace of the keys that come and go.
-pub const CHANGING: &str = "changing";
+/// Workspace of [`Key::OfVersion`] keys.
+pub const CHANGING_WORKSPACE: &str = "changing";
 
 impl Key {
-    /// The key.
+    /// Returns the key as sent in the request.
     pub fn text(self) -> String {
         match self {
             Self::Lasting => String::from("key-lasting"),
@@ -27,11 +27,11 @@
         }
     }
 
-    /// The only workspace that its requests may run for.
+    /// Returns the only workspace that requests with this key may run for.
     pub fn owner(self) -> Option<&'static str> {
         match self {
-            Self::Lasting => Some(LASTING),
-            Self::OfVersion(_) => Some(CHANGING),
+            Self::Lasting => Some(LASTING_WORKSPACE),
+            Self::OfVersion(_) => Some(CHANGING_WORKSPACE),
             Self::Unknown => None,
         }
     }
--- a/crates/rig/src/soak/machine.rs
+++ b/crates/rig/src/soak/machine.rs
@@ -1,4 +1,4 @@
-//! A real node, its target, and the proxy around both.
+//! A machine of a soak test: a real node, its target, and a proxy on the links of both.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use crate::fleet::Programs;
 use crate::process::{Output, Process, ProcessSpec, free_port};
 use crate::proxy::{LinkFaults, LinkPlan, Plan, Protocol, Proxy};
-use crate::soak::Wire;
+use crate::soak::Link;
 
-/// What a mesh node's settings name.
+/// Values filled into the settings file of a mesh node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings<'a> {
-    /// Its name.
+    /// Name of the node.
     pub name: &'a str,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: &'a str,
-    /// Its target.
+    /// Address of the target.
     pub target: SocketAddr,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Its readiness check.
+    /// Listen address of the readiness check.
     pub ready: SocketAddr,
-    /// Where other nodes reach it.
+    /// Listen address for other nodes.
     pub peers: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Further settings of the publisher, behind a comma.
+    /// Additional publisher settings, starting with a comma, or empty.
     pub publisher: &'a str,
 }
 
-/// The text of a settings file. Watches are short, so that outages of the store are seen soon.
+/// Formats a settings file. Watches are short, so that nodes detect store outages quickly.
 pub fn settings_text(node: &NodeSettings<'_>) -> String {
     format!(
         r#"{{
@@ -55,38 +55,38 @@
     )
 }
 
-/// Settings by which a fleet of any size shares the reading of the store.
-const SHARES_READING: &str = r#", "direct_ratio": 0"#;
+/// Publisher settings that enable shared store reads whatever the fleet size.
+const SHARED_READS: &str = r#", "direct_ratio": 0"#;
 
-/// Time that a target works on a request.
-const WORK: Duration = Duration::from_millis(8);
+/// Service time of a target.
+const SERVICE_TIME: Duration = Duration::from_millis(8);
 
-/// What stands in requests that crash targets.
-pub const CRASHING: &str = "crashing";
+/// Marks requests that crash targets.
+pub const CRASHING_MARK: &str = "crashing";
 
-/// Time after which a crashed target is back.
-pub const CRASHED_FOR: Duration = Duration::from_millis(1200);
+/// Time until a crashed target is back.
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(1200);
 
-/// A machine of a soak.
+/// A node with its target, settings and proxied links.
 pub struct Machine {
-    /// Its target.
+    /// The target.
     pub worker: Worker,
-    /// Where the list names the target: the proxy before it.
+    /// Published address of the target, which is the proxy's.
     pub target: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the machine.
     pub domain: String,
-    /// Where callers reach the node.
+    /// Caller address of the node.
     pub callers: SocketAddr,
     settings: PathBuf,
     log: PathBuf,
-    wires: Proxy,
+    proxy: Proxy,
 }
 
 impl Machine {
-    /// Prepares a machine; its node is not running yet.
+    /// Starts the target and the proxy and writes the node's settings, without starting the node.
     ///
-    /// Others reach a node at its target's IP number and the port that all nodes share, so each machine has an outer
-    /// number, where the proxy listens, and an inner one, where the node does.
+    /// Peers connect to a node at its target's IP address and a port common to all nodes, so each
+    /// machine has an outer address for the proxy and an inner one for the node.
     pub async fn prepare(
         at: usize,
         peers_port: u16,
@@ -99,40 +99,42 @@
         let address = |ip: &str, port: u16| -> Result<SocketAddr, RigError> {
             let text = format!("{ip}:{port}");
             text.parse()
-                .map_err(|_| RigError::Settings(format!("no address: {text}")))
+                .map_err(|_| RigError::Settings(format!("invalid address: {text}")))
         };
         let worker = Worker::start(&inner, &format!("i-{at}")).await;
-        worker.always(Act::Work(WORK));
+        worker.always(Act::Work(SERVICE_TIME));
         worker.crashes(Crashes {
-            mark: CRASHING.to_owned(),
-            after: WORK,
-            down: CRASHED_FOR,
+            mark: CRASHING_MARK.to_owned(),
+            after: SERVICE_TIME,
+            down: CRASH_DOWNTIME,
         });
         let peers = address(&inner, peers_port)?;
         let links = vec![
             LinkPlan {
                 listen: address(&outer, peers_port)?,
-                ..LinkPlan::new(name(Wire::Peers), Protocol::Tcp, peers)
+                ..LinkPlan::new(link_name(Link::Peers), Protocol::Tcp, peers)
             },
-            LinkPlan::new(name(Wire::Store), Protocol::Tcp, store.addr),
+            LinkPlan::new(link_name(Link::Store), Protocol::Tcp, store.addr),
             LinkPlan {
                 listen: address(&outer, 0)?,
                 mirrors_refusal: true,
-                ..LinkPlan::new(name(Wire::Target), Protocol::Tcp, worker.addr)
+                ..LinkPlan::new(link_name(Link::Target), Protocol::Tcp, worker.addr)
             },
         ];
-        let wires = Proxy::start(Plan {
+        let proxy = Proxy::start(Plan {
             control: None,
             links,
         })
         .await?;
-        let end = |wire: Wire| {
-            let found = wires.addr(name(wire));
-            found.ok_or_else(|| RigError::Settings(format!("no wire {wire:?}")))
+        let end = |link: Link| {
+            let found = proxy.addr(link_name(link));
+            found.ok_or_else(|| {
+                RigError::Settings(format!("proxy has no link {:?}", link_name(link)))
+            })
         };
         let domain = format!("domain-{}", at % 3);
         let callers = address(&inner, free_port()?)?;
-        let target = end(Wire::Target)?;
+        let target = end(Link::Target)?;
         let text = settings_text(&NodeSettings {
             name: &format!("node-{at}"),
             domain: &domain,
@@ -140,9 +142,9 @@
             callers,
             ready: address(&inner, free_port()?)?,
             peers,
-            store: end(Wire::Store)?,
+            store: end(Link::Store)?,
             publisher: match shares_reading {
-                true => SHARES_READING,
+                true => SHARED_READS,
                 false => "",
             },
         });
@@ -155,11 +157,11 @@
             callers,
             settings,
             log: folder.join(format!("node-{at}.log")),
-            wires,
+            proxy,
         })
     }
 
-    /// Starts the node.
+    /// Starts the node process.
     pub fn start(&self) -> Result<Process, RigError> {
         let settings = self.settings.display().to_string();
         let args = ["mesh", "--settings", settings.as_str()];
@@ -169,16 +171,16 @@
         })
     }
 
-    /// Sets the faults of a wire.
-    pub fn set(&self, wire: Wire, faults: &LinkFaults) {
-        self.wires.set(name(wire), faults);
+    /// Replaces the faults of a link.
+    pub fn set_faults(&self, link: Link, faults: &LinkFaults) {
+        self.proxy.set(link_name(link), faults);
     }
 }
 
-fn name(wire: Wire) -> &'static str {
-    match wire {
-        Wire::Peers => "peers",
-        Wire::Store => "store",
-        Wire::Target => "target",
+fn link_name(link: Link) -> &'static str {
+    match link {
+        Link::Peers => "peers",
+        Link::Store => "store",
+        Link::Target => "target",
     }
 }
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -1,13 +1,13 @@
-//! The strikes of a soak, drawn from its seed.
+//! Fault schedule of a soak test, generated from its seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// A wire of one machine, as seen from outside its node.
+/// Proxied link of one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wire {
+pub enum Link {
     /// From other nodes.
     Peers,
     /// To the store.
@@ -16,271 +16,276 @@
     Target,
 }
 
-/// One strike; times in milliseconds.
+/// A fault to inject; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Strike {
-    /// A node is killed and started again.
+pub enum Fault {
+    /// Kills a node and restarts it.
     Kill {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: u64,
     },
-    /// A node stands still.
+    /// Suspends a node.
     Pause {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// A node is asked to stop and started again when it has.
+    /// Stops a node gracefully and restarts it once it has exited.
     Stop {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
     },
-    /// A node is told to read its settings again.
+    /// Makes a node reload its settings.
     Hangup {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
     },
-    /// The store refuses every call, or answers none.
+    /// Makes the store refuse all requests or leave them unanswered.
     Store {
-        /// It answers none.
+        /// Leaves requests unanswered instead of refusing them.
         silent: bool,
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// The store has forgotten its history.
+    /// Makes the store lose its history.
     Forget {
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// Configurations in quick succession, each with one more route.
+    /// Publishes configurations in quick succession, each with one more route.
     Configs {
-        /// How many.
+        /// Number of configurations.
         count: u32,
-        /// Time between two.
+        /// Time between two configurations.
         gap_ms: u64,
     },
-    /// A target tells that it is leaving, and is back later.
+    /// Publishes a target as draining, and as ready again later.
     Leave {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// A target fails some requests in its own way.
+    /// Makes a target mishandle its next requests.
     Target {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// The way, as a number.
+        /// Number of the misbehaviour, as mapped by the runner.
         act: u8,
-        /// How many.
+        /// Number of requests.
         count: usize,
     },
-    /// A wire is slow.
+    /// Adds latency to a link.
     Slow {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// The wire.
-        wire: Wire,
+        /// The affected link.
+        #[serde(rename = "wire")]
+        link: Link,
         /// One-way latency.
         latency_ms: u64,
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// A wire passes nothing in one direction, or in both.
+    /// Blackholes a link in one direction or both.
     Silence {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// The wire.
-        wire: Wire,
-        /// Towards the node, or from it to store and target.
+        /// The affected link.
+        #[serde(rename = "wire")]
+        link: Link,
+        /// Blocks traffic from the side that opens connections.
         forward: bool,
-        /// The other direction.
+        /// Blocks the opposite direction.
         backward: bool,
-        /// How long.
+        /// Duration.
         ms: u64,
     },
-    /// The connections of a wire are closed, and new ones for a while.
+    /// Closes the connections of a link, and new ones until the fault ends.
     Reset {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// The wire.
-        wire: Wire,
-        /// How long.
+        /// The affected link.
+        #[serde(rename = "wire")]
+        link: Link,
+        /// Duration.
         ms: u64,
     },
-    /// The store comes back from an older copy; what it has lost is written again after a while.
+    /// Restores the store from an older copy; the lost changes are written again later.
     GoBack {
-        /// Changes that the copy lacks.
+        /// Number of changes missing from the copy.
         lost: usize,
-        /// Time until they are written again.
+        /// Time until the lost changes are written again.
         again_ms: u64,
     },
-    /// The process of a target ends and is back after a while.
+    /// Crashes a target's process, which comes back later.
     CrashTarget {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// Time until it is back.
+        /// Time until the target is back.
         down_ms: u64,
     },
-    /// A request that crashes each target which runs it comes again and again, at one machine after the other.
+    /// Repeats a request that crashes every target that runs it, at each machine in turn.
     Crashing {
-        /// Tells it from others of the run.
+        /// Number of the crashing request within the run.
         request: u32,
-        /// How often it comes.
+        /// Number of copies sent.
         copies: usize,
-        /// Time between two of them.
+        /// Time between two copies.
         gap_ms: u64,
     },
 }
 
-/// A strike and its time.
+/// A fault and the time at which it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Timed {
+pub struct ScheduledFault {
     /// Milliseconds from the start of the load.
     pub at_ms: u64,
-    /// What happens.
-    pub strike: Strike,
+    /// The fault.
+    #[serde(rename = "strike")]
+    pub fault: Fault,
 }
 
-/// Everything that happens in a soak.
+/// Complete schedule of a soak test.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SoakPlan {
-    /// The seed that it follows from.
+    /// Seed of the plan.
     pub seed: u64,
     /// Length of the load in seconds.
     pub seconds: u64,
     /// Number of machines.
     pub machines: usize,
-    /// Whether few nodes read the store and the others hear from them, as in a large fleet.
+    /// Whether only a few nodes read the store and pass updates on, as in a large fleet.
     pub shares_reading: bool,
-    /// The strikes in their order.
-    pub strikes: Vec<Timed>,
+    /// Faults in the order of their times.
+    #[serde(rename = "strikes")]
+    pub faults: Vec<ScheduledFault>,
 }
 
-/// One seed in so many is run with shared reading of the store.
-const SHARED_READING: u64 = 2;
+/// Plans whose seed is a multiple of this use shared store reads.
+const SHARED_READS_SEED_INTERVAL: u64 = 2;
 
 impl SoakPlan {
-    /// The plan of a seed. Strikes follow each other faster than they end, so that they overlap.
+    /// Generates the plan for a seed. Faults begin more often than they end, so that they overlap.
     pub fn of_seed(seed: u64, seconds: u64, machines: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         let mut at_ms = 0;
         loop {
             at_ms += rng.random_range(100..1100);
             if at_ms >= seconds * 1000 {
                 break;
             }
-            let strike = draw(&mut rng, machines);
-            strikes.push(Timed { at_ms, strike });
+            let fault = random_fault(&mut rng, machines);
+            faults.push(ScheduledFault { at_ms, fault });
         }
-        add_crashes(&mut strikes, seed, seconds, machines);
-        add_returns(&mut strikes, seed, seconds);
+        add_target_crashes(&mut faults, seed, seconds, machines);
+        add_store_rollbacks(&mut faults, seed, seconds);
         Self {
             seed,
             seconds,
             machines,
-            shares_reading: seed.is_multiple_of(SHARED_READING),
-            strikes,
+            shares_reading: seed.is_multiple_of(SHARED_READS_SEED_INTERVAL),
+            faults,
         }
     }
 }
 
-/// Adds crashes of targets, drawn by themselves so that the other strikes of a seed stay as they are.
-fn add_crashes(strikes: &mut Vec<Timed>, seed: u64, seconds: u64, machines: usize) {
+/// Adds target crashes. A separate generator keeps the other faults of a seed unchanged.
+fn add_target_crashes(faults: &mut Vec<ScheduledFault>, seed: u64, seconds: u64, machines: usize) {
     let mut rng = SmallRng::seed_from_u64(!seed);
-    let mut add = |at_ms: u64, strike: Strike| add_at(strikes, at_ms, strike);
+    let mut add = |at_ms: u64, fault: Fault| add_at(faults, at_ms, fault);
     for request in 0..rng.random_range(1..3) {
-        let strike = Strike::Crashing {
+        let fault = Fault::Crashing {
             request,
             copies: rng.random_range(8..24),
             gap_ms: rng.random_range(50..500),
         };
-        add(rng.random_range(0..seconds * 500), strike);
+        add(rng.random_range(0..seconds * 500), fault);
     }
     for _ in 0..rng.random_range(0..4) {
-        let strike = Strike::CrashTarget {
+        let fault = Fault::CrashTarget {
             machine: rng.random_range(0..machines),
             down_ms: rng.random_range(200..2000),
         };
-        add(rng.random_range(0..seconds * 1000), strike);
+        add(rng.random_range(0..seconds * 1000), fault);
     }
-    strikes.sort_by_key(|timed| timed.at_ms);
+    faults.sort_by_key(|scheduled| scheduled.at_ms);
 }
 
-/// Adds returns of the store from older copies, drawn by themselves as well.
-fn add_returns(strikes: &mut Vec<Timed>, seed: u64, seconds: u64) {
+/// Adds store rollbacks, also from a separate generator.
+fn add_store_rollbacks(faults: &mut Vec<ScheduledFault>, seed: u64, seconds: u64) {
     let mut rng = SmallRng::seed_from_u64(seed.rotate_left(32) ^ 1);
     for _ in 0..rng.random_range(0..3) {
-        let strike = Strike::GoBack {
+        let fault = Fault::GoBack {
             lost: rng.random_range(1..8),
             again_ms: rng.random_range(0..1500),
         };
-        add_at(strikes, rng.random_range(0..seconds * 1000), strike);
+        add_at(faults, rng.random_range(0..seconds * 1000), fault);
     }
-    strikes.sort_by_key(|timed| timed.at_ms);
+    faults.sort_by_key(|scheduled| scheduled.at_ms);
 }
 
-/// Adds a strike at the first free moment from `at_ms` on.
-fn add_at(strikes: &mut Vec<Timed>, at_ms: u64, strike: Strike) {
-    let is_taken = |at_ms| strikes.iter().any(|timed| timed.at_ms == at_ms);
-    let free = (at_ms..).find(|at_ms| !is_taken(*at_ms));
-    strikes.push(Timed {
+/// Adds a fault at the first millisecond from `at_ms` on that has none yet.
+fn add_at(faults: &mut Vec<ScheduledFault>, at_ms: u64, fault: Fault) {
+    let is_occupied = |at_ms| faults.iter().any(|scheduled| scheduled.at_ms == at_ms);
+    let free = (at_ms..).find(|at_ms| !is_occupied(*at_ms));
+    faults.push(ScheduledFault {
         at_ms: free.unwrap_or(at_ms),
-        strike,
+        fault,
     });
 }
 
-fn draw(rng: &mut SmallRng, machines: usize) -> Strike {
+fn random_fault(rng: &mut SmallRng, machines: usize) -> Fault {
     let machine = rng.random_range(0..machines);
     let ms = rng.random_range(200..2500);
-    let wire = [Wire::Peers, Wire::Store, Wire::Target][rng.random_range(0..3)];
+    let link = [Link::Peers, Link::Store, Link::Target][rng.random_range(0..3)];
     match rng.random_range(0..12) {
-        0 => Strike::Kill {
+        0 => Fault::Kill {
             machine,
             down_ms: ms / 2,
         },
-        1 => Strike::Pause { machine, ms },
-        2 => Strike::Stop { machine },
-        3 => Strike::Hangup { machine },
-        4 => Strike::Store {
+        1 => Fault::Pause { machine, ms },
+        2 => Fault::Stop { machine },
+        3 => Fault::Hangup { machine },
+        4 => Fault::Store {
             silent: rng.random(),
             ms,
         },
-        5 => Strike::Forget { ms },
-        6 => Strike::Configs {
+        5 => Fault::Forget { ms },
+        6 => Fault::Configs {
             count: rng.random_range(1..6),
             gap_ms: rng.random_range(10..400),
         },
-        7 => Strike::Leave {
+        7 => Fault::Leave {
             machine,
             ms: ms + 2500,
         },
-        8 => Strike::Target {
+        8 => Fault::Target {
             machine,
             act: rng.random_range(0..7),
             count: rng.random_range(1..12),
         },
-        9 => Strike::Slow {
+        9 => Fault::Slow {
             machine,
-            wire,
+            link,
             latency_ms: rng.random_range(5..300),
             ms,
         },
-        10 => Strike::Silence {
+        10 => Fault::Silence {
             machine,
-            wire,
+            link,
             forward: rng.random(),
             backward: true,
             ms,
         },
-        _ => Strike::Reset {
+        _ => Fault::Reset {
             machine,
-            wire,
+            link,
             ms: ms / 4,
         },
     }
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak: machines, load, strikes, and the checks at its end.
+//! Runs a soak test: starts machines and load, injects faults and checks the outcome.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -15,75 +15,81 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-use super::callers::{CrashingRequest, LATE, ROUTE_LIMIT, Shared, SoakCaller};
-use super::machine::{CRASHED_FOR, Machine};
+use super::callers::{ANSWER_TOLERANCE, CrashingRequest, LoadState, ROUTE_TIMEOUT, SoakCaller};
+use super::machine::{CRASH_DOWNTIME, Machine};
 use crate::error::RigError;
 use crate::process::{Process, Signal, free_port};
 use crate::proxy::{Cut, DirectionFaults, LinkFaults};
-use crate::soak::{CHANGING, Evidence, Key, LASTING, SoakPlan, Span, Strike, Wire, breaches_of};
+use crate::soak::{
+    CHANGING_WORKSPACE, Evidence, Fault, Key, LASTING_WORKSPACE, Link, SoakPlan, Span,
+    find_breaches,
+};
 
-/// Callers of each machine.
-const CALLERS: usize = 3;
+/// Number of callers per machine.
+const CALLERS_PER_MACHINE: usize = 3;
 
-/// Longest time for a fleet to serve at its start, and again after the last strike.
-const SERVES_WITHIN: Duration = Duration::from_secs(15);
+/// Time limit for all machines to serve after the start and after the last fault.
+const SERVING_LIMIT: Duration = Duration::from_secs(15);
 
-/// Longest time for a planned stop; the platform's own limit is the grace time of 6 s.
-const STOPS_WITHIN: Duration = Duration::from_secs(7);
+/// Time limit for a graceful stop; the platform's own limit is the grace period of 6 s.
+const STOP_LIMIT: Duration = Duration::from_secs(7);
 
-/// What a soak has shown.
+/// Result of a soak test.
 #[derive(Clone, Debug, Serialize)]
 pub struct SoakReport {
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Of these, served.
+    /// Number of requests answered with status 200.
     pub served: usize,
-    /// Strikes.
-    pub strikes: usize,
-    /// Promises that were broken.
+    /// Number of faults injected.
+    #[serde(rename = "strikes")]
+    pub faults: usize,
+    /// Descriptions of violated guarantees.
     pub breaches: Vec<String>,
-    /// Where the nodes' logs stand; removed where nothing was broken.
+    /// Directory of the node logs, removed if no guarantee was violated.
     pub logs: PathBuf,
 }
 
-/// Age up to which a process may not have taken over its signals yet: one that comes sooner ends it, which says nothing.
-const TAKES_SIGNALS: Duration = Duration::from_millis(1000);
+/// Time a process may need to install its signal handlers. An earlier signal would end the process
+/// without testing anything.
+const SIGNAL_HANDLER_DELAY: Duration = Duration::from_millis(1000);
 
-/// A node's process.
-struct Running {
+/// A node process and the time it was started.
+struct NodeProcess {
     process: Process,
-    since: Instant,
+    started_at: Instant,
 }
 
-impl Running {
+impl NodeProcess {
     fn start(machine: &Machine) -> Result<Self, RigError> {
         Ok(Self {
             process: machine.start()?,
-            since: Instant::now(),
+            started_at: Instant::now(),
         })
     }
 
-    /// Waits until signals are taken over.
-    async fn takes_signals(&self) {
-        sleep(TAKES_SIGNALS.saturating_sub(self.since.elapsed())).await;
+    /// Waits until the signal handlers are installed.
+    async fn wait_for_signal_handlers(&self) {
+        sleep(SIGNAL_HANDLER_DELAY.saturating_sub(self.started_at.elapsed())).await;
     }
 }
 
 struct Soak {
     store: Store,
     machines: Vec<Machine>,
-    nodes: Vec<AsyncMutex<Running>>,
-    shared: Arc<Shared>,
-    spans: Mutex<Evidence>,
+    nodes: Vec<AsyncMutex<NodeProcess>>,
+    shared: Arc<LoadState>,
+    evidence: Mutex<Evidence>,
 }
 
-/// Runs a plan and checks every promise.
+/// Runs a plan and checks every guarantee.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or does not serve before the first strike.
+/// Fails if the fleet can't be started or does not serve before the first fault, if a fault can't be
+/// injected, or if a graceful stop fails.
 pub async fn run(plan: &SoakPlan) -> Result<SoakReport, RigError> {
     let logs = std::env::temp_dir().join(format!(
         "coltsfootport-soak-{}-{}",
@@ -92,13 +98,13 @@
     ));
     std::fs::create_dir_all(&logs)?;
     let soak = Arc::new(Soak::start(plan, &logs).await?);
-    let mut load = soak.load(plan);
-    soak.strike(plan).await?;
-    let mut breaches = soak.at_rest().await;
-    soak.shared.over.store(true, Ordering::SeqCst);
+    let mut load = soak.start_load(plan);
+    soak.inject_all(plan).await?;
+    let mut breaches = soak.check_recovery().await;
+    soak.shared.stopping.store(true, Ordering::SeqCst);
     while load.join_next().await.is_some() {}
-    let evidence = soak.evidence();
-    breaches.extend(breaches_of(&evidence));
+    let evidence = soak.collect_evidence();
+    breaches.extend(find_breaches(&evidence));
     if breaches.is_empty() {
         std::fs::remove_dir_all(&logs)?;
     }
@@ -111,7 +117,7 @@
             .iter()
             .filter(|record| served(&record.asked))
             .count(),
-        strikes: plan.strikes.len(),
+        faults: plan.faults.len(),
         breaches,
         logs,
     })
@@ -124,7 +130,7 @@
         let (mut machines, mut nodes) = (Vec::new(), Vec::new());
         for at in 0..plan.machines {
             let machine = Machine::prepare(at, peers, &store, folder, plan.shares_reading).await?;
-            nodes.push(AsyncMutex::new(Running::start(&machine)?));
+            nodes.push(AsyncMutex::new(NodeProcess::start(&machine)?));
             machines.push(machine);
         }
         let soak = Self {
@@ -132,27 +138,27 @@
             machines,
             nodes,
             shared: Arc::default(),
-            spans: Mutex::default(),
+            evidence: Mutex::default(),
         };
-        soak.publish();
+        soak.publish_config();
         for at in 0..soak.machines.len() {
-            soak.list(at, "ready");
+            soak.publish_entry(at, "ready");
         }
-        match soak.serves().await {
+        match soak.wait_until_serving().await {
             true => Ok(soak),
             false => Err(RigError::NotReady(String::from("the fleet"))),
         }
     }
 
-    fn load(&self, plan: &SoakPlan) -> JoinSet<()> {
+    fn start_load(&self, plan: &SoakPlan) -> JoinSet<()> {
         let mut load = JoinSet::new();
         for (machine, of) in self.machines.iter().enumerate() {
-            for caller in 0..CALLERS {
+            for caller in 0..CALLERS_PER_MACHINE {
                 let caller = SoakCaller {
                     machine,
                     address: of.callers,
                     name: format!("s{}m{machine}c{caller}", plan.seed),
-                    seed: plan.seed ^ ((machine * CALLERS + caller) as u64 + 1) << 32,
+                    seed: plan.seed ^ ((machine * CALLERS_PER_MACHINE + caller) as u64 + 1) << 32,
                     shared: Arc::clone(&self.shared),
                 };
                 load.spawn(caller.run());
@@ -161,85 +167,85 @@
         load
     }
 
-    /// Lets every strike begin at its time and waits for the last to end.
-    async fn strike(self: &Arc<Self>, plan: &SoakPlan) -> Result<(), RigError> {
+    /// Injects each fault at its time and waits for all of them to end.
+    async fn inject_all(self: &Arc<Self>, plan: &SoakPlan) -> Result<(), RigError> {
         let start = tokio::time::Instant::now();
-        let mut strikes: JoinSet<Result<(), RigError>> = JoinSet::new();
-        for timed in &plan.strikes {
-            sleep_until(start + Duration::from_millis(timed.at_ms)).await;
-            let (soak, strike) = (Arc::clone(self), timed.strike);
-            strikes.spawn(async move { soak.hit(strike).await });
+        let mut faults: JoinSet<Result<(), RigError>> = JoinSet::new();
+        for scheduled in &plan.faults {
+            sleep_until(start + Duration::from_millis(scheduled.at_ms)).await;
+            let (soak, fault) = (Arc::clone(self), scheduled.fault);
+            faults.spawn(async move { soak.inject(fault).await });
         }
         sleep_until(start + Duration::from_secs(plan.seconds)).await;
-        while let Some(ended) = strikes.join_next().await {
+        while let Some(ended) = faults.join_next().await {
             ended.map_err(|e| RigError::Settings(e.to_string()))??;
         }
         Ok(())
     }
 
-    async fn hit(&self, strike: Strike) -> Result<(), RigError> {
+    async fn inject(&self, fault: Fault) -> Result<(), RigError> {
         let from = Instant::now();
         let time = Duration::from_millis;
-        match strike {
-            Strike::Kill { machine, down_ms } => {
+        match fault {
+            Fault::Kill { machine, down_ms } => {
                 let mut node = self.nodes[machine].lock().await;
                 node.process.kill()?;
                 sleep(time(down_ms)).await;
-                *node = Running::start(&self.machines[machine])?;
-                self.note(|e| &mut e.away, Some(machine), from);
+                *node = NodeProcess::start(&self.machines[machine])?;
+                self.record_span(|e| &mut e.outages, Some(machine), from);
             }
-            Strike::Pause { machine, ms } => {
+            Fault::Pause { machine, ms } => {
                 let node = self.nodes[machine].lock().await;
                 node.process.signal(Signal::STOP)?;
                 sleep(time(ms)).await;
                 node.process.signal(Signal::CONT)?;
-                self.note(|e| &mut e.away, Some(machine), from);
+                self.record_span(|e| &mut e.outages, Some(machine), from);
             }
-            Strike::Stop { machine } => self.stop(machine).await?,
-            Strike::Hangup { machine } => {
+            Fault::Stop { machine } => self.restart_gracefully(machine).await?,
+            Fault::Hangup { machine } => {
                 let node = self.nodes[machine].lock().await;
-                node.takes_signals().await;
+                node.wait_for_signal_handlers().await;
                 node.process.signal(Signal::HUP)?;
             }
-            Strike::Store { silent, ms } => {
+            Fault::Store { silent, ms } => {
                 let mood = if silent { Mood::Silent } else { Mood::Busy };
-                self.mood(mood, ms, from).await;
+                self.set_store_mood(mood, ms, from).await;
             }
-            Strike::Forget { ms } => self.mood(Mood::Forgetful, ms, from).await,
-            Strike::Configs { count, gap_ms } => {
+            Fault::Forget { ms } => self.set_store_mood(Mood::Forgetful, ms, from).await,
+            Fault::Configs { count, gap_ms } => {
                 for _ in 0..count {
                     self.shared.version.fetch_add(1, Ordering::SeqCst);
-                    self.publish();
+                    self.publish_config();
                     sleep(time(gap_ms)).await;
                 }
             }
-            Strike::Leave { machine, ms } => {
-                self.list(machine, "draining");
+            Fault::Leave { machine, ms } => {
+                self.publish_entry(machine, "draining");
                 sleep(time(ms)).await;
-                self.note(|e| &mut e.leaves, Some(machine), from);
-                self.list(machine, "ready");
+                self.record_span(|e| &mut e.drains, Some(machine), from);
+                self.publish_entry(machine, "ready");
             }
-            Strike::Target {
+            Fault::Target {
                 machine,
                 act,
                 count,
             } => {
-                let acts = std::iter::repeat_n(act_of(act), count);
+                let acts = std::iter::repeat_n(target_act(act), count);
                 self.machines[machine].worker.then(acts);
-                self.note(|e| &mut e.troubled, None, from);
+                self.record_span(|e| &mut e.impairments, None, from);
             }
-            Strike::Slow {
+            Fault::Slow {
                 machine,
-                wire,
+                link,
                 latency_ms,
                 ms,
             } => {
                 let faults = LinkFaults::both(DirectionFaults::latency(time(latency_ms)));
-                self.wire(machine, wire, faults, ms, from).await;
+                self.set_link_faults(machine, link, faults, ms, from).await;
             }
-            Strike::Silence {
+            Fault::Silence {
                 machine,
-                wire,
+                link,
                 forward,
                 backward,
                 ms,
@@ -253,19 +259,19 @@
                     backward: cut(backward),
                     ..Default::default()
                 };
-                self.wire(machine, wire, faults, ms, from).await;
+                self.set_link_faults(machine, link, faults, ms, from).await;
             }
-            Strike::GoBack { lost, again_ms } => {
+            Fault::GoBack { lost, again_ms } => {
                 let lost = self.store.go_back(lost);
                 sleep(time(again_ms)).await;
                 self.store.write_again(lost);
             }
-            Strike::CrashTarget { machine, down_ms } => {
+            Fault::CrashTarget { machine, down_ms } => {
                 self.machines[machine].worker.crash(time(down_ms));
                 sleep(time(down_ms)).await;
-                self.note(|e| &mut e.troubled, None, from);
+                self.record_span(|e| &mut e.impairments, None, from);
             }
-            Strike::Crashing {
+            Fault::Crashing {
                 request,
                 copies,
                 gap_ms,
@@ -281,51 +287,58 @@
                     sleep(time(gap_ms)).await;
                 }
             }
-            Strike::Reset { machine, wire, ms } => {
+            Fault::Reset { machine, link, ms } => {
                 let faults = LinkFaults::both(DirectionFaults::cut(Cut::Close));
-                self.wire(machine, wire, faults, ms, from).await;
+                self.set_link_faults(machine, link, faults, ms, from).await;
             }
         }
         Ok(())
     }
 
-    /// Asks a node to stop; its target leaves before, as it does when machines are stopped in turn.
-    async fn stop(&self, machine: usize) -> Result<(), RigError> {
+    /// Stops a node gracefully and starts it again.
+    async fn restart_gracefully(&self, machine: usize) -> Result<(), RigError> {
         let mut node = self.nodes[machine].lock().await;
-        node.takes_signals().await;
+        node.wait_for_signal_handlers().await;
         let from = Instant::now();
-        let stopped = node.process.stop(STOPS_WITHIN).await;
-        self.note(|e| &mut e.stops, Some(machine), from);
-        *node = Running::start(&self.machines[machine])?;
+        let stopped = node.process.stop(STOP_LIMIT).await;
+        self.record_span(|e| &mut e.stops, Some(machine), from);
+        *node = NodeProcess::start(&self.machines[machine])?;
         let status = stopped?;
         match status.success() {
             true => Ok(()),
             false => Err(RigError::Breach(format!(
-                "a planned stop ended with {status}"
+                "graceful stop ended with {status}"
             ))),
         }
     }
 
-    async fn mood(&self, mood: Mood, ms: u64, from: Instant) {
+    async fn set_store_mood(&self, mood: Mood, ms: u64, from: Instant) {
         self.store.set(mood);
         sleep(Duration::from_millis(ms)).await;
         self.store.set(Mood::Sound);
-        self.note(|e| &mut e.troubled, None, from);
+        self.record_span(|e| &mut e.impairments, None, from);
     }
 
-    async fn wire(&self, machine: usize, wire: Wire, faults: LinkFaults, ms: u64, from: Instant) {
-        self.machines[machine].set(wire, &faults);
+    async fn set_link_faults(
+        &self,
+        machine: usize,
+        link: Link,
+        faults: LinkFaults,
+        ms: u64,
+        from: Instant,
+    ) {
+        self.machines[machine].set_faults(link, &faults);
         sleep(Duration::from_millis(ms)).await;
-        self.machines[machine].set(wire, &LinkFaults::default());
-        self.note(|e| &mut e.troubled, None, from);
+        self.machines[machine].set_faults(link, &LinkFaults::default());
+        self.record_span(|e| &mut e.impairments, None, from);
     }
 
-    /// Notes that something held from a moment until now.
-    fn note<F>(&self, which: F, machine: Option<usize>, from: Instant)
+    /// Records a time span from `from` until now.
+    fn record_span<F>(&self, which: F, machine: Option<usize>, from: Instant)
     where
         F: FnOnce(&mut Evidence) -> &mut Vec<Span>,
     {
-        let mut spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut spans = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
         which(&mut spans).push(Span {
             machine,
             from,
@@ -333,15 +346,20 @@
         });
     }
 
-    fn publish(&self) {
+    fn publish_config(&self) {
         let version = self.shared.version.load(Ordering::SeqCst);
         let more: Vec<String> = (0..=version)
             .map(|n| route(&format!("v{n}"), &format!("/v{n}/"), "idempotent", 1))
             .collect();
-        // High limits: how far quotas hold under faults is shown by a model; here nobody is to be refused by them.
+        // High limits keep quotas from refusing requests; a model covers quotas under faults.
         let workspaces = [
-            workspace(LASTING, &[&Key::Lasting.text()], 0, 1e6),
-            workspace(CHANGING, &[&Key::OfVersion(version).text()], 1, 1e6),
+            workspace(LASTING_WORKSPACE, &[&Key::Lasting.text()], 0, 1e6),
+            workspace(
+                CHANGING_WORKSPACE,
+                &[&Key::OfVersion(version).text()],
+                1,
+                1e6,
+            ),
         ];
         let config = config_with_workspaces(version + 1, &workspaces);
         let routes = format!("\"routes\":[{},", more.join(","));
@@ -349,26 +367,28 @@
             .put_config(&config.replacen("\"routes\":[", &routes, 1));
     }
 
-    fn list(&self, at: usize, state: &str) {
+    fn publish_entry(&self, at: usize, state: &str) {
         let machine = &self.machines[at];
         let text = entry(machine.target, &machine.domain, state);
         self.store.put_entry(&machine.worker.id, &text);
     }
 
-    /// After the last strike every machine must serve again.
-    async fn at_rest(&self) -> Vec<String> {
-        match self.serves().await {
+    /// Reports a breach unless every machine serves again after the last fault.
+    async fn check_recovery(&self) -> Vec<String> {
+        match self.wait_until_serving().await {
             true => Vec::new(),
-            false => vec![format!("not served again within {SERVES_WITHIN:?}")],
+            false => vec![format!(
+                "some machines did not serve again within {SERVING_LIMIT:?}"
+            )],
         }
     }
 
-    async fn serves(&self) -> bool {
-        let deadline = Instant::now() + SERVES_WITHIN;
+    async fn wait_until_serving(&self) -> bool {
+        let deadline = Instant::now() + SERVING_LIMIT;
         let mut missing: HashSet<usize> = (0..self.machines.len()).collect();
         while Instant::now() < deadline && !missing.is_empty() {
             for at in missing.clone() {
-                if self.is_served(at).await {
+                if self.is_serving(at).await {
                     missing.remove(&at);
                 }
             }
@@ -377,7 +397,7 @@
         missing.is_empty()
     }
 
-    async fn is_served(&self, at: usize) -> bool {
+    async fn is_serving(&self, at: usize) -> bool {
         let address = self.machines[at].callers;
         let Some(mut caller) = Caller::open(address, Duration::from_millis(500)).await else {
             return false;
@@ -385,22 +405,22 @@
         let version = self.shared.version.load(Ordering::SeqCst);
         let key = key_line(&Key::Lasting.text());
         let request = get(HOST, &format!("/v{version}/x"), "", &key);
-        let asked = caller.ask(&request, ROUTE_LIMIT + LATE).await;
+        let asked = caller.ask(&request, ROUTE_TIMEOUT + ANSWER_TOLERANCE).await;
         matches!(asked, Asked::Answered(answer) if answer.status == 200)
     }
 
-    fn evidence(&self) -> Evidence {
-        let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
+    fn collect_evidence(&self) -> Evidence {
+        let spans = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
         let records = self.shared.records.lock();
         let workers = self.machines.iter().map(|machine| &machine.worker);
         let crashes = workers.flat_map(|worker| worker.ended()).map(|from| Span {
             machine: None,
             from,
-            to: from + CRASHED_FOR,
+            to: from + CRASH_DOWNTIME,
         });
-        let troubled = spans.troubled.iter().copied().chain(crashes).collect();
+        let impairments = spans.impairments.iter().copied().chain(crashes).collect();
         Evidence {
-            troubled,
+            impairments,
             records: records.unwrap_or_else(PoisonError::into_inner).clone(),
             arrivals: self
                 .machines
@@ -412,8 +432,8 @@
     }
 }
 
-/// Ways in which targets fail.
-fn act_of(act: u8) -> Act {
+/// Maps the number in [`Fault::Target`] to a target's misbehaviour.
+fn target_act(act: u8) -> Act {
     match act {
         0 => Act::LoseAnswer,
         1 => Act::Status(500),
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,18 +1,20 @@
-//! The soak: its plans, its checks, and a short run of real processes.
+//! Soak test: plan generation, the checks, and short runs with real processes.
 
 use std::time::{Duration, Instant};
 
 use coltsfootport_rig::soak::{
-    self, CHANGING, Evidence, Key, Kind, LASTING, Record, SoakPlan, Span, breaches_of,
+    self, CHANGING_WORKSPACE, Evidence, Key, LASTING_WORKSPACE, RequestKind, RequestRecord,
+    SoakPlan, Span, find_breaches,
 };
 use coltsfootport_stand_ins::{Answer, Arrival, Asked, key_line, workspace_line};
 
-/// Seeds that have broken something, each with its cause; they are played again here.
+/// Seeds that once failed, each with the cause.
 ///
-/// 1: a node that was asked to stop right after its start was ended by the signal, since it took its signals over last.
+/// 1: a node that was told to stop right after its start was killed by the signal, because it
+/// installed its signal handlers last.
 const SEEDS: [u64; 1] = [1];
 
-/// Length of the runs here, in seconds.
+/// Duration of each run in seconds.
 const SECONDS: u64 = 6;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -29,31 +31,31 @@
 fn a_seed_has_one_plan() {
     let plan = SoakPlan::of_seed(7, 20, 6);
     assert_eq!(plan, SoakPlan::of_seed(7, 20, 6));
-    assert_ne!(plan.strikes, SoakPlan::of_seed(8, 20, 6).strikes);
-    assert!(plan.strikes.len() >= 15, "{}", plan.strikes.len());
+    assert_ne!(plan.faults, SoakPlan::of_seed(8, 20, 6).faults);
+    assert!(plan.faults.len() >= 15, "{}", plan.faults.len());
     let in_order = plan
-        .strikes
+        .faults
         .windows(2)
         .all(|two| two[0].at_ms < two[1].at_ms);
     assert!(in_order);
 }
 
-/// One run as callers and targets saw it, in milliseconds from its start.
-struct Seen {
+/// Builder for the evidence of a run; times are in milliseconds from its start.
+struct EvidenceBuilder {
     start: Instant,
-    /// Key of the requests.
+    /// Key sent with the requests.
     key: Key,
-    /// What stands in the heads of arrivals beside their id.
+    /// Additional headers of requests that arrive at a target.
     headers: String,
     evidence: Evidence,
 }
 
-impl Seen {
+impl EvidenceBuilder {
     fn new() -> Self {
         Self {
             start: Instant::now(),
             key: Key::Lasting,
-            headers: workspace_line(LASTING),
+            headers: workspace_line(LASTING_WORKSPACE),
             evidence: Evidence {
                 arrivals: vec![Vec::new(), Vec::new()],
                 ..Default::default()
@@ -73,10 +75,11 @@
         self.start + Duration::from_millis(ms)
     }
 
-    /// A request from 1,000 to 1,100 at machine 0.
-    fn asked(mut self, kind: Kind, asked: Asked) -> Self {
+    /// Adds a request to machine 0. The first lasts from 1,000 to 1,100, and each later one starts
+    /// 200 after the one before.
+    fn asked(mut self, kind: RequestKind, asked: Asked) -> Self {
         let number = self.evidence.records.len() as u64;
-        self.evidence.records.push(Record {
+        self.evidence.records.push(RequestRecord {
             id: String::from("r"),
             kind,
             key: self.key,
@@ -88,13 +91,13 @@
         self
     }
 
-    /// It arrives at the target of a machine.
+    /// The request arrives at a machine's target and runs.
     fn arrived(self, machine: usize, ms: u64) -> Self {
         self.at_target(machine, ms, true)
     }
 
-    /// It arrives, and the target says that it does not run it.
-    fn turned_away(self, machine: usize, ms: u64) -> Self {
+    /// The request arrives at a machine's target, which refuses to run it.
+    fn refused(self, machine: usize, ms: u64) -> Self {
         self.at_target(machine, ms, false)
     }
 
@@ -127,39 +130,42 @@
 fn each_broken_promise_is_found() {
     struct Case {
         name: &'static str,
-        seen: fn() -> Seen,
+        seen: fn() -> EvidenceBuilder,
         breaches: usize,
     }
     let cases = [
         Case {
             name: "served once",
             seen: || {
-                Seen::new()
-                    .asked(Kind::Bid, answer(200, "answer to r"))
+                EvidenceBuilder::new()
+                    .asked(RequestKind::Bid, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
             breaches: 0,
         },
         Case {
-            name: "ran twice",
+            name: "non-idempotent request ran twice",
             seen: || {
-                let seen = Seen::new().asked(Kind::Bid, answer(200, "answer to r"));
+                let seen =
+                    EvidenceBuilder::new().asked(RequestKind::Bid, answer(200, "answer to r"));
                 seen.arrived(0, 1020).arrived(1, 1050)
             },
             breaches: 1,
         },
         Case {
-            name: "turned away by one target and run by the next",
+            name: "refused by one target and run by the next",
             seen: || {
-                let seen = Seen::new().asked(Kind::Bid, answer(200, "answer to r"));
-                seen.turned_away(0, 1020).arrived(1, 1050)
+                let seen =
+                    EvidenceBuilder::new().asked(RequestKind::Bid, answer(200, "answer to r"));
+                seen.refused(0, 1020).arrived(1, 1050)
             },
             breaches: 0,
         },
         Case {
-            name: "repeated where it may be",
+            name: "idempotent request repeated",
             seen: || {
-                let seen = Seen::new().asked(Kind::Read, answer(200, "answer to r"));
+                let seen =
+                    EvidenceBuilder::new().asked(RequestKind::Read, answer(200, "answer to r"));
                 seen.arrived(0, 1020).arrived(1, 1050)
             },
             breaches: 0,
@@ -167,143 +173,148 @@
         Case {
             name: "too many attempts",
             seen: || {
-                let seen = Seen::new().asked(Kind::Read, answer(200, "answer to r"));
+                let seen =
+                    EvidenceBuilder::new().asked(RequestKind::Read, answer(200, "answer to r"));
                 seen.arrived(0, 1020).arrived(1, 1030).arrived(0, 1050)
             },
             breaches: 1,
         },
         Case {
-            name: "said not to have run",
+            name: "answered as not run but ran",
             seen: || {
-                Seen::new()
-                    .asked(Kind::Bid, answer(503, ""))
+                EvidenceBuilder::new()
+                    .asked(RequestKind::Bid, answer(503, ""))
                     .arrived(0, 1050)
             },
             breaches: 1,
         },
         Case {
             name: "refused and did not run",
-            seen: || Seen::new().asked(Kind::Bid, answer(503, "")),
+            seen: || EvidenceBuilder::new().asked(RequestKind::Bid, answer(503, "")),
             breaches: 0,
         },
         Case {
-            name: "another request's answer",
-            seen: || Seen::new().asked(Kind::Read, answer(200, "answer to s")),
+            name: "answer to another request",
+            seen: || EvidenceBuilder::new().asked(RequestKind::Read, answer(200, "answer to s")),
             breaches: 1,
         },
         Case {
             name: "ran for another workspace",
             seen: || {
-                let seen = Seen::new().with_headers(workspace_line(CHANGING));
-                seen.asked(Kind::Read, answer(200, "answer to r"))
+                let seen = EvidenceBuilder::new().with_headers(workspace_line(CHANGING_WORKSPACE));
+                seen.asked(RequestKind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
             breaches: 1,
         },
         Case {
-            name: "brought its key to a target",
+            name: "key passed on to a target",
             seen: || {
-                let headers = workspace_line(LASTING) + &key_line("key-lasting");
-                let seen = Seen::new().with_headers(headers);
-                seen.asked(Kind::Read, answer(200, "answer to r"))
+                let headers = workspace_line(LASTING_WORKSPACE) + &key_line("key-lasting");
+                let seen = EvidenceBuilder::new().with_headers(headers);
+                seen.asked(RequestKind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
             breaches: 1,
         },
         Case {
-            name: "ran with a key that nobody ever had",
+            name: "ran with an unknown key",
             seen: || {
-                let seen = Seen::new()
+                let seen = EvidenceBuilder::new()
                     .with_key(Key::Unknown)
                     .with_headers(String::new());
-                seen.asked(Kind::Read, answer(200, "answer to r"))
+                seen.asked(RequestKind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
             breaches: 1,
         },
         Case {
-            name: "a key that nobody ever had is unknown",
+            name: "unknown key refused",
             seen: || {
-                let seen = Seen::new().with_key(Key::Unknown);
-                seen.asked(Kind::Read, answer(401, ""))
+                let seen = EvidenceBuilder::new().with_key(Key::Unknown);
+                seen.asked(RequestKind::Read, answer(401, ""))
             },
             breaches: 0,
         },
         Case {
-            name: "a lasting key is called unknown",
-            seen: || Seen::new().asked(Kind::Read, answer(401, "")),
+            name: "valid key refused as unknown",
+            seen: || EvidenceBuilder::new().asked(RequestKind::Read, answer(401, "")),
             breaches: 1,
         },
         Case {
             name: "no final answer",
-            seen: || Seen::new().asked(Kind::Read, Asked::Nothing),
+            seen: || EvidenceBuilder::new().asked(RequestKind::Read, Asked::Nothing),
             breaches: 1,
         },
         Case {
-            name: "no final answer of a node that stood still",
+            name: "no final answer from a suspended node",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Read, Asked::Nothing);
-                seen.evidence.away.push(seen.span(Some(0), 900, 1050));
+                let mut seen = EvidenceBuilder::new().asked(RequestKind::Read, Asked::Nothing);
+                seen.evidence.outages.push(seen.span(Some(0), 900, 1050));
                 seen
             },
             breaches: 0,
         },
         Case {
-            name: "cut off by a planned stop",
+            name: "aborted by a graceful stop",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Bid, Asked::Closed).arrived(1, 1050);
+                let mut seen = EvidenceBuilder::new()
+                    .asked(RequestKind::Bid, Asked::Closed)
+                    .arrived(1, 1050);
                 seen.evidence.stops.push(seen.span(Some(0), 500, 4000));
                 seen
             },
             breaches: 1,
         },
         Case {
-            name: "crossed the close of a planned stop",
+            name: "connection closed by a graceful stop before the request arrived",
             seen: || {
-                let mut seen = Seen::new().asked(Kind::Bid, Asked::Closed);
+                let mut seen = EvidenceBuilder::new().asked(RequestKind::Bid, Asked::Closed);
                 seen.evidence.stops.push(seen.span(Some(0), 500, 4000));
                 seen
             },
             breaches: 0,
         },
         Case {
-            name: "back behind a version",
+            name: "configuration version regressed",
             seen: || {
-                let seen = Seen::new().asked(Kind::Version(3), answer(200, "answer to r"));
-                seen.asked(Kind::Version(2), answer(404, ""))
+                let seen = EvidenceBuilder::new()
+                    .asked(RequestKind::Version(3), answer(200, "answer to r"));
+                seen.asked(RequestKind::Version(2), answer(404, ""))
             },
             breaches: 1,
         },
         Case {
-            name: "a version that is not in force yet",
+            name: "configuration version not in force yet",
             seen: || {
-                let seen = Seen::new().asked(Kind::Version(2), answer(200, "answer to r"));
-                seen.asked(Kind::Version(3), answer(404, ""))
+                let seen = EvidenceBuilder::new()
+                    .asked(RequestKind::Version(2), answer(200, "answer to r"));
+                seen.asked(RequestKind::Version(3), answer(404, ""))
             },
             breaches: 0,
         },
         Case {
-            name: "a leaving target gets something new",
+            name: "draining target receives a new request",
             seen: || {
-                let mut seen = Seen::new().arrived(1, 7000);
-                seen.evidence.leaves.push(seen.span(Some(1), 4000, 9000));
+                let mut seen = EvidenceBuilder::new().arrived(1, 7000);
+                seen.evidence.drains.push(seen.span(Some(1), 4000, 9000));
                 seen
             },
             breaches: 1,
         },
         Case {
-            name: "a leaving target while the store is in trouble",
+            name: "draining target receives a request during a store outage",
             seen: || {
-                let mut seen = Seen::new().arrived(1, 7000);
-                seen.evidence.leaves.push(seen.span(Some(1), 4000, 9000));
-                seen.evidence.troubled.push(seen.span(None, 4500, 5000));
+                let mut seen = EvidenceBuilder::new().arrived(1, 7000);
+                seen.evidence.drains.push(seen.span(Some(1), 4000, 9000));
+                seen.evidence.impairments.push(seen.span(None, 4500, 5000));
                 seen
             },
             breaches: 0,
         },
     ];
     for case in cases {
-        let found = breaches_of(&(case.seen)().evidence);
+        let found = find_breaches(&(case.seen)().evidence);
         assert_eq!(found.len(), case.breaches, "{}: {found:?}", case.name);
     }
 }
