--- a/crates/rig/src/chaos.rs
+++ b/crates/rig/src/chaos.rs
@@ -1,15 +1,15 @@
-//! Long random runs: faults drawn from a seed strike real processes under load, and every promise is checked after each
-//! round.
+//! Injects random faults into real processes under load and checks every guarantee after each round.
+//! The faults follow from a seed.
 
+mod evidence;
 mod fault;
+mod idle;
+mod inject;
 mod plan;
-mod rest;
 mod run;
-mod strike;
-mod verdict;
 
-pub use self::fault::{Direction, Fault, Strike};
+pub use self::evidence::{Evidence, find_breaches};
+pub use self::fault::{Direction, Fault, ScheduledFault};
+pub use self::idle::wait_until_idle;
 pub use self::plan::{ChaosPlan, Round};
-pub use self::rest::at_rest;
 pub use self::run::{ChaosReport, run};
-pub use self::verdict::{Evidence, breaches_of};
--- a/crates/rig/src/chaos/fault.rs
+++ b/crates/rig/src/chaos/fault.rs
@@ -1,15 +1,15 @@
-//! What may strike a fleet.
+//! Faults that can be injected into a fleet.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
 use crate::platform::FaultMode;
 
-/// Directions of the links between two failure domains that a cut affects.
+/// Traffic direction that is cut between two failure domains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Nothing passes.
+    /// Requests and answers are lost.
     Both,
     /// Requests are lost.
     Requests,
@@ -17,81 +17,81 @@
     Answers,
 }
 
-/// A fault; each one is undone at its end.
+/// A fault, which is reverted when it ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Fault {
-    /// A node is killed, and started again at the end.
+    /// Kills a node and restarts it when the fault ends.
     Kill {
-        /// The node.
+        /// Name of the node.
         node: SmolStr,
     },
-    /// A node is told to stop, and started again at the end.
+    /// Tells a node to stop and restarts it when the fault ends.
     Stop {
-        /// The node.
+        /// Name of the node.
         node: SmolStr,
     },
-    /// A node is killed and started again at once.
+    /// Kills a node and restarts it at once.
     Restart {
-        /// The node.
+        /// Name of the node.
         node: SmolStr,
     },
-    /// A node sleeps until the end.
+    /// Suspends a node until the fault ends.
     Freeze {
-        /// The node.
+        /// Name of the node.
         node: SmolStr,
     },
-    /// Links between two failure domains are cut.
+    /// Cuts the links between two failure domains.
     Cut {
         /// Failure domain of the callers of the links.
         from: SmolStr,
         /// Failure domain of the nodes that the links lead to.
         to: SmolStr,
-        /// What is lost.
+        /// Direction that is lost.
         direction: Direction,
     },
-    /// Datagrams between two failure domains are doubled, overtaken and lost.
+    /// Duplicates, reorders and drops datagrams between two failure domains.
     Scramble {
         /// Failure domain of the callers of the links.
         from: SmolStr,
         /// Failure domain of the nodes that the links lead to.
         to: SmolStr,
     },
-    /// The platform of a failure domain can't be read, or shows an old state.
+    /// Makes the platform of a failure domain unreadable or stale.
     Platform {
-        /// The failure domain.
+        /// Name of the failure domain.
         domain: SmolStr,
-        /// How it fails.
+        /// Failure mode of the platform.
         mode: FaultMode,
     },
-    /// A target is slow and fails some calls.
+    /// Slows a target down and makes it fail some calls.
     Target {
-        /// The node beside it.
+        /// Node that the target belongs to.
         node: SmolStr,
         /// Service time in milliseconds.
         service_ms: u32,
-        /// Share of calls that fail.
+        /// Ratio of calls that fail.
         fail_ratio: f64,
     },
-    /// The platform stops listing a node, which lives on.
+    /// Removes a running node from the platform's list.
     Unlist {
-        /// The node.
+        /// Name of the node.
         node: SmolStr,
     },
-    /// A changed document is published; the former one again at the end.
+    /// Publishes a changed document, and the original one when the fault ends.
     Publish {
-        /// The changed retry allowance.
+        /// Retry allowance in the changed document.
         retry_allowance: u16,
     },
 }
 
-/// A fault and its time from the start of its round.
+/// A fault with its start and end times, relative to the start of the round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Strike {
+pub struct ScheduledFault {
     /// Begin in milliseconds.
     pub at_ms: u64,
     /// End in milliseconds.
     pub until_ms: u64,
-    /// What strikes.
+    /// The fault to inject.
     pub fault: Fault,
 }
--- a/crates/rig/src/chaos/rest.rs
+++ b/crates/rig/src/chaos/idle.rs
@@ -1,4 +1,4 @@
-//! Waiting until a fleet is at rest.
+//! Waits until a fleet is idle.
 
 use std::time::{Duration, Instant};
 
@@ -7,24 +7,25 @@
 use crate::error::RigError;
 use crate::fleet::{Fleet, Member};
 
-/// Pause between two looks.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A further wait after nothing is in flight, in which a call that was wrongly kept would run.
-const REST: Duration = Duration::from_millis(200);
+/// Additional wait once nothing is in flight, in which a call that was wrongly kept would run.
+const SETTLE_TIME: Duration = Duration::from_millis(200);
 
-/// Waits until every node answers, nothing is in flight at any node or target, and a while longer.
-pub async fn at_rest(fleet: &Fleet, limit: Duration) -> Result<(), RigError> {
+/// Waits until every node responds and no node or target has calls in flight or queued, checking
+/// twice with an additional wait after each check.
+pub async fn wait_until_idle(fleet: &Fleet, limit: Duration) -> Result<(), RigError> {
     let deadline = Instant::now() + limit;
-    // A second look finds what a process that has just woken read only after the first.
+    // The second check covers a process that resumed and read its pending calls only after the first.
     for _ in 0..2 {
         while let Some(busy) = busy_member(fleet).await {
             if Instant::now() >= deadline {
-                return Err(RigError::NotReady(format!("{busy}, which is not at rest,")));
+                return Err(RigError::NotReady(format!("{busy}, which is not idle,")));
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
-        sleep(REST).await;
+        sleep(SETTLE_TIME).await;
     }
     Ok(())
 }
--- a/crates/rig/src/chaos/strike.rs
+++ b/crates/rig/src/chaos/inject.rs
@@ -1,4 +1,4 @@
-//! Begins and ends faults on a fleet.
+//! Injects faults into a fleet and reverts them.
 
 use serde_json::json;
 
@@ -10,7 +10,8 @@
 use crate::process::Signal;
 use crate::proxy::{Cut, DirectionFaults, LinkFaults};
 
-/// Begins a fault. What another fault has already made impossible, such as freezing a killed node, is left out.
+/// Begins a fault. Skips actions that another fault has made impossible, such as freezing a killed
+/// node.
 pub(super) async fn begin(fleet: &mut Fleet, fault: &Fault) -> Result<(), RigError> {
     match fault {
         Fault::Kill { node } => kill(fleet, node),
@@ -50,7 +51,7 @@
     }
 }
 
-/// Ends a fault.
+/// Ends a fault and reverts its effects.
 pub(super) async fn end(fleet: &mut Fleet, fault: &Fault) -> Result<(), RigError> {
     match fault {
         Fault::Kill { node } => start(fleet, node),
@@ -75,16 +76,17 @@
     }
 }
 
-/// Starts what does not run and wakes the rest; a node that was told to stop is started anew.
+/// Clears all link faults, resumes suspended nodes, starts nodes that are not running, and restarts
+/// nodes that are stopping.
 pub(super) async fn recover(fleet: &mut Fleet) -> Result<(), RigError> {
     fleet.heal();
     for name in fleet.members.keys().cloned().collect::<Vec<_>>() {
         signal(fleet, &name, Signal::CONT)?;
-        let leaves = match fleet.status(&name).await {
+        let is_stopping = match fleet.status(&name).await {
             Ok(status) => status["phase"] == "leaving" || status["phase"] == "stopped",
             Err(_) => true,
         };
-        if leaves {
+        if is_stopping {
             kill(fleet, &name)?;
         }
         start(fleet, &name)?;
@@ -112,7 +114,7 @@
     let Some(process) = &mut fleet.member_mut(node).node else {
         return Ok(());
     };
-    // A node that was told to stop may have ended, and its id may belong to another process by now.
+    // A node that was told to stop may have exited, and its process id may have been reused.
     if process.is_running()? {
         process.signal(signal)?;
     }
--- a/crates/rig/src/chaos/plan.rs
+++ b/crates/rig/src/chaos/plan.rs
@@ -1,4 +1,4 @@
-//! What a run does, drawn from its seed.
+//! Plan of a chaos run, generated from its seed.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -7,27 +7,28 @@
 use serde_json::json;
 use smol_str::SmolStr;
 
-use super::fault::{Direction, Fault, Strike};
+use super::fault::{Direction, Fault, ScheduledFault};
 use crate::fleet::{FleetPlan, ServicePlan};
 use crate::load::Behaviour;
 use crate::platform::FaultMode;
 use crate::target::{self, ServiceTime};
 
-/// The service whose calls must run at most once.
+/// Service whose non-idempotent calls must run at most once.
 pub(super) const BIDDING: &str = "bidding";
 
-/// The service that the targets of [`BIDDING`] call.
+/// Downstream service of the [`BIDDING`] targets.
 const PRICES: &str = "prices";
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// Retry allowance of the documents while no fault changes it.
+/// Retry allowance in documents that no fault has changed.
 pub(super) const RETRY_ALLOWANCE: u16 = 2;
 
-/// Mean service time of the targets while no fault changes it: long enough for faults to meet calls at work.
+/// Mean service time, in milliseconds, of targets that no fault slows down. It is long enough for
+/// faults to hit running calls.
 pub(super) const SERVICE_MS: f64 = 25.0;
 
-/// Nodes that faults strike.
+/// Nodes that faults can affect.
 const NODES: [&str; 5] = [
     "bidding-1",
     "bidding-2",
@@ -36,50 +37,53 @@
     "prices-2",
 ];
 
-/// Faults in each second of a round.
-const FAULTS_A_SECOND: f64 = 1.5;
+/// Number of faults per second of a round, rounded up over the round.
+const FAULTS_PER_SECOND: f64 = 1.5;
 
-/// Shortest and longest time of a fault in milliseconds.
-const FAULT_MS: std::ops::Range<u64> = 50..1500;
+/// Range of fault durations in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 50..1500;
 
-/// Shares of the load's behaviour and bounds of its rate, in calls a second.
-const RATES: std::ops::Range<f64> = 60.0..200.0;
+/// Range of the load's rate in calls per second.
+const RATE_RANGE: std::ops::Range<f64> = 60.0..200.0;
 
 /// One round of load and faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Round {
     /// Length in milliseconds.
     pub length_ms: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// What clients do about calls that didn't succeed.
+    /// How clients retry calls that did not succeed.
     pub behaviour: Behaviour,
     /// Seed of the load.
     pub load_seed: u64,
-    /// The faults.
-    pub strikes: Vec<Strike>,
+    /// Faults of the round, ordered by start time.
+    #[serde(rename = "strikes")]
+    pub faults: Vec<ScheduledFault>,
 }
 
-/// A whole run; the same seed, length and rounds give the same plan.
+/// Plan of a run. The same seed, length and number of rounds give the same plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChaosPlan {
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Rounds, one after the other on the same processes.
+    /// Rounds, run in sequence on the same processes.
     pub rounds: Vec<Round>,
 }
 
 impl ChaosPlan {
-    /// The plan that follows from a seed: `seconds` of load in `rounds` rounds of equal length.
+    /// Generates the plan for a seed: `seconds` of load in `rounds` rounds of equal length.
     pub fn of_seed(seed: u64, seconds: f64, rounds: u32) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let rounds = rounds.max(1);
         let length_ms = (seconds * 1000.0 / f64::from(rounds)) as u64;
-        let rounds = (0..rounds).map(|_| round(&mut rng, length_ms)).collect();
+        let rounds = (0..rounds)
+            .map(|_| random_round(&mut rng, length_ms))
+            .collect();
         Self { seed, rounds }
     }
 
-    /// The processes that the plan is run on.
+    /// Returns the plan of the fleet that the rounds run on.
     pub fn fleet(&self) -> FleetPlan {
         let target = target::Settings {
             downstream: vec!["GET /prices/p/1".parse().expect("a method and a path")],
@@ -107,34 +111,36 @@
     }
 }
 
-fn round(rng: &mut StdRng, length_ms: u64) -> Round {
-    let count = (length_ms as f64 / 1000.0 * FAULTS_A_SECOND).ceil() as u32;
-    let mut strikes: Vec<Strike> = (0..count).map(|_| strike(rng, length_ms)).collect();
-    strikes.sort_by_key(|strike| strike.at_ms);
+fn random_round(rng: &mut StdRng, length_ms: u64) -> Round {
+    let count = (length_ms as f64 / 1000.0 * FAULTS_PER_SECOND).ceil() as u32;
+    let mut faults: Vec<ScheduledFault> = (0..count)
+        .map(|_| random_scheduled_fault(rng, length_ms))
+        .collect();
+    faults.sort_by_key(|scheduled| scheduled.at_ms);
     Round {
         length_ms,
-        rate: rng.random_range(RATES),
+        rate: rng.random_range(RATE_RANGE),
         behaviour: match rng.random_bool(0.7) {
             true => Behaviour::HardRetry { tries: 5 },
             false => Behaviour::Polite { tries: 3 },
         },
         load_seed: rng.random(),
-        strikes,
+        faults,
     }
 }
 
-fn strike(rng: &mut StdRng, length_ms: u64) -> Strike {
+fn random_scheduled_fault(rng: &mut StdRng, length_ms: u64) -> ScheduledFault {
     let at_ms = rng.random_range(0..length_ms.max(1));
-    Strike {
+    ScheduledFault {
         at_ms,
-        until_ms: at_ms + rng.random_range(FAULT_MS),
-        fault: fault(rng),
+        until_ms: at_ms + rng.random_range(FAULT_DURATION_MS),
+        fault: random_fault(rng),
     }
 }
 
-fn fault(rng: &mut StdRng) -> Fault {
-    let node = one_of(rng, &NODES);
-    let (from, to) = (one_of(rng, &DOMAINS), one_of(rng, &DOMAINS));
+fn random_fault(rng: &mut StdRng) -> Fault {
+    let node = random_name(rng, &NODES);
+    let (from, to) = (random_name(rng, &DOMAINS), random_name(rng, &DOMAINS));
     let directions = [Direction::Both, Direction::Requests, Direction::Answers];
     let modes = [FaultMode::Down, FaultMode::Stale, FaultMode::Flap];
     match rng.random_range(0..14) {
@@ -164,6 +170,6 @@
     }
 }
 
-fn one_of(rng: &mut StdRng, names: &[&str]) -> SmolStr {
+fn random_name(rng: &mut StdRng, names: &[&str]) -> SmolStr {
     names.choose(rng).map(SmolStr::new).unwrap_or_default()
 }
--- a/crates/rig/src/chaos/run.rs
+++ b/crates/rig/src/chaos/run.rs
@@ -1,43 +1,44 @@
-//! Runs a plan on real processes.
+//! Runs a chaos plan on real processes.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep_until};
 
-use super::at_rest;
+use super::evidence::{Evidence, find_breaches};
 use super::fault::Fault;
+use super::idle::wait_until_idle;
+use super::inject::{begin, end, recover};
 use super::plan::{BIDDING, ChaosPlan, Round};
-use super::strike::{begin, end, recover};
-use super::verdict::{Evidence, breaches_of};
 use crate::error::RigError;
 use crate::fleet::{Fleet, READY_TIME};
 use crate::load::{self, EndingCounts, KeyEnding, LoadPlan, LoadReport, Operation, Stage};
 
-/// Time limit of a caller in milliseconds, as told to the node.
+/// Deadline in milliseconds that callers send to the node.
 const DEADLINE_MS: u64 = 1000;
 
-/// Time after which a caller gives up a sending, in milliseconds.
+/// Timeout in milliseconds after which a caller abandons an attempt.
 const TIMEOUT_MS: u64 = 1300;
 
-/// What came of a run.
+/// Result of a chaos run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChaosReport {
-    /// The seed of the plan.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Rounds that were run to their end.
+    /// Number of completed rounds.
     pub rounds: usize,
-    /// Faults that struck.
-    pub strikes: usize,
-    /// Calls with tokens.
+    /// Number of injected faults.
+    #[serde(rename = "strikes")]
+    pub faults: usize,
+    /// Number of calls with tokens.
     pub keys: usize,
-    /// How all calls ended.
+    /// Outcomes of all calls.
     pub endings: EndingCounts,
-    /// Broken promises, in words; the run ends with the first round that has any.
+    /// Descriptions of violated guarantees. The run ends after the first round that has any.
     pub breaches: Vec<String>,
 }
 
-/// Runs the plan until its end or the first broken promise.
+/// Runs the plan until it is complete or a round violates a guarantee.
 pub async fn run(plan: &ChaosPlan) -> Result<ChaosReport, RigError> {
     let mut fleet = Fleet::start(plan.fleet()).await?;
     let mut report = ChaosReport {
@@ -47,18 +48,18 @@
     let mut keys: Vec<KeyEnding> = Vec::new();
     for (number, round) in plan.rounds.iter().enumerate() {
         let load = tokio::spawn(load::run(load_plan(&fleet, round, number)));
-        strike_all(&mut fleet, round).await?;
+        inject_all(&mut fleet, round).await?;
         recover(&mut fleet).await?;
         let load = load
             .await
-            .map_err(|e| RigError::Settings(format!("the load has failed: {e}")))??;
-        at_rest(&fleet, READY_TIME).await?;
-        add(&mut report.endings, &load.endings);
+            .map_err(|e| RigError::Settings(format!("load task failed: {e}")))??;
+        wait_until_idle(&fleet, READY_TIME).await?;
+        add_endings(&mut report.endings, &load.endings);
         keys.extend(load.keys.iter().cloned());
         report.rounds += 1;
-        report.strikes += round.strikes.len();
+        report.faults += round.faults.len();
         report.keys = keys.len();
-        report.breaches = judge(&fleet, &keys, &load).await?;
+        report.breaches = check_round(&fleet, &keys, &load).await?;
         if !report.breaches.is_empty() {
             break;
         }
@@ -66,22 +67,22 @@
     Ok(report)
 }
 
-/// Whether a moment of a plan begins or ends a fault.
+/// Whether a scheduled event begins or ends a fault.
 #[derive(Clone, Copy, Debug)]
 enum Edge {
     Begin,
     End,
 }
 
-async fn strike_all(fleet: &mut Fleet, round: &Round) -> Result<(), RigError> {
+async fn inject_all(fleet: &mut Fleet, round: &Round) -> Result<(), RigError> {
     let started_at = Instant::now();
-    let mut moments: Vec<(u64, Edge, &Fault)> = Vec::new();
-    for strike in &round.strikes {
-        moments.push((strike.at_ms, Edge::Begin, &strike.fault));
-        moments.push((strike.until_ms, Edge::End, &strike.fault));
+    let mut events: Vec<(u64, Edge, &Fault)> = Vec::new();
+    for scheduled in &round.faults {
+        events.push((scheduled.at_ms, Edge::Begin, &scheduled.fault));
+        events.push((scheduled.until_ms, Edge::End, &scheduled.fault));
     }
-    moments.sort_by_key(|(at_ms, ..)| *at_ms);
-    for (at_ms, edge, fault) in moments {
+    events.sort_by_key(|(at_ms, ..)| *at_ms);
+    for (at_ms, edge, fault) in events {
         sleep_until(started_at + Duration::from_millis(at_ms)).await;
         match edge {
             Edge::Begin => begin(fleet, fault).await?,
@@ -92,18 +93,18 @@
     Ok(())
 }
 
-async fn judge(
+async fn check_round(
     fleet: &Fleet,
     keys: &[KeyEnding],
     load: &LoadReport,
 ) -> Result<Vec<String>, RigError> {
     let targets = fleet.counts(BIDDING).await?;
-    let counted = fleet.breaches().await?;
-    Ok(breaches_of(&Evidence {
+    let node_breaches = fleet.breaches().await?;
+    Ok(find_breaches(&Evidence {
         keys,
-        wrong: load.endings.wrong,
+        wrong_answers: load.endings.wrong,
         targets: &targets,
-        counted: &counted,
+        node_breaches: &node_breaches,
     }))
 }
 
@@ -135,7 +136,7 @@
     }
 }
 
-fn add(sum: &mut EndingCounts, round: &EndingCounts) {
+fn add_endings(sum: &mut EndingCounts, round: &EndingCounts) {
     sum.whole += round.whole;
     sum.wrong += round.wrong;
     sum.not_run += round.not_run;
--- a/crates/rig/tests/chaos.rs
+++ b/crates/rig/tests/chaos.rs
@@ -1,13 +1,13 @@
-//! Random faults from fixed seeds on real processes.
+//! Runs chaos plans of fixed seeds on real processes, and tests plan generation and the checks.
 
-use coltsfootport_rig::chaos::{self, ChaosPlan, Evidence, breaches_of};
+use coltsfootport_rig::chaos::{self, ChaosPlan, Evidence, find_breaches};
 use coltsfootport_rig::load::{Ending, KeyEnding};
 use coltsfootport_rig::target::{KeyRuns, TargetCounts};
 
-// Symptom: a call runs twice, runs after "not run", or is given another call's answer.
-// Sequence: any that the seeds give: kills, freezes, restarts, stops, cuts, scrambled datagrams, a platform that is down or
-// stale, slow targets and new documents, several at a time, under callers that retry at once.
-// Cause: to be found by the printed plan, which `coltsfootport-rig chaos --seed` runs again.
+// Guards against calls that run twice, run after "not run", or get another call's answer, under
+// overlapping random faults: kills, freezes, restarts, stops, cuts, scrambled datagrams, a platform
+// that is down or stale, slow targets and new documents, while callers retry at once. To reproduce a
+// failure, run the printed plan's seed with `coltsfootport-rig chaos --seed`.
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_random_faults() {
     for (seed, seconds, rounds) in [(1, 6.0, 2), (2, 6.0, 2), (5, 7.0, 1)] {
@@ -28,12 +28,12 @@
     assert_eq!(plan, ChaosPlan::of_seed(7, 20.0, 4));
     assert_ne!(plan, ChaosPlan::of_seed(8, 20.0, 4));
     assert_eq!(plan.rounds.len(), 4);
-    assert!(plan.rounds.iter().all(|round| round.strikes.len() == 8));
+    assert!(plan.rounds.iter().all(|round| round.faults.len() == 8));
 }
 
-struct Verdict {
+struct Case {
     ending: Ending,
-    /// Runs at two targets.
+    /// Number of runs at each of two targets.
     runs: [u64; 2],
     is_breach: bool,
 }
@@ -52,7 +52,7 @@
         (Ending::NoToken, [1, 0], true),
     ];
     for (ending, runs, is_breach) in cases {
-        let case = Verdict {
+        let case = Case {
             ending,
             runs,
             is_breach,
@@ -71,11 +71,11 @@
             ending: case.ending,
             sent: 1,
         }];
-        let found = breaches_of(&Evidence {
+        let found = find_breaches(&Evidence {
             keys: &keys,
-            wrong: 0,
+            wrong_answers: 0,
             targets: &targets,
-            counted: &[],
+            node_breaches: &[],
         });
         assert_eq!(!found.is_empty(), case.is_breach, "{ending:?} {runs:?}");
     }
--- a/crates/rig/tests/common/bids.rs
+++ b/crates/rig/tests/common/bids.rs
@@ -306,6 +306,6 @@
 
 /// Waits until nothing is in flight anywhere.
 pub async fn at_rest(fleet: &Fleet) {
-    let rest = chaos::at_rest(fleet, PATIENCE).await;
+    let rest = chaos::wait_until_idle(fleet, PATIENCE).await;
     rest.expect("a fleet at rest");
 }
