--- a/crates/rig/src/soak/callers.rs
+++ b/crates/rig/src/soak/callers.rs
@@ -120,7 +120,9 @@
             key: Key::Lasting,
             machine: self.machine,
             sent,
-            asked: caller.request(&text, ROUTE_TIMEOUT + ANSWER_TOLERANCE).await,
+            asked: caller
+                .request(&text, ROUTE_TIMEOUT + ANSWER_TOLERANCE)
+                .await,
             ended: Instant::now(),
             id,
         };
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -410,7 +410,9 @@
         let version = self.shared.version.load(Ordering::SeqCst);
         let key = key_header(&Key::Lasting.text());
         let request = get(HOST, &format!("/v{version}/x"), "", &key);
-        let asked = caller.request(&request, ROUTE_TIMEOUT + ANSWER_TOLERANCE).await;
+        let asked = caller
+            .request(&request, ROUTE_TIMEOUT + ANSWER_TOLERANCE)
+            .await;
         matches!(asked, RequestOutcome::Answered(answer) if answer.status == 200)
     }
 
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -201,7 +201,8 @@
         Case {
             name: "ran for another workspace",
             seen: || {
-                let seen = EvidenceBuilder::new().with_headers(workspace_header(CHANGING_WORKSPACE));
+                let seen =
+                    EvidenceBuilder::new().with_headers(workspace_header(CHANGING_WORKSPACE));
                 seen.asked(RequestKind::Read, answer(200, "answer to r"))
                     .arrived(0, 1050)
             },
@@ -249,7 +250,8 @@
         Case {
             name: "no final answer from a suspended node",
             seen: || {
-                let mut seen = EvidenceBuilder::new().asked(RequestKind::Read, RequestOutcome::Nothing);
+                let mut seen =
+                    EvidenceBuilder::new().asked(RequestKind::Read, RequestOutcome::Nothing);
                 seen.evidence.outages.push(seen.span(Some(0), 900, 1050));
                 seen
             },
@@ -269,7 +271,8 @@
         Case {
             name: "connection closed by a graceful stop before the request arrived",
             seen: || {
-                let mut seen = EvidenceBuilder::new().asked(RequestKind::Bid, RequestOutcome::Closed);
+                let mut seen =
+                    EvidenceBuilder::new().asked(RequestKind::Bid, RequestOutcome::Closed);
                 seen.evidence.stops.push(seen.span(Some(0), 500, 4000));
                 seen
             },
