--- a/crates/rig/src/load/report.rs
+++ b/crates/rig/src/load/report.rs
@@ -1,30 +1,30 @@
-//! The report of a run.
+//! Report of a load generator run.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
 use crate::load::Ending;
 
-/// Calls by how they ended.
+/// Number of calls by ending.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndingCounts {
-    /// Whole answers of their own.
+    /// Successful and complete answers that belong to their call.
     pub whole: u64,
-    /// Successes that weren't the whole answer to their call.
+    /// Successful answers that were incomplete or belonged to another call.
     pub wrong: u64,
-    /// Told that they did not run.
+    /// Answers stating that the call was not executed.
     pub not_run: u64,
-    /// Told that they may have run.
+    /// Answers stating that the call may have been executed.
     pub unknown: u64,
-    /// Errors of the target.
+    /// Error responses of the target.
     pub failed: u64,
-    /// Broken connections.
+    /// Connections that failed or closed before the answer was complete.
     pub broken: u64,
-    /// Given up by the client.
+    /// Timeouts of the client.
     pub timeout: u64,
-    /// Not sent for want of a token.
+    /// Calls not sent because no token was available.
     pub no_token: u64,
-    /// Not sent because the generator had too many in flight.
+    /// Calls not sent because the generator was at its limit of calls in flight.
     pub skipped: u64,
 }
 
@@ -45,7 +45,7 @@
         *count += 1;
     }
 
-    /// Every call that ended.
+    /// Total number of calls, over all endings.
     pub fn calls(&self) -> u64 {
         let unsent = self.no_token + self.skipped;
         let answered = self.whole + self.wrong + self.not_run + self.unknown + self.failed;
@@ -56,82 +56,82 @@
 /// Latency of whole answers in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyReport {
-    /// Half of the calls took at most this.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1000.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// The slowest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// Calls of one class.
+/// Results of the calls of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// The class, as labelled in the plan.
+    /// Class label from the plan.
     pub class: SmolStr,
-    /// Calls that were due, without retries.
+    /// Scheduled calls, excluding retries.
     pub calls: u64,
-    /// Sendings, with retries.
+    /// Attempts, including retries.
     pub sent: u64,
-    /// How the calls ended.
+    /// Number of calls by ending.
     pub endings: EndingCounts,
-    /// Latency from the time at which calls were due, which hides no wait of the generator itself.
+    /// Latency from the scheduled start, which includes delays of the generator itself.
     pub latency: LatencyReport,
-    /// Latency from the time at which calls were started, for comparing short paths at a low rate.
+    /// Latency from the actual start, for comparing short paths at a low rate.
     pub latency_from_start: LatencyReport,
-    /// Whole answers by the second in which they came.
+    /// Whole answers by the second of their arrival.
     pub goodput: Vec<u64>,
 }
 
-/// One second of a run.
+/// Results of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondReport {
-    /// Calls that were due.
+    /// Calls scheduled in this second.
     pub calls: u64,
-    /// Calls of any start that ended.
+    /// Calls that ended in this second, whenever they started.
     pub endings: EndingCounts,
-    /// 99 in 100 of the whole answers that came in it took at most this, in milliseconds; 0 where none came.
+    /// 99th percentile of the latency of whole answers that arrived in this second, in milliseconds; 0 if there were none.
     #[serde(default)]
     pub p99_ms: f64,
 }
 
-/// How a non-idempotent call ended.
+/// Ending of one non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyEnding {
-    /// The call's `x-rig-key`.
+    /// The call's `x-rig-key` header.
     pub key: String,
-    /// The ending of its last sending.
+    /// Ending of the last attempt.
     pub ending: Ending,
-    /// Sendings.
+    /// Number of attempts.
     pub sent: u32,
 }
 
-/// The report of a run.
+/// Results of a whole run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Planned length in seconds.
+    /// Planned duration in seconds.
     pub seconds: f64,
-    /// Calls that were due, without retries.
+    /// Scheduled calls, excluding retries.
     pub calls: u64,
-    /// Sendings, with retries.
+    /// Attempts, including retries.
     pub sent: u64,
-    /// How the calls ended.
+    /// Number of calls by ending.
     pub endings: EndingCounts,
-    /// Longest time in milliseconds by which the generator started a call late.
+    /// Longest delay in milliseconds between the scheduled and the actual start of a call.
     pub max_start_lag_ms: f64,
-    /// By class, in the order of the plan.
+    /// Results by class, in the order of the plan.
     pub classes: Vec<ClassReport>,
-    /// By second.
+    /// Results by second of the run.
     pub by_second: Vec<SecondReport>,
-    /// Non-idempotent calls, where the plan asks for them.
+    /// Non-idempotent calls, if the plan sets `record_keys`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<KeyEnding>,
 }
 
 impl LoadReport {
-    /// The report of one class.
+    /// Returns the report of a class.
     pub fn class(&self, class: &str) -> Option<&ClassReport> {
         self.classes.iter().find(|report| report.class == class)
     }
