--- a/crates/rig/src/load/plan.rs
+++ b/crates/rig/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What the load generator sends.
+//! Load plans: rates, operations and client behaviour.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -8,71 +8,71 @@
 use crate::error::RigError;
 use crate::load::Operation;
 
-/// When calls start.
+/// Distribution of the start times of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// At random times with exponentially distributed gaps.
+    /// Poisson process: exponentially distributed gaps.
     #[default]
     Poisson,
-    /// At equal gaps.
+    /// Constant gaps.
     Even,
 }
 
-/// What a client does about a call that didn't succeed.
+/// Retry behaviour of a client after an unsuccessful call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Behaviour {
-    /// Nothing.
+    /// Never retries.
     #[default]
     Once,
-    /// It sends again at once, at any entry, whatever went wrong.
+    /// Retries immediately at a random entry after any failure.
     HardRetry {
-        /// Sendings of a call at most.
+        /// Maximum number of attempts per call, including the first.
         tries: u32,
     },
-    /// It sends again only what did not run, and only after the time that the answer names.
+    /// Retries only calls that were not executed, after the delay given in the answer.
     Polite {
-        /// Sendings of a call at most.
+        /// Maximum number of attempts per call, including the first.
         tries: u32,
     },
 }
 
-/// A time with one rate.
+/// Period with a constant call rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Calls a second, not counting retries.
+    /// Calls per second, excluding retries.
     pub rate: f64,
-    /// Length in seconds.
+    /// Duration in seconds.
     pub seconds: f64,
 }
 
-/// A whole run of the load generator.
+/// Configuration of one run of the load generator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Callers' listeners of nodes; each sending goes to one at random.
+    /// Addresses of the nodes' listeners for callers. Each attempt goes to a random one.
     pub entries: Vec<SocketAddr>,
-    /// Rates, one after the other.
+    /// Stages, run in order.
     pub stages: Vec<Stage>,
-    /// Kinds of calls.
+    /// Operations to choose from by weight.
     pub operations: Vec<Operation>,
-    /// What clients do about calls that didn't succeed.
+    /// Retry behaviour of clients.
     pub behaviour: Behaviour,
-    /// When calls start.
+    /// Distribution of the start times of calls.
     pub arrivals: Arrivals,
-    /// The `coltsfootport-deadline-ms` header; not sent where missing.
+    /// The `coltsfootport-deadline-ms` header; not sent if `None`.
     pub deadline_ms: Option<u64>,
-    /// Time after which a client gives up a sending and closes its connection.
+    /// Timeout of an attempt, after which the client closes its connection.
     pub timeout_ms: u64,
-    /// Calls in flight at most; those beyond are counted as skipped.
+    /// Maximum number of calls in flight; calls beyond it are counted as skipped.
     pub max_in_flight: usize,
-    /// Begin of each call's `x-rig-key`.
+    /// Prefix of each call's `x-rig-key`.
     pub key_prefix: String,
-    /// Report how each non-idempotent call ended, by its key.
+    /// Whether to report the ending of each non-idempotent call by its key.
     pub record_keys: bool,
-    /// Seed of arrivals, operations and entries.
+    /// Seed for the random choice of arrivals, operations and entries.
     pub seed: u64,
 }
 
@@ -95,18 +95,18 @@
 }
 
 impl LoadPlan {
-    /// Refuses plans that can't be run.
+    /// Returns an error if the plan cannot be run.
     pub fn check(&self) -> Result<(), RigError> {
-        let refuse = |reason: &str| Err(RigError::Settings(reason.into()));
+        let invalid = |reason: &str| Err(RigError::Settings(reason.into()));
         if self.entries.is_empty() {
-            return refuse("no entry to send to");
+            return invalid("the plan has no entries");
         }
         if self
             .operations
             .iter()
             .all(|operation| operation.weight == 0)
         {
-            return refuse("no operation to send");
+            return invalid("the plan has no operation with a positive weight");
         }
         let is_usable = |n: f64| n.is_finite() && n >= 0.0;
         if !self
@@ -114,19 +114,19 @@
             .iter()
             .all(|stage| is_usable(stage.rate) && is_usable(stage.seconds))
         {
-            return refuse("rates and seconds are finite and not negative");
+            return invalid("rates and seconds must be finite and not negative");
         }
         Ok(())
     }
 
-    /// Length of the run in seconds, without the calls that end later.
+    /// Duration of all stages in seconds, excluding calls that complete after the last stage.
     pub fn seconds(&self) -> f64 {
         self.stages.iter().map(|stage| stage.seconds).sum()
     }
 }
 
 impl Behaviour {
-    /// Sendings of a call at most.
+    /// Maximum number of attempts per call, including the first.
     pub fn tries(self) -> u32 {
         match self {
             Self::Once => 1,
