--- a/crates/rig/src/load/operation.rs
+++ b/crates/rig/src/load/operation.rs
@@ -1,4 +1,4 @@
-//! A kind of call, as text `METHOD /service/path [class=NAME] [weight=N] [body=BYTES] [non-idempotent]`.
+//! Operations of a load plan, in text form `METHOD /service/path [class=NAME] [weight=N] [body=BYTES] [non-idempotent]`.
 
 use std::str::FromStr;
 
@@ -8,19 +8,19 @@
 use crate::error::RigError;
 use crate::http::MethodPath;
 
-/// A kind of call.
+/// Kind of call that the load generator sends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
     /// Method and `/{service}/{path}`.
     pub call: MethodPath,
-    /// Label under which the call is reported; it isn't sent.
+    /// Label that groups calls in the report; not sent.
     #[serde(default)]
     pub class: SmolStr,
-    /// Share of the calls, relative to the other operations.
+    /// Relative share of the calls among all operations.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The call takes a token and numbers its tries.
+    /// Whether calls carry an idempotency token and attempt numbers.
     #[serde(default)]
     pub non_idempotent: bool,
     /// Length of the request body in bytes.
@@ -29,7 +29,7 @@
 }
 
 impl Operation {
-    /// An idempotent call without a body.
+    /// Creates an idempotent operation without a body and with the default weight.
     pub fn new<C>(call: MethodPath, class: C) -> Self
     where
         C: Into<SmolStr>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The service that the path names.
+    /// Returns the service, the first segment of the path.
     pub fn service(&self) -> &str {
         let path = self.call.path.trim_start_matches('/');
         path.split(['/', '?']).next().unwrap_or_default()
@@ -55,7 +55,7 @@
     type Err = RigError;
 
     fn from_str(s: &str) -> Result<Self, RigError> {
-        let malformed = || RigError::Settings(format!("{s:?} is not an operation"));
+        let malformed = || RigError::Settings(format!("invalid operation {s:?}"));
         let mut words = s.split_whitespace();
         let (Some(method), Some(path)) = (words.next(), words.next()) else {
             return Err(malformed());
