--- a/crates/rig/src/load/token_pool.rs
+++ b/crates/rig/src/load/token_pool.rs
@@ -1,4 +1,4 @@
-//! Idempotency tokens, asked for ahead and in batches.
+//! Pool of idempotency tokens, prefetched in batches.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,132 +13,132 @@
 use crate::error::RigError;
 use crate::http::{Client, ClientCall};
 
-/// Tokens asked for at once.
-const BATCH: usize = 64;
+/// Tokens requested at once.
+const BATCH_SIZE: usize = 64;
 
-/// New tokens are asked for when fewer are in stock.
-const LOW: usize = 32;
+/// More tokens are requested when fewer than this are available.
+const REFILL_THRESHOLD: usize = 32;
 
-/// Calls that wait for the pool at most.
-const QUEUE: usize = 1024;
+/// Capacity of the request channel; further calls wait to enqueue.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// A call's wish for a token.
-struct Want {
+/// Request of a call for a token.
+struct TokenRequest {
     service: SmolStr,
     reply: oneshot::Sender<SmolStr>,
 }
 
-/// Answer of `POST /coltsfootport/tokens`.
+/// Response body of `POST /coltsfootport/tokens`.
 #[derive(Deserialize)]
 struct TokensAnswer {
     tokens: Vec<SmolStr>,
 }
 
-/// Tokens of one service.
+/// Available tokens and waiting calls of one service.
 #[derive(Default)]
-struct Stock {
+struct ServiceTokens {
     tokens: VecDeque<SmolStr>,
-    waiting: VecDeque<oneshot::Sender<SmolStr>>,
+    waiters: VecDeque<oneshot::Sender<SmolStr>>,
     is_fetching: bool,
 }
 
-/// A finished request for tokens.
-struct Fetched {
+/// Result of a batch request to an entry.
+struct FetchResult {
     service: SmolStr,
     result: Result<Vec<SmolStr>, RigError>,
 }
 
-/// The way to the pool; the pool ends with its last clone.
+/// Handle to the pool task, which stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct TokenPool {
-    tx: mpsc::Sender<Want>,
+    tx: mpsc::Sender<TokenRequest>,
 }
 
 impl TokenPool {
-    /// Starts a pool that asks the entries in turn.
+    /// Starts a pool that requests tokens from the entries in rotation.
     pub fn start(client: Client, entries: Vec<SocketAddr>) -> Self {
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let pool = Pool {
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
+        let pool = PoolTask {
             client,
             entries,
             next_entry: 0,
-            stocks: Map::default(),
+            services: Map::default(),
             fetches: JoinSet::new(),
         };
         tokio::spawn(pool.run(rx));
         Self { tx }
     }
 
-    /// A token for the service; `None` where no entry gave one.
+    /// Returns a token for the service, or `None` if the request for tokens failed.
     pub async fn take(&self, service: SmolStr) -> Option<SmolStr> {
         let (reply, rx) = oneshot::channel();
-        self.tx.send(Want { service, reply }).await.ok()?;
+        self.tx.send(TokenRequest { service, reply }).await.ok()?;
         rx.await.ok()
     }
 }
 
-struct Pool {
+struct PoolTask {
     client: Client,
     entries: Vec<SocketAddr>,
     next_entry: usize,
-    stocks: Map<SmolStr, Stock>,
-    fetches: JoinSet<Fetched>,
+    services: Map<SmolStr, ServiceTokens>,
+    fetches: JoinSet<FetchResult>,
 }
 
-impl Pool {
-    async fn run(mut self, mut rx: mpsc::Receiver<Want>) {
+impl PoolTask {
+    async fn run(mut self, mut rx: mpsc::Receiver<TokenRequest>) {
         loop {
             tokio::select! {
-                want = rx.recv() => match want {
-                    Some(want) => self.on_want(want),
+                request = rx.recv() => match request {
+                    Some(request) => self.handle_request(request),
                     None => return,
                 },
                 Some(fetched) = self.fetches.join_next() => {
                     if let Ok(fetched) = fetched {
-                        self.on_fetched(fetched);
+                        self.handle_fetch_result(fetched);
                     }
                 }
             }
         }
     }
 
-    fn on_want(&mut self, want: Want) {
-        let stock = self.stocks.entry(want.service.clone()).or_default();
-        match stock.tokens.pop_front() {
+    fn handle_request(&mut self, request: TokenRequest) {
+        let available = self.services.entry(request.service.clone()).or_default();
+        match available.tokens.pop_front() {
             Some(token) => {
-                let _ = want.reply.send(token);
+                let _ = request.reply.send(token);
             }
-            None => stock.waiting.push_back(want.reply),
+            None => available.waiters.push_back(request.reply),
         }
-        self.fetch_if_low(want.service);
+        self.refill_if_low(request.service);
     }
 
-    fn on_fetched(&mut self, fetched: Fetched) {
-        let stock = self.stocks.entry(fetched.service.clone()).or_default();
-        stock.is_fetching = false;
+    fn handle_fetch_result(&mut self, fetched: FetchResult) {
+        let available = self.services.entry(fetched.service.clone()).or_default();
+        available.is_fetching = false;
         match fetched.result {
-            Ok(tokens) => stock.tokens.extend(tokens),
-            // Those who wait are told by the drop; the next wish asks another entry.
-            Err(_) => stock.waiting.clear(),
+            Ok(tokens) => available.tokens.extend(tokens),
+            // Dropping the reply channels makes the waiting calls fail. The next request goes to another entry.
+            Err(_) => available.waiters.clear(),
         }
-        while let Some(token) = stock.tokens.pop_front() {
-            let Some(reply) = stock.waiting.pop_front() else {
-                stock.tokens.push_front(token);
+        while let Some(token) = available.tokens.pop_front() {
+            let Some(reply) = available.waiters.pop_front() else {
+                available.tokens.push_front(token);
                 break;
             };
             let _ = reply.send(token);
         }
-        if !stock.waiting.is_empty() {
-            self.fetch_if_low(fetched.service);
+        if !available.waiters.is_empty() {
+            self.refill_if_low(fetched.service);
         }
     }
 
-    fn fetch_if_low(&mut self, service: SmolStr) {
-        let stock = self.stocks.entry(service.clone()).or_default();
-        if stock.is_fetching || stock.tokens.len() >= LOW {
+    fn refill_if_low(&mut self, service: SmolStr) {
+        let available = self.services.entry(service.clone()).or_default();
+        if available.is_fetching || available.tokens.len() >= REFILL_THRESHOLD {
             return;
         }
-        stock.is_fetching = true;
+        available.is_fetching = true;
         let entry = self.entries[self.next_entry % self.entries.len()];
         self.next_entry += 1;
         self.fetches
@@ -146,22 +146,24 @@
     }
 }
 
-async fn fetch(client: Client, entry: SocketAddr, service: SmolStr) -> Fetched {
-    let path = format!("/coltsfootport/tokens?service={service}&count={BATCH}");
+async fn fetch(client: Client, entry: SocketAddr, service: SmolStr) -> FetchResult {
+    let path = format!("/coltsfootport/tokens?service={service}&count={BATCH_SIZE}");
     let answer = client
         .send(ClientCall::new(entry, Method::POST, path))
         .await;
     let result = answer.and_then(|answer| match answer.status.is_success() {
         true => Ok(serde_json::from_slice::<TokensAnswer>(&answer.body)?.tokens),
         false => Err(RigError::Connection(format!(
-            "no tokens: {}",
+            "token request failed with status {}",
             answer.status
         ))),
     });
-    // An empty list would be asked for again and again.
+    // Accepting an empty list would repeat the request without end.
     let result = result.and_then(|tokens| match tokens.is_empty() {
-        true => Err(RigError::Connection("no tokens in the answer".into())),
+        true => Err(RigError::Connection(
+            "token response contains no tokens".into(),
+        )),
         false => Ok(tokens),
     });
-    Fetched { service, result }
+    FetchResult { service, result }
 }
