--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load generator: calls start at their time whether or not earlier ones have ended.
+//! Open-loop load generator: calls start on schedule whether or not earlier calls have completed.
 
 mod call;
 mod ending;
@@ -9,7 +9,7 @@
 mod report;
 mod token_pool;
 
-pub use self::ending::{Ending, Expected};
+pub use self::ending::{Ending, ExpectedAnswer};
 pub use self::generator::run;
 pub use self::operation::Operation;
 pub use self::plan::{Arrivals, Behaviour, LoadPlan, Stage};
--- a/crates/rig/src/load/call.rs
+++ b/crates/rig/src/load/call.rs
@@ -13,7 +13,7 @@
 
 use crate::error::RigError;
 use crate::http::{Client, ClientAnswer, ClientCall};
-use crate::load::ending::Expected;
+use crate::load::ending::ExpectedAnswer;
 use crate::load::token_pool::TokenPool;
 use crate::load::{Behaviour, Ending, LoadPlan, Operation};
 use crate::target::KEY_HEADER;
@@ -61,7 +61,7 @@
     let operation = &plan.operations[operation];
     let mut rng = StdRng::seed_from_u64(seed);
     let body = Bytes::from(vec![b'b'; operation.body_bytes]);
-    let expected = Expected {
+    let expected = ExpectedAnswer {
         key,
         path: operation.call.path.to_string(),
         body_crc32: crc32fast::hash(&body),
--- a/crates/rig/src/load/ending.rs
+++ b/crates/rig/src/load/ending.rs
@@ -1,4 +1,4 @@
-//! How a call ended, as its client sees it.
+//! Classifies how a call ended from the point of view of its client.
 
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -7,47 +7,47 @@
 use crate::http::ClientAnswer;
 use crate::target::Echo;
 
-/// The header with what is known about whether a call ran.
+/// Response header that states whether a call was executed.
 const OUTCOME_HEADER: &str = "coltsfootport-outcome";
 
-/// How a call, or one sending of it, ended.
+/// How a call, or one attempt of it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// The whole answer to this very call, with success.
+    /// A successful and complete answer that belongs to this call.
     Whole,
-    /// A success that is not the whole answer to this very call. Never right.
+    /// A successful answer that is incomplete or belongs to another call; always a fault.
     Wrong,
-    /// An answer that says that the call did not run.
+    /// An answer stating that the call was not executed.
     NotRun,
-    /// An answer that says that the call may have run.
+    /// An answer stating that the call may have been executed.
     Unknown,
-    /// An error of the target.
+    /// An error response of the target.
     Failed,
-    /// No connection, or it broke before the answer was whole.
+    /// The connection failed, or closed before the answer was complete.
     Broken,
-    /// The client gave up.
+    /// The client timed out.
     Timeout,
-    /// The client got no token, so it sent nothing.
+    /// Not sent: the client obtained no token.
     NoToken,
-    /// The generator had too many calls in flight, so it sent nothing.
+    /// Not sent: the generator was at its limit of calls in flight.
     Skipped,
 }
 
-/// What a client expects in the answer to a call.
+/// Values that the answer to a call must contain.
 #[derive(Clone, Debug)]
-pub struct Expected {
-    /// The call's key.
+pub struct ExpectedAnswer {
+    /// Key of the call.
     pub key: String,
-    /// Path and query that the client sent; the target sees it with or without the service.
+    /// Path and query that the client sent. The target may receive them without the service prefix.
     pub path: String,
     /// CRC-32 of the request body.
     pub body_crc32: u32,
 }
 
 impl Ending {
-    /// The ending of one sending.
-    pub fn of(result: &Result<ClientAnswer, RigError>, expected: &Expected) -> Self {
+    /// Classifies the result of one attempt.
+    pub fn of(result: &Result<ClientAnswer, RigError>, expected: &ExpectedAnswer) -> Self {
         match result {
             Ok(answer) => Self::of_answer(answer, expected),
             Err(RigError::Timeout) => Self::Timeout,
@@ -55,7 +55,7 @@
         }
     }
 
-    fn of_answer(answer: &ClientAnswer, expected: &Expected) -> Self {
+    fn of_answer(answer: &ClientAnswer, expected: &ExpectedAnswer) -> Self {
         match answer.header(OUTCOME_HEADER) {
             Some("not-run") => return Self::NotRun,
             Some("unknown") => return Self::Unknown,
@@ -71,7 +71,7 @@
     }
 }
 
-impl Expected {
+impl ExpectedAnswer {
     fn matches(&self, echo: &Echo) -> bool {
         echo.belongs_to(&self.key)
             && echo.body_crc32 == self.body_crc32
--- a/crates/rig/tests/common/flow.rs
+++ b/crates/rig/tests/common/flow.rs
@@ -11,7 +11,7 @@
 use coltsfootport_rig::error::RigError;
 use coltsfootport_rig::fleet::Fleet;
 use coltsfootport_rig::http::{Client, ClientAnswer, ClientCall};
-use coltsfootport_rig::load::{Ending, Expected};
+use coltsfootport_rig::load::{Ending, ExpectedAnswer};
 use coltsfootport_rig::target::Settings;
 use http::Method;
 use serde_json::{Value, json};
@@ -82,7 +82,7 @@
         headers.insert("x-rig-key", self.key.parse().expect("a plain key"));
         let deadline_ms = self.deadline.as_millis() as u64;
         headers.insert("coltsfootport-deadline-ms", deadline_ms.into());
-        let expected = Expected {
+        let expected = ExpectedAnswer {
             key: self.key.clone(),
             path: self.path,
             body_crc32: crc32fast::hash(&self.body),
