--- a/crates/rig/src/load/call.rs
+++ b/crates/rig/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call with its retries.
+//! Executes one call, including its retries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,41 +23,46 @@
 const TRY_HEADER: &str = "coltsfootport-try";
 const RETRY_AFTER_MS_HEADER: &str = "coltsfootport-retry-after-ms";
 
-/// What all calls share.
+/// State shared by all calls of a run.
 #[derive(Clone, Debug)]
-pub struct Caller {
-    /// The plan.
+pub struct CallContext {
+    /// Plan of the run.
     pub plan: Arc<LoadPlan>,
-    /// Connections.
+    /// HTTP client that sends the calls.
     pub client: Client,
-    /// Tokens.
+    /// Pool of idempotency tokens for non-idempotent operations.
     pub tokens: TokenPool,
 }
 
-/// How a call ended and how often it was sent.
+/// Ending of a call and its number of attempts.
 #[derive(Clone, Copy, Debug)]
-pub struct CallEnd {
-    /// The ending of the last sending.
+pub struct CallResult {
+    /// Ending of the last attempt.
     pub ending: Ending,
-    /// Sendings.
+    /// Number of attempts.
     pub sent: u32,
 }
 
-/// A token and the number of the next sending under it.
+/// An idempotency token and the number of the next attempt that uses it.
 struct NumberedToken {
     token: SmolStr,
     next_try: u32,
 }
 
-/// What to do after a sending.
-enum Next {
-    End,
-    SendAgain(Duration),
+/// Whether to retry after an attempt, and after which delay.
+enum RetryDecision {
+    Stop,
+    Retry(Duration),
 }
 
-/// Sends the call until its client's behaviour ends it.
-pub async fn perform(caller: Caller, operation: usize, key: String, seed: u64) -> CallEnd {
-    let plan = Arc::clone(&caller.plan);
+/// Sends the call and retries it as the plan's client behaviour demands.
+pub async fn execute_call(
+    context: CallContext,
+    operation: usize,
+    key: String,
+    seed: u64,
+) -> CallResult {
+    let plan = Arc::clone(&context.plan);
     let operation = &plan.operations[operation];
     let mut rng = StdRng::seed_from_u64(seed);
     let body = Bytes::from(vec![b'b'; operation.body_bytes]);
@@ -68,14 +73,14 @@
     };
     let mut token = None;
     if operation.non_idempotent {
-        let Some(taken) = caller.tokens.take(operation.service().into()).await else {
-            return CallEnd {
+        let Some(first_token) = context.tokens.take(operation.service().into()).await else {
+            return CallResult {
                 ending: Ending::NoToken,
                 sent: 0,
             };
         };
         token = Some(NumberedToken {
-            token: taken,
+            token: first_token,
             next_try: 1,
         });
     }
@@ -87,13 +92,13 @@
             headers: headers(&plan, &expected.key, &mut token),
             ..client_call(&plan, operation, entry, body.clone())
         };
-        let result = caller.client.send(call).await;
+        let result = context.client.send(call).await;
         let ending = Ending::of(&result, &expected);
-        match next(plan.behaviour, sent, ending, &result) {
-            Next::End => return CallEnd { ending, sent },
-            Next::SendAgain(pause) => sleep(pause).await,
+        match retry_decision(plan.behaviour, sent, ending, &result) {
+            RetryDecision::Stop => return CallResult { ending, sent },
+            RetryDecision::Retry(delay) => sleep(delay).await,
         }
-        take_fresh_token(&mut token, &result);
+        adopt_replacement_token(&mut token, &result);
     }
 }
 
@@ -114,7 +119,8 @@
 
 fn headers(plan: &LoadPlan, key: &str, token: &mut Option<NumberedToken>) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    // Keys and tokens are plain text; another value couldn't be sent and would be missed by its reader.
+    // Keys and tokens are plain text. A value that is not valid in a header is left out, and its absence shows at the
+    // receiver.
     if let Ok(key) = HeaderValue::from_str(key) {
         headers.insert(KEY_HEADER, key);
     }
@@ -131,23 +137,23 @@
     headers
 }
 
-fn next(
+fn retry_decision(
     behaviour: Behaviour,
     sent: u32,
     ending: Ending,
     result: &Result<ClientAnswer, RigError>,
-) -> Next {
-    // A wrong answer is a fault to be reported, never one to be covered by another try.
+) -> RetryDecision {
+    // A wrong answer is reported as a fault; a retry could hide it.
     if matches!(ending, Ending::Whole | Ending::Wrong) || sent >= behaviour.tries() {
-        return Next::End;
+        return RetryDecision::Stop;
     }
     match behaviour {
-        Behaviour::Once => Next::End,
-        Behaviour::HardRetry { .. } => Next::SendAgain(Duration::ZERO),
-        Behaviour::Polite { .. } if ending != Ending::NotRun => Next::End,
+        Behaviour::Once => RetryDecision::Stop,
+        Behaviour::HardRetry { .. } => RetryDecision::Retry(Duration::ZERO),
+        Behaviour::Polite { .. } if ending != Ending::NotRun => RetryDecision::Stop,
         Behaviour::Polite { .. } => match retry_after(result) {
-            Some(pause) => Next::SendAgain(pause),
-            None => Next::End,
+            Some(delay) => RetryDecision::Retry(delay),
+            None => RetryDecision::Stop,
         },
     }
 }
@@ -158,15 +164,18 @@
     Some(Duration::from_millis(ms))
 }
 
-/// A token that can no longer run comes back with a fresh one, whose sendings count from 1 again.
-fn take_fresh_token(token: &mut Option<NumberedToken>, result: &Result<ClientAnswer, RigError>) {
-    let fresh = result
+/// Replaces a token that can no longer be executed by the one in the answer and restarts attempt numbers at 1.
+fn adopt_replacement_token(
+    token: &mut Option<NumberedToken>,
+    result: &Result<ClientAnswer, RigError>,
+) {
+    let replacement = result
         .as_ref()
         .ok()
         .and_then(|answer| answer.header(TOKEN_HEADER));
-    if let (Some(token), Some(fresh)) = (token, fresh) {
+    if let (Some(token), Some(replacement)) = (token, replacement) {
         *token = NumberedToken {
-            token: fresh.into(),
+            token: replacement.into(),
             next_try: 1,
         };
     }
--- a/crates/rig/src/load/generator.rs
+++ b/crates/rig/src/load/generator.rs
@@ -1,4 +1,4 @@
-//! Starts calls at their time and collects their ends.
+//! Starts calls on schedule and records their results.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,39 +11,42 @@
 
 use crate::error::RigError;
 use crate::http::Client;
-use crate::load::call::{CallEnd, Caller, perform};
+use crate::load::call::{CallContext, CallResult, execute_call};
 use crate::load::recorder::{EndedCall, Recorder};
 use crate::load::token_pool::TokenPool;
 use crate::load::{Arrivals, Ending, LoadPlan, LoadReport, Stage};
 use crate::timer;
 
-/// Runs the plan to its end and waits for the calls that are still in flight.
+/// Runs all stages of the plan, then waits for the calls that are still in flight.
 pub async fn run(plan: LoadPlan) -> Result<LoadReport, RigError> {
     plan.check()?;
     let mut generator = Generator::new(plan, Instant::now())?;
     let mut due = Duration::ZERO;
     let mut stage_end = Duration::ZERO;
-    for stage in generator.caller.plan.stages.clone() {
+    for stage in generator.context.plan.stages.clone() {
         let stage_start = stage_end;
         stage_end += Duration::from_secs_f64(stage.seconds);
         due = due.max(stage_start);
-        while let Some(gap) = generator.gap(stage).filter(|gap| due + *gap < stage_end) {
+        while let Some(gap) = generator
+            .next_gap(stage)
+            .filter(|gap| due + *gap < stage_end)
+        {
             due += gap;
             generator.wait_until(due).await;
             generator.start_call(due);
         }
         generator.wait_until(stage_end).await;
-        // Gaps of the next stage count from its start.
+        // The first gap of the next stage starts at the stage boundary.
         due = stage_end;
     }
     Ok(generator.finish().await)
 }
 
 struct Generator {
-    caller: Caller,
+    context: CallContext,
     started_at: Instant,
     rng: StdRng,
-    mix: WeightedIndex<u32>,
+    operation_weights: WeightedIndex<u32>,
     recorder: Recorder,
     calls: JoinSet<EndedCall>,
     serial: u64,
@@ -51,31 +54,32 @@
 
 impl Generator {
     fn new(plan: LoadPlan, started_at: Instant) -> Result<Self, RigError> {
-        let mix = WeightedIndex::new(plan.operations.iter().map(|operation| operation.weight));
-        let mix = mix.map_err(|e| RigError::Settings(e.to_string()))?;
+        let operation_weights =
+            WeightedIndex::new(plan.operations.iter().map(|operation| operation.weight));
+        let operation_weights = operation_weights.map_err(|e| RigError::Settings(e.to_string()))?;
         let client = Client::default();
         let tokens = TokenPool::start(client.clone(), plan.entries.clone());
         Ok(Self {
             rng: StdRng::seed_from_u64(plan.seed),
             recorder: Recorder::new(&plan),
-            caller: Caller {
+            context: CallContext {
                 plan: Arc::new(plan),
                 client,
                 tokens,
             },
             started_at,
-            mix,
+            operation_weights,
             calls: JoinSet::new(),
             serial: 0,
         })
     }
 
-    /// Time to the next call; `None` where the stage has none.
-    fn gap(&mut self, stage: Stage) -> Option<Duration> {
+    /// Returns the time until the next call, or `None` if the stage has no further call.
+    fn next_gap(&mut self, stage: Stage) -> Option<Duration> {
         if stage.rate <= 0.0 {
             return None;
         }
-        let drawn = match self.caller.plan.arrivals {
+        let drawn = match self.context.plan.arrivals {
             Arrivals::Even => 1.0,
             Arrivals::Poisson => -(1.0 - self.rng.random::<f64>()).ln(),
         };
@@ -83,7 +87,8 @@
     }
 
     async fn wait_until(&mut self, due: Duration) {
-        // A generator that is behind never sleeps below. Without this its calls would not run until it has caught up.
+        // A generator that is behind schedule does not sleep below. Without this yield the calls that it has spawned would
+        // not run until it has caught up.
         yield_now().await;
         let due = self.started_at + due;
         while Instant::now() < due {
@@ -92,23 +97,24 @@
                 Some(ended) = self.calls.join_next() => self.record(ended.ok()),
             }
         }
-        // A generator that is behind must still take the ends of calls, or its in-flight bound would skip calls.
+        // A generator that is behind schedule must still collect completed calls. Otherwise they would count as in flight and
+        // new calls would be skipped.
         while let Some(ended) = self.calls.try_join_next() {
             self.record(ended.ok());
         }
     }
 
     fn start_call(&mut self, due: Duration) {
-        let operation = self.mix.sample(&mut self.rng);
+        let operation = self.operation_weights.sample(&mut self.rng);
         let seed = self.rng.random();
         self.serial += 1;
-        let key = format!("{}-{}", self.caller.plan.key_prefix, self.serial);
+        let key = format!("{}-{}", self.context.plan.key_prefix, self.serial);
         let now = self.started_at.elapsed();
         self.recorder
-            .on_due(operation, due, now.saturating_sub(due));
+            .record_due(operation, due, now.saturating_sub(due));
 
-        if self.calls.len() >= self.caller.plan.max_in_flight {
-            let end = CallEnd {
+        if self.calls.len() >= self.context.plan.max_in_flight {
+            let result = CallResult {
                 ending: Ending::Skipped,
                 sent: 0,
             };
@@ -118,21 +124,21 @@
                 due,
                 started: now,
                 ended: now,
-                end,
+                result,
             };
-            return self.recorder.on_ended(call);
+            return self.recorder.record_ended(call);
         }
-        let (caller, started_at) = (self.caller.clone(), self.started_at);
+        let (context, started_at) = (self.context.clone(), self.started_at);
         self.calls.spawn(async move {
             let started = started_at.elapsed();
-            let end = perform(caller, operation, key.clone(), seed).await;
+            let result = execute_call(context, operation, key.clone(), seed).await;
             EndedCall {
                 operation,
                 key,
                 due,
                 started,
                 ended: started_at.elapsed(),
-                end,
+                result,
             }
         });
     }
@@ -146,7 +152,7 @@
 
     fn record(&mut self, ended: Option<EndedCall>) {
         if let Some(ended) = ended {
-            self.recorder.on_ended(ended);
+            self.recorder.record_ended(ended);
         }
     }
 }
--- a/crates/rig/src/load/recorder.rs
+++ b/crates/rig/src/load/recorder.rs
@@ -1,38 +1,38 @@
-//! Collects how calls ended.
+//! Collects the results of calls into a report.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use crate::load::call::CallEnd;
+use crate::load::call::CallResult;
 use crate::load::{
     ClassReport, Ending, KeyEnding, LatencyReport, LoadPlan, LoadReport, Operation, SecondReport,
 };
 
-/// Significant digits of latencies.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the latency histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest latency that is told apart, in microseconds.
+/// Upper bound of the latency histograms in microseconds; longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Seconds of a run that are told apart; later ones count as the last.
-const MAX_SECONDS: usize = 100_000;
+/// Highest index of the per-second series; later seconds are counted there.
+const MAX_SECOND_INDEX: usize = 100_000;
 
-/// A call that has ended, with times from the start of the run.
+/// A completed call. Times are relative to the start of the run.
 #[derive(Clone, Debug)]
 pub struct EndedCall {
-    /// Position of its operation in the plan.
+    /// Index of its operation in the plan.
     pub operation: usize,
-    /// Its key.
+    /// Key of the call.
     pub key: String,
-    /// When it was due to start.
+    /// Scheduled start time.
     pub due: Duration,
-    /// When it was started.
+    /// Actual start time.
     pub started: Duration,
-    /// When it ended.
+    /// Completion time.
     pub ended: Duration,
-    /// How it ended.
-    pub end: CallEnd,
+    /// Ending and number of attempts.
+    pub result: CallResult,
 }
 
 struct ClassRecord {
@@ -41,33 +41,33 @@
     latency_from_start: Histogram<u64>,
 }
 
-/// Collects calls into a report.
+/// Aggregates completed calls into a [`LoadReport`].
 pub struct Recorder {
     report: LoadReport,
-    /// Latencies of whole answers by the second in which they came.
+    /// Latencies of whole answers by the second of their arrival.
     latencies: Vec<Vec<Duration>>,
     classes: Vec<ClassRecord>,
-    /// Position in `classes` of each operation.
-    class_of: Vec<usize>,
-    /// Whether each operation's keys are reported.
-    keeps_key: Vec<bool>,
+    /// Index in `classes` of each operation.
+    class_index: Vec<usize>,
+    /// Whether the keys of each operation are reported.
+    records_key: Vec<bool>,
 }
 
 impl Recorder {
-    /// An empty record of the plan's classes.
+    /// Creates an empty recorder with the classes of the plan.
     pub fn new(plan: &LoadPlan) -> Self {
         let mut classes: Vec<ClassRecord> = Vec::new();
-        let mut class_of = Vec::new();
+        let mut class_index = Vec::new();
         for operation in &plan.operations {
             let known = classes
                 .iter()
                 .position(|record| record.report.class == operation.class);
-            class_of.push(known.unwrap_or(classes.len()));
+            class_index.push(known.unwrap_or(classes.len()));
             if known.is_none() {
                 classes.push(ClassRecord::new(operation));
             }
         }
-        let keeps_key = plan
+        let records_key = plan
             .operations
             .iter()
             .map(|op| plan.record_keys && op.non_idempotent);
@@ -78,35 +78,35 @@
             },
             latencies: Vec::new(),
             classes,
-            class_of,
-            keeps_key: keeps_key.collect(),
+            class_index,
+            records_key: records_key.collect(),
         }
     }
 
-    /// A call was due at `due` and is started `lag` later.
-    pub fn on_due(&mut self, operation: usize, due: Duration, lag: Duration) {
+    /// Records a call that was scheduled for `due` and starts `lag` later.
+    pub fn record_due(&mut self, operation: usize, due: Duration, lag: Duration) {
         self.report.calls += 1;
         self.report.max_start_lag_ms = self.report.max_start_lag_ms.max(millis(lag));
-        self.class(operation).report.calls += 1;
-        self.second(due).calls += 1;
+        self.class_mut(operation).report.calls += 1;
+        self.second_mut(due).calls += 1;
     }
 
-    /// A call ended.
-    pub fn on_ended(&mut self, call: EndedCall) {
-        let CallEnd { ending, sent } = call.end;
+    /// Records a completed or skipped call.
+    pub fn record_ended(&mut self, call: EndedCall) {
+        let CallResult { ending, sent } = call.result;
         self.report.sent += u64::from(sent);
         self.report.endings.add(ending);
-        self.second(call.ended).endings.add(ending);
+        self.second_mut(call.ended).endings.add(ending);
 
-        let class = self.class(call.operation);
+        let class = self.class_mut(call.operation);
         class.report.sent += u64::from(sent);
         class.report.endings.add(ending);
         if ending == Ending::Whole {
-            class.on_whole(&call);
+            class.record_whole(&call);
             let latency = call.ended.saturating_sub(call.due);
-            entry_of_second(&mut self.latencies, call.ended).push(latency);
+            series_entry(&mut self.latencies, call.ended).push(latency);
         }
-        if self.keeps_key[call.operation] {
+        if self.records_key[call.operation] {
             self.report.keys.push(KeyEnding {
                 key: call.key,
                 ending,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The report.
+    /// Returns the report of all recorded calls.
     pub fn finish(mut self) -> LoadReport {
         for (second, latencies) in self.report.by_second.iter_mut().zip(self.latencies) {
             second.p99_ms = p99_ms(latencies);
@@ -124,12 +124,12 @@
         self.report
     }
 
-    fn class(&mut self, operation: usize) -> &mut ClassRecord {
-        &mut self.classes[self.class_of[operation]]
+    fn class_mut(&mut self, operation: usize) -> &mut ClassRecord {
+        &mut self.classes[self.class_index[operation]]
     }
 
-    fn second(&mut self, at: Duration) -> &mut SecondReport {
-        entry_of_second(&mut self.report.by_second, at)
+    fn second_mut(&mut self, at: Duration) -> &mut SecondReport {
+        series_entry(&mut self.report.by_second, at)
     }
 }
 
@@ -146,12 +146,12 @@
         }
     }
 
-    fn on_whole(&mut self, call: &EndedCall) {
+    fn record_whole(&mut self, call: &EndedCall) {
         self.latency
             .saturating_record(micros(call.ended.saturating_sub(call.due)));
         let from_start = micros(call.ended.saturating_sub(call.started));
         self.latency_from_start.saturating_record(from_start);
-        *entry_of_second(&mut self.report.goodput, call.ended) += 1;
+        *series_entry(&mut self.report.goodput, call.ended) += 1;
     }
 
     fn finish(mut self) -> ClassReport {
@@ -161,7 +161,7 @@
     }
 }
 
-/// The latency that 99 in 100 stay within; 0 where there is none.
+/// Returns the 99th percentile in milliseconds (nearest rank), or 0 if there are no latencies.
 fn p99_ms(mut latencies: Vec<Duration>) -> f64 {
     latencies.sort_unstable();
     let rank = (latencies.len() * 99).div_ceil(100);
@@ -172,7 +172,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, DIGITS);
+    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     histogram.expect("the bounds are constants in their valid range")
 }
 
@@ -186,11 +186,11 @@
     }
 }
 
-fn entry_of_second<T>(series: &mut Vec<T>, at: Duration) -> &mut T
+fn series_entry<T>(series: &mut Vec<T>, at: Duration) -> &mut T
 where
     T: Clone + Default,
 {
-    let second = (at.as_secs() as usize).min(MAX_SECONDS);
+    let second = (at.as_secs() as usize).min(MAX_SECOND_INDEX);
     if series.len() <= second {
         series.resize(second + 1, T::default());
     }
