--- a/crates/rig/tests/load.rs
+++ b/crates/rig/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against stand-in targets and a scripted node.
+//! Tests of the load generator against simulated targets and a scripted node.
 
 mod common;
 
@@ -29,7 +29,7 @@
     skipped: 0,
 };
 
-/// 40 calls in 0.2 s.
+/// Returns a plan of 40 calls in 0.2 s.
 fn plan(entry: std::net::SocketAddr, operation: &str) -> LoadPlan {
     LoadPlan {
         entries: vec![entry],
@@ -51,12 +51,11 @@
     }
 }
 
-/// Calls of [`plan`].
+/// Number of calls of [`plan`].
 const CALLS: u64 = 40;
 
-/// Symptom: a report that counts broken or foreign answers as good ones.
-/// Sequence: calls go to a target that answers, fails, cuts its answers, hangs or isn't there.
-/// Cause: the target's fault; clients retry hard or not at all.
+/// Guards against a report that counts broken answers, or answers of other calls, as successful. The target answers,
+/// fails, truncates its answers, hangs or does not exist; clients use `HardRetry` or `Once`.
 #[tokio::test]
 async fn endings_are_told_apart() {
     struct Case {
@@ -210,7 +209,7 @@
     assert_eq!(keys[0], keys[1]);
 }
 
-/// A node that answers by a script, in place of a real one.
+/// Starts a server that stands in for a node and answers with the given function.
 async fn scripted<A>(answer: A) -> Server
 where
     A: Fn(&Request<Incoming>) -> Answer + Clone + Send + Sync + 'static,
@@ -243,9 +242,9 @@
     answer
 }
 
-/// Symptom: a client sends a call under a dead token, or with a wrong number, so that it never runs or runs twice.
-/// Sequence: the node refuses the first token with a fresh one, sheds the first try of that, runs the second.
-/// Cause: retries of a non-idempotent call; only a polite or hard client comes so far.
+/// Guards against retries of a non-idempotent call with an invalid token or a wrong attempt number, so that the call is
+/// never executed or executed twice. The node refuses the first token and returns a replacement, sheds the first attempt
+/// with it and executes the second. Only `Polite` and `HardRetry` clients get that far.
 #[tokio::test]
 async fn tries_are_numbered_under_their_token() {
     let node = |req: &Request<Incoming>| -> Answer {
@@ -322,9 +321,8 @@
     }
 }
 
-/// Symptom: a caller takes another caller's answer, or a part of its own, for the whole of its own.
-/// Sequence: the node answers with success, but with a changed key, path, nested key or padding, or cut JSON.
-/// Cause: answers mixed up or cut inside the system.
+/// Guards against accepting the answer to another call, or a truncated answer, as complete: answers mixed up or cut inside
+/// the system. The node answers with success, but with a changed key, path, body checksum, padding length or nested key.
 #[tokio::test]
 async fn wrong_answers_are_caught_and_not_retried() {
     let edits: [fn(&mut Echo); 5] = [
