--- a/crates/rig/src/timer.rs
+++ b/crates/rig/src/timer.rs
@@ -1,7 +1,8 @@
-//! Sleeps that end within a fraction of a millisecond of their time.
+//! Timer with sub-millisecond precision.
 //!
-//! tokio's timer counts in whole milliseconds, which is as long as the latencies and service times that the stand-ins
-//! have to keep. Here one thread waits for the next due time by the system's finer timer and wakes the sleeping task.
+//! tokio's timer has a resolution of one millisecond, which is as long as the latencies and service times that the
+//! simulated targets have to keep. Here a dedicated thread waits for the next deadline with the finer timer of the
+//! operating system and wakes the sleeping task.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,44 +13,45 @@
 
 use tokio::sync::oneshot;
 
-/// tokio's timer is used up to this long before the due time, so that the thread holds few sleeps at once.
-const FINE: Duration = Duration::from_millis(4);
+/// Final part of a sleep that the timer thread handles. tokio's timer covers longer waits up to it, so that the thread
+/// holds few sleeps at once.
+const FINE_WAIT: Duration = Duration::from_millis(4);
 
-static THREAD: LazyLock<Sender<Sleeper>> = LazyLock::new(start);
+static TIMER_THREAD: LazyLock<Sender<Sleeper>> = LazyLock::new(start);
 
-/// A task that sleeps.
+/// Sleeping task, ordered by its due time.
 struct Sleeper {
     due: Instant,
     wake: oneshot::Sender<()>,
 }
 
-/// Sleeps for a time.
+/// Sleeps for a duration.
 pub async fn sleep(time: Duration) {
     sleep_until(Instant::now() + time).await;
 }
 
-/// Sleeps until a time.
+/// Sleeps until an instant.
 pub async fn sleep_until(due: Instant) {
-    if left(due) > 2 * FINE {
-        tokio::time::sleep_until((due - FINE).into()).await;
+    if time_left(due) > 2 * FINE_WAIT {
+        tokio::time::sleep_until((due - FINE_WAIT).into()).await;
     }
-    if left(due).is_zero() {
+    if time_left(due).is_zero() {
         return;
     }
     let (wake, woken) = oneshot::channel();
-    if THREAD.send(Sleeper { due, wake }).is_err() || woken.await.is_err() {
-        // The thread could not be started; the coarse timer still keeps the order of things.
+    if TIMER_THREAD.send(Sleeper { due, wake }).is_err() || woken.await.is_err() {
+        // The timer thread could not be started. tokio's coarser timer still preserves the order of events.
         tokio::time::sleep_until(due.into()).await;
     }
 }
 
-fn left(due: Instant) -> Duration {
+fn time_left(due: Instant) -> Duration {
     due.saturating_duration_since(Instant::now())
 }
 
 fn start() -> Sender<Sleeper> {
     let (tx, rx) = channel();
-    // Without the thread `rx` is dropped, and each sleep falls back on tokio's timer.
+    // If the thread cannot be started, `rx` is dropped and every sleep falls back to tokio's timer.
     let _ = thread::Builder::new()
         .name("timer".into())
         .spawn(move || run(&rx));
@@ -60,7 +62,7 @@
     let mut sleepers: BinaryHeap<Reverse<Sleeper>> = BinaryHeap::new();
     loop {
         let next = match sleepers.peek() {
-            Some(Reverse(first)) => rx.recv_timeout(left(first.due)),
+            Some(Reverse(first)) => rx.recv_timeout(time_left(first.due)),
             None => rx.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
         match next {
@@ -73,7 +75,7 @@
             .peek()
             .is_some_and(|Reverse(first)| first.due <= now)
         {
-            // A task that no longer sleeps was cancelled.
+            // Sending fails if the sleep was cancelled.
             let _ = sleepers.pop().map(|Reverse(first)| first.wake.send(()));
         }
     }
