--- a/crates/rig/tests/timer.rs
+++ b/crates/rig/tests/timer.rs
@@ -1,4 +1,4 @@
-//! The fine timer.
+//! Tests of the sub-millisecond timer.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
             assert!(Instant::now() >= due, "{us} us");
         });
     }
-    // Cancelled sleeps are in nobody's way.
+    // A cancelled sleep does not affect the others.
     let mut cancelled = JoinSet::new();
     cancelled.spawn(timer::sleep(Duration::from_millis(2)));
     drop(cancelled);
