--- a/crates/rig/src/process/spec.rs
+++ b/crates/rig/src/process/spec.rs
@@ -1,4 +1,4 @@
-//! How to start a child process.
+//! Specification of a child process to start.
 
 use std::fs::{File, OpenOptions};
 use std::path::PathBuf;
@@ -6,35 +6,35 @@
 
 use crate::error::RigError;
 
-/// Where a child's standard output and error go.
+/// Destination of a child's standard output and standard error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// Nowhere.
+    /// Discarded.
     #[default]
     Null,
-    /// To this process's own.
+    /// Inherited from this process.
     Inherit,
-    /// To the end of a file.
+    /// Appended to a file.
     File(PathBuf),
 }
 
-/// A child process to start.
+/// Program, arguments, input and output of a child process.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessSpec {
-    /// Name, for messages.
+    /// Name used in messages.
     pub name: String,
-    /// The program.
+    /// Path or name of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub args: Vec<String>,
-    /// Text for its standard input, such as its settings; closed input where missing.
+    /// Text for its standard input, such as its settings. If `None`, standard input is the null device.
     pub input: Option<String>,
-    /// Where its output goes.
+    /// Destination of standard output and standard error.
     pub output: Output,
 }
 
 impl ProcessSpec {
-    /// A program with arguments, without input and output.
+    /// Creates a spec without input that discards the output.
     pub fn new<N, P, A>(name: N, program: P, args: A) -> Self
     where
         N: Into<String>,
