--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -17,7 +17,7 @@
 use crate::error::RigError;
 use crate::http::{Client, ClientCall};
 
-pub use self::ports::{block_of, free_port, free_ports, loopback};
+pub use self::ports::{block_start, free_port, free_ports, loopback};
 pub use self::spawn::spawn;
 pub use self::spec::{Output, ProcessSpec};
 pub use rustix::process::Signal;
--- a/crates/rig/src/process/ports.rs
+++ b/crates/rig/src/process/ports.rs
@@ -4,43 +4,43 @@
 use std::process;
 use std::sync::{Mutex, PoisonError};
 
-use super::spawn::no_spawn;
+use super::spawn::lock_spawning;
 use crate::error::RigError;
 
-/// First port that is given out.
+/// First port of the range that ports are allocated from.
 ///
-/// The range lies below the ports that the system gives to outgoing connections. A port from that range could be taken
-/// by a connection between this look and the child's start, seen as a child that fails to bind now and then.
-const FIRST: u16 = 12_000;
+/// The range lies below the system's ephemeral ports. An ephemeral port could be taken by an outgoing connection between
+/// the check for a free port and the start of the child, which then occasionally fails to bind.
+const FIRST_PORT: u16 = 12_000;
 
-/// Ports that a process claims together.
-const BLOCK: u16 = 200;
+/// Number of ports in a block, the unit that a process reserves.
+const BLOCK_SIZE: u16 = 200;
 
-/// Blocks that there are.
-const BLOCKS: u16 = 100;
+/// Number of blocks in the range.
+const BLOCK_COUNT: u16 = 100;
 
-/// The ports that this process may give out.
+/// Port allocator of this process.
 ///
-/// Test programs run side by side, and a port found free is bound a moment later only, by a child. Two programs that look
-/// at the same port meanwhile would give it out twice, seen as a node that ends at its start or as a fleet that reaches
-/// another's target. So each program keeps the first port of a block bound for its life and gives out the rest.
-static CLAIMED: Mutex<Claimed> = Mutex::new(Claimed {
-    claims: Vec::new(),
+/// Test programs run in parallel, and a port that was found free is bound only later, by a child. Two programs that check
+/// the same port in between would both allocate it: a node then exits at startup, or a fleet reaches the target of another
+/// fleet. Each program therefore keeps the first port of a block bound until it exits and allocates only the other ports.
+static ALLOCATOR: Mutex<PortAllocator> = Mutex::new(PortAllocator {
+    reservations: Vec::new(),
     next: 0,
     end: 0,
 });
 
-struct Claimed {
-    claims: Vec<TcpListener>,
+struct PortAllocator {
+    reservations: Vec<TcpListener>,
     next: u16,
     end: u16,
 }
 
-impl Claimed {
-    fn port(&mut self) -> Result<u16, RigError> {
+impl PortAllocator {
+    fn allocate(&mut self) -> Result<u16, RigError> {
         loop {
             if self.next == self.end {
-                self.claim()?;
+                self.reserve_block()?;
             }
             let port = self.next;
             self.next += 1;
@@ -50,34 +50,36 @@
         }
     }
 
-    fn claim(&mut self) -> Result<(), RigError> {
-        // Programs begin at places of their own, so that they seldom ask for the same block.
-        let offset = process::id() % u32::from(BLOCKS);
-        for n in 0..u32::from(BLOCKS) {
-            let block = ((offset + n) % u32::from(BLOCKS)) as u16;
-            let first = FIRST + block * BLOCK;
-            if let Ok(claim) = TcpListener::bind(loopback(first)) {
-                self.claims.push(claim);
-                (self.next, self.end) = (first + 1, first + BLOCK);
+    fn reserve_block(&mut self) -> Result<(), RigError> {
+        // The search starts at an offset derived from the process ID, so that programs rarely try the same block.
+        let offset = process::id() % u32::from(BLOCK_COUNT);
+        for n in 0..u32::from(BLOCK_COUNT) {
+            let block = ((offset + n) % u32::from(BLOCK_COUNT)) as u16;
+            let first = FIRST_PORT + block * BLOCK_SIZE;
+            if let Ok(listener) = TcpListener::bind(loopback(first)) {
+                self.reservations.push(listener);
+                (self.next, self.end) = (first + 1, first + BLOCK_SIZE);
                 return Ok(());
             }
         }
-        Err(RigError::Settings("no free port".into()))
+        Err(RigError::Settings(
+            "no free port: all port blocks are reserved".into(),
+        ))
     }
 }
 
-/// The first port of the block that a port is in; whoever gives out the block's ports keeps it bound.
-pub fn block_of(port: u16) -> u16 {
-    port - (port - FIRST) % BLOCK
+/// Returns the first port of the block that contains `port`. The process that allocates from the block keeps it bound.
+pub fn block_start(port: u16) -> u16 {
+    port - (port - FIRST_PORT) % BLOCK_SIZE
 }
 
-/// A port free for TCP and UDP, given out once by this process.
+/// Allocates a port that is free for TCP and UDP. This process never returns a port twice.
 pub fn free_port() -> Result<u16, RigError> {
-    let mut claimed = CLAIMED.lock().unwrap_or_else(PoisonError::into_inner);
-    claimed.port()
+    let mut allocator = ALLOCATOR.lock().unwrap_or_else(PoisonError::into_inner);
+    allocator.allocate()
 }
 
-/// Several different free ports.
+/// Allocates several distinct free ports.
 pub fn free_ports<const N: usize>() -> Result<[u16; N], RigError> {
     let mut ports = [0; N];
     for port in &mut ports {
@@ -86,13 +88,13 @@
     Ok(ports)
 }
 
-/// A loopback address.
+/// Returns the IPv4 loopback address with the given port.
 pub fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
 fn is_free(port: u16) -> bool {
-    let _open = no_spawn();
+    let _guard = lock_spawning();
     let addr = loopback(port);
     TcpListener::bind(addr).is_ok() && UdpSocket::bind(addr).is_ok()
 }
--- a/crates/rig/src/process/spawn.rs
+++ b/crates/rig/src/process/spawn.rs
@@ -1,26 +1,26 @@
-//! Starts programs without handing them sockets of this process.
+//! Starts programs without leaking sockets of this process to them.
 
 use std::io;
 use std::process::{Child, Command};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Taken by whoever starts a program, and by whoever has a socket open that no program must have.
+/// Held while a program is started, and while a socket is open that no child may inherit.
 ///
-/// Between fork and exec a child holds all sockets of this process. A port that was looked at in that time has a listener
-/// that accepts connections, and is gone a moment later.
-static SPAWNING: Mutex<()> = Mutex::new(());
+/// Between fork and exec a child holds all sockets of this process. A listener that was bound in that time to check a port
+/// would go on accepting connections in the child until the exec closes it.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Keeps others from starting programs while it lives.
-pub fn no_spawn() -> MutexGuard<'static, ()> {
-    SPAWNING.lock().unwrap_or_else(PoisonError::into_inner)
+/// Blocks the start of programs until the guard is dropped.
+pub fn lock_spawning() -> MutexGuard<'static, ()> {
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a program; returns when the child runs it and holds no socket of this process any more.
+/// Starts a program. On return the child has executed it and holds no socket of this process any more.
 ///
 /// # Errors
 ///
-/// The program can't be started.
+/// Returns an error if the program cannot be started.
 pub fn spawn(command: &mut Command) -> io::Result<Child> {
-    let _only = no_spawn();
+    let _guard = lock_spawning();
     command.spawn()
 }
--- a/crates/rig/tests/process.rs
+++ b/crates/rig/tests/process.rs
@@ -8,7 +8,7 @@
 
 use coltsfootport_rig::error::RigError;
 use coltsfootport_rig::http::Client;
-use coltsfootport_rig::process::{Process, ProcessSpec, Signal, block_of, free_ports, loopback};
+use coltsfootport_rig::process::{Process, ProcessSpec, Signal, block_start, free_ports, loopback};
 use coltsfootport_rig::target::TargetCounts;
 use tokio::net::TcpStream;
 
@@ -99,7 +99,7 @@
 fn a_port_stays_given_out_while_nobody_listens() {
     let [port] = free_ports().expect("a port");
     // What another program does before it takes a port for its own: it claims the block that the port is in.
-    let block = block_of(port);
+    let block = block_start(port);
     assert!(block < port && TcpListener::bind(loopback(block)).is_err());
 }
 
