--- a/crates/rig/src/fleet/member.rs
+++ b/crates/rig/src/fleet/member.rs
@@ -107,7 +107,9 @@
         ];
         let name = format!("target of {}", self.name);
         let mut process = Process::start(ProcessSpec::new(name, &self.programs.rig, args))?;
-        process.listening(self.addresses.target, READY_TIME).await?;
+        process
+            .wait_until_listening(self.addresses.target, READY_TIME)
+            .await?;
         self.target = Some(process);
         self.set_target(client, settings).await
     }
@@ -139,7 +141,7 @@
     pub async fn ready(&mut self, client: &Client) -> Result<(), RigError> {
         let operators = self.addresses.operators;
         self.node()?
-            .ready(client, operators, "/health", READY_TIME)
+            .wait_until_ready(client, operators, "/health", READY_TIME)
             .await
     }
 
--- a/crates/rig/src/fleet/running.rs
+++ b/crates/rig/src/fleet/running.rs
@@ -318,7 +318,7 @@
                 address.to_string(),
             ];
             let mut process = Process::start(ProcessSpec::new("platform", &programs.rig, args))?;
-            process.listening(address, READY_TIME).await?;
+            process.wait_until_listening(address, READY_TIME).await?;
             self.platforms.insert(
                 domain,
                 Platform {
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! Real child processes for tests, demo and experiments.
+//! Child processes for tests, demo and experiments.
 
 mod ports;
 mod spawn;
@@ -22,13 +22,13 @@
 pub use self::spec::{Output, ProcessSpec};
 pub use rustix::process::Signal;
 
-/// Pause between two looks at a child.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval between two checks of a child's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time limit of one look at a child's HTTP interface.
+/// Timeout of one readiness probe: an HTTP request or a TCP connect.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A child process, killed when dropped.
+/// Running child process; killed and reaped when dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -37,7 +37,7 @@
 }
 
 impl Process {
-    /// Starts a child and writes its settings to its standard input.
+    /// Starts the child and writes the input of the spec to its standard input.
     pub fn start(spec: ProcessSpec) -> Result<Self, RigError> {
         let mut child = spawn(&mut spec.command()?)?;
         let pid = Pid::from_child(&child);
@@ -48,35 +48,35 @@
             pid,
         };
         if let (Some(mut input), Some(text)) = (input, &spec.input) {
-            // Dropping the pipe afterwards tells the child that the settings are whole.
+            // Dropping the pipe afterwards signals the end of the input to the child.
             input.write_all(text.as_bytes())?;
         }
         Ok(process)
     }
 
-    /// The child's name, for messages.
+    /// Returns the name of the child, used in messages.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The child's process id.
+    /// Returns the process ID of the child.
     pub fn pid(&self) -> i32 {
         self.pid.as_raw_nonzero().get()
     }
 
-    /// Sends a signal, such as `Signal::STOP` to freeze the child and `Signal::CONT` to wake it.
+    /// Sends a signal, such as `Signal::STOP` to pause the child and `Signal::CONT` to resume it.
     ///
-    /// The child isn't reaped before [`Process::wait`] or the drop, so its id can't belong to another process.
+    /// The child is not reaped before [`Process::wait`] or the drop, so its process ID cannot belong to another process.
     pub fn signal(&self, signal: Signal) -> Result<(), RigError> {
         kill_process(self.pid, signal).map_err(|e| RigError::Io(e.into()))
     }
 
-    /// Whether the child still runs; a frozen one does.
+    /// Returns whether the child is still running; a paused child counts as running.
     pub fn is_running(&mut self) -> Result<bool, RigError> {
         Ok(self.child.try_wait()?.is_none())
     }
 
-    /// Waits for the child to end by itself.
+    /// Waits up to `limit` for the child to exit on its own.
     pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus, RigError> {
         let deadline = Instant::now() + limit;
         loop {
@@ -86,24 +86,24 @@
             if Instant::now() >= deadline {
                 return Err(RigError::Timeout);
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the child to stop and waits for its end.
+    /// Sends `SIGTERM` to the child and waits up to `limit` for it to exit.
     pub async fn stop(&mut self, limit: Duration) -> Result<ExitStatus, RigError> {
         self.signal(Signal::TERM)?;
         self.wait(limit).await
     }
 
-    /// Kills the child at once.
+    /// Kills the child with `SIGKILL` and reaps it.
     pub fn kill(&mut self) -> Result<ExitStatus, RigError> {
         self.child.kill()?;
         Ok(self.child.wait()?)
     }
 
-    /// Waits until `GET path` at `addr` answers with success.
-    pub async fn ready(
+    /// Waits up to `limit` until `GET path` at `addr` answers with success.
+    pub async fn wait_until_ready(
         &mut self,
         client: &Client,
         addr: SocketAddr,
@@ -120,34 +120,38 @@
             if answer.is_ok_and(|answer| answer.status.is_success()) {
                 return Ok(());
             }
-            self.pause_before(deadline).await?;
+            self.wait_for_next_poll(deadline).await?;
         }
     }
 
-    /// Waits until a TCP connection to `addr` is accepted.
-    pub async fn listening(&mut self, addr: SocketAddr, limit: Duration) -> Result<(), RigError> {
+    /// Waits up to `limit` until a TCP connection to `addr` is accepted.
+    pub async fn wait_until_listening(
+        &mut self,
+        addr: SocketAddr,
+        limit: Duration,
+    ) -> Result<(), RigError> {
         let deadline = Instant::now() + limit;
         loop {
             let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await;
             if matches!(connected, Ok(Ok(_))) {
                 return Ok(());
             }
-            self.pause_before(deadline).await?;
+            self.wait_for_next_poll(deadline).await?;
         }
     }
 
-    async fn pause_before(&mut self, deadline: Instant) -> Result<(), RigError> {
+    async fn wait_for_next_poll(&mut self, deadline: Instant) -> Result<(), RigError> {
         if !self.is_running()? || Instant::now() >= deadline {
             return Err(RigError::NotReady(self.name.clone()));
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
         Ok(())
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Nothing is left to do where the child has already ended.
+        // Errors are ignored: the child may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/rig/tests/process.rs
+++ b/crates/rig/tests/process.rs
@@ -1,4 +1,4 @@
-//! Real child processes: start, freeze, stop and kill.
+//! Tests of child processes: start, pause, stop and kill.
 
 mod common;
 
@@ -20,7 +20,7 @@
     ProcessSpec::new("rig", RIG, line.split_whitespace())
 }
 
-/// A process that is paused: it answered nothing, then acted on what it had been sent.
+/// A paused child must answer nothing, and must handle the request that was sent meanwhile once it is resumed.
 #[tokio::test]
 async fn a_frozen_child_wakes_up_and_goes_on() {
     let client = Client::default();
@@ -29,7 +29,7 @@
     let line = format!("target --listen {addr} --service svc --slots 3 --service-ms 1");
     let mut child = Process::start(spec(&line)).expect("a child");
     child
-        .ready(&client, addr, "/health", PATIENCE)
+        .wait_until_ready(&client, addr, "/health", PATIENCE)
         .await
         .expect("ready");
 
@@ -58,16 +58,20 @@
     let [port] = free_ports().expect("a port");
     let (addr, limit) = (loopback(port), Duration::from_millis(50));
     let mut ends = Process::start(spec("target --listen nowhere")).expect("a child");
-    let result = ends.ready(&client, addr, "/health", PATIENCE).await;
+    let result = ends
+        .wait_until_ready(&client, addr, "/health", PATIENCE)
+        .await;
     assert!(matches!(result, Err(RigError::NotReady(_))), "{result:?}");
 
     let line = format!("platform --listen {addr}");
     let mut platform = Process::start(spec(&line)).expect("a child");
     platform
-        .listening(addr, PATIENCE)
+        .wait_until_listening(addr, PATIENCE)
         .await
         .expect("a listener");
-    let result = platform.ready(&client, addr, "/none", limit).await;
+    let result = platform
+        .wait_until_ready(&client, addr, "/none", limit)
+        .await;
     assert!(matches!(result, Err(RigError::NotReady(_))), "{result:?}");
     assert!(
         platform.wait(limit).await.is_err(),
@@ -92,29 +96,28 @@
     assert_ne!(a, b);
 }
 
-// Symptom: now and then a killed node can't bind its port when it is started again.
-// Sequence: two test programs run side by side; one kills a node; the other looks for free ports.
-// Cause: the killed node's port looks free to the other program.
+/// Guards against a killed node that occasionally cannot bind its port at restart. Two test programs run in parallel; one
+/// kills a node, and to the other, which searches for free ports, the port of that node looks free.
 #[test]
 fn a_port_stays_given_out_while_nobody_listens() {
     let [port] = free_ports().expect("a port");
-    // What another program does before it takes a port for its own: it claims the block that the port is in.
+    // Another program would first reserve the block that contains the port.
     let block = block_start(port);
     assert!(block < port && TcpListener::bind(loopback(block)).is_err());
 }
 
-/// A port that another child held for a moment after it was given out: whoever waited for a listener there met that child,
-/// and the next connection was refused.
+/// Guards against allocating a port whose listener a child still holds between fork and exec. A caller that waits for a
+/// listener at the port would connect to that child, and its next connection would be refused.
 #[test]
 fn nobody_listens_at_a_port_that_is_given_out() {
     const SPAWNERS: usize = 4;
     const PORTS: usize = 1500;
-    let is_over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let mut held = 0;
     std::thread::scope(|scope| {
         for _ in 0..SPAWNERS {
             scope.spawn(|| {
-                while !is_over.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     let mut child = Process::start(spec("--version")).expect("a child");
                     let _ = child.kill();
                 }
@@ -124,7 +127,7 @@
             let [port] = free_ports().expect("a port");
             held += usize::from(std::net::TcpStream::connect(loopback(port)).is_ok());
         }
-        is_over.store(true, Ordering::SeqCst);
+        stop.store(true, Ordering::SeqCst);
     });
     assert_eq!(held, 0, "of {PORTS} ports");
 }
