--- a/crates/rig/src/process/spawn.rs
+++ b/crates/rig/src/process/spawn.rs
@@ -15,7 +15,7 @@
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a program. On return the child has executed it and holds no socket of this process any more.
+/// Starts a program. On return the child has completed exec and no longer holds any socket of this process.
 ///
 /// # Errors
 ///
