--- a/crates/rig/src/load/call.rs
+++ b/crates/rig/src/load/call.rs
@@ -164,7 +164,7 @@
     Some(Duration::from_millis(ms))
 }
 
-/// Replaces a token that can no longer be executed by the one in the answer and restarts attempt numbers at 1.
+/// Replaces a token that can no longer be used with the one in the answer, and restarts attempt numbers at 1.
 fn adopt_replacement_token(
     token: &mut Option<NumberedToken>,
     result: &Result<ClientAnswer, RigError>,
