--- a/crates/rig/src/process/ports.rs
+++ b/crates/rig/src/process/ports.rs
@@ -63,7 +63,7 @@
             }
         }
         Err(RigError::Settings(
-            "no free port: all port blocks are reserved".into(),
+            "no free port".into(),
         ))
     }
 }
