--- a/crates/rig/src/experiment.rs
+++ b/crates/rig/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments: both users' fleets under overload and faults, in several variants of the policy.
+//! Overload and fault experiments on both users' fleets, comparing variants of the admission and retry policy.
 
 mod client_links;
 mod course;
