--- a/crates/rig/src/experiment/client_links.rs
+++ b/crates/rig/src/experiment/client_links.rs
@@ -1,4 +1,4 @@
-//! The way from clients to the nodes' callers' listeners, with its latency.
+//! Proxied links from clients to the callers' listener of each node, with added latency.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,17 +9,18 @@
 
 use super::deployment::DOMAINS;
 
-/// One-way latency to clients.
+/// One-way latency between clients and nodes.
 const CLIENT_LATENCY: Duration = Duration::from_millis(1);
 
 /// One-way latency between failure domains.
 const DOMAIN_LATENCY: Duration = Duration::from_micros(1500);
 
-/// Links from clients to each node.
+/// Proxied links from clients to each node.
 #[derive(Debug)]
 pub(super) struct ClientLinks {
-    /// Where clients send.
+    /// Proxy addresses that clients send requests to, one for each node.
     pub entries: Vec<SocketAddr>,
+    /// Held so that the links stay open.
     _proxy: Proxy,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Sets the latency between failure domains, which also ends every cut.
+/// Sets the latency of links between failure domains and restores all links that were cut.
 pub(super) fn set_domain_latency(fleet: &mut Fleet) {
     let faults = LinkFaults::both(DirectionFaults::latency(DOMAIN_LATENCY));
     fleet.heal();
