--- a/crates/rig/src/experiment/course.rs
+++ b/crates/rig/src/experiment/course.rs
@@ -1,4 +1,4 @@
-//! The phases of a run.
+//! Phases of an experiment run and the load in each.
 
 use std::ops::Range;
 
@@ -6,16 +6,16 @@
 
 use crate::load::Stage;
 
-/// Lengths of the phases in whole seconds.
+/// Lengths of the phases of a run, in whole seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Course {
-    /// Normal load that isn't measured.
+    /// Normal load, excluded from the measures.
     pub warm_up: usize,
-    /// Normal load that later seconds are compared with.
+    /// Normal load; the baseline that recovery is compared with.
     pub before: usize,
-    /// The scenario's faults and load.
+    /// Faults and load of the scenario.
     pub trigger: usize,
-    /// Normal load again.
+    /// Normal load after the faults have ended.
     pub after: usize,
 }
 
@@ -31,32 +31,32 @@
 }
 
 impl Course {
-    /// Seconds of the phase before the trigger.
+    /// Seconds of the baseline phase, as indexes into the run.
     pub fn before_range(&self) -> Range<usize> {
         self.warm_up..self.trigger_start()
     }
 
-    /// Seconds of the trigger.
+    /// Seconds of the trigger phase, as indexes into the run.
     pub fn trigger_range(&self) -> Range<usize> {
         self.trigger_start()..self.trigger_end()
     }
 
-    /// First second of the trigger.
+    /// First second of the trigger phase.
     pub fn trigger_start(&self) -> usize {
         self.warm_up + self.before
     }
 
-    /// First second after the trigger.
+    /// First second after the trigger phase.
     pub fn trigger_end(&self) -> usize {
         self.trigger_start() + self.trigger
     }
 
-    /// Seconds of the whole run.
+    /// Length of the whole run in seconds.
     pub fn seconds(&self) -> usize {
         self.trigger_end() + self.after
     }
 
-    /// The load's stages with `normal` calls a second, and `surge` times as many during the trigger.
+    /// Load stages with `normal` calls per second, multiplied by `surge` during the trigger.
     pub fn stages(&self, normal: f64, surge: f64) -> Vec<Stage> {
         let stage = |rate, seconds: usize| Stage {
             rate,
