--- a/crates/rig/src/experiment/measures.rs
+++ b/crates/rig/src/experiment/measures.rs
@@ -1,4 +1,4 @@
-//! What one run has shown.
+//! Measures computed from one run.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -12,47 +12,47 @@
 /// Measures of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measures {
-    /// Whole answers a second during the trigger.
+    /// Complete responses per second during the trigger.
     pub goodput: f64,
-    /// The most that could be: the lesser of the load and the physical capacity during the trigger, a second.
+    /// Upper bound of the goodput: the lesser of load and physical capacity during the trigger, per second.
     pub attainable: f64,
-    /// Goodput over the attainable.
+    /// `goodput` divided by `attainable`.
     pub goodput_ratio: f64,
-    /// Goodput before the trigger over the load.
+    /// Complete responses before the trigger divided by the requests due in that phase.
     pub before_ratio: f64,
-    /// Time until the load is served as before.
+    /// Time from the end of the trigger until the load is served as before it.
     pub recovery: Recovery,
-    /// Calls that arrived at the deepest service during the trigger for each request due in that time.
+    /// Calls that arrived at the deepest service during the trigger, per request due in that phase.
     pub deepest_per_request: f64,
-    /// Work that failed or was cancelled over all work of all targets, during the trigger and after.
+    /// Share of all targets' work that failed or was cancelled, from the start of the trigger to the end of the run.
     pub wasted_share: f64,
-    /// Latency of whole answers that 99 in 100 stay within, median over the seconds of the trigger, in milliseconds.
+    /// Median over the seconds of the trigger of the 99th percentile latency of complete responses, in milliseconds.
     pub trigger_p99_ms: f64,
-    /// By class, in the order of importance.
+    /// Measures by class, most important class first.
     pub classes: Vec<ClassMeasure>,
-    /// How the requests of the whole run ended.
+    /// Requests of the whole run by how they ended.
     pub endings: EndingCounts,
-    /// Longest time by which the load generator was late, in milliseconds.
+    /// Longest delay of the load generator in starting a request, in milliseconds.
     pub max_start_lag_ms: f64,
 }
 
-/// One class during the trigger.
+/// Measures of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassMeasure {
-    /// Its name.
+    /// Name of the class.
     pub class: SmolStr,
-    /// Whole answers during the trigger over the class's share of the requests due in that time.
+    /// Complete responses during the trigger, divided by the class's share of the requests due in that phase.
     pub served_share: f64,
-    /// How its requests of the whole run ended.
+    /// Requests of the class in the whole run by how they ended.
     pub endings: EndingCounts,
 }
 
-/// What the targets did.
+/// Work that the targets did during a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TargetWork {
-    /// The deepest service during the trigger.
+    /// Work of the deepest service during the trigger.
     pub deepest: Work,
-    /// All services from the trigger to the end.
+    /// Work of all services from the start of the trigger to the end of the run.
     pub all: Work,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Goodput and p99 by second.
+/// Returns the complete responses and the p99 latency of each second.
 pub(super) fn seconds(report: &LoadReport) -> Vec<Second> {
     let seconds = report.by_second.iter().map(|second| Second {
         whole: second.endings.whole as f64,
