--- a/crates/rig/src/experiment/options.rs
+++ b/crates/rig/src/experiment/options.rs
@@ -1,4 +1,4 @@
-//! What an experiment runs.
+//! Options of an experiment.
 
 use std::path::PathBuf;
 
@@ -7,21 +7,21 @@
 use super::user::User;
 use super::variant::Variant;
 
-/// What an experiment runs.
+/// Users, scenarios and variants of an experiment, and how each is run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExperimentOptions {
-    /// Whose fleets.
+    /// Users whose fleets are run.
     pub users: Vec<User>,
-    /// What befalls them.
+    /// Scenarios run on each fleet.
     pub scenarios: Vec<Scenario>,
-    /// Variants, run in turn.
+    /// Policy variants; each repeat runs all of them in turn.
     pub variants: Vec<Variant>,
-    /// Runs of each.
+    /// Runs of each variant in each scenario.
     pub repeat: u32,
-    /// Factor on the slots.
+    /// Factor on the slots of every target, and therefore on the capacity.
     pub scale: f64,
-    /// The phases.
+    /// Lengths of the phases of a run.
     pub course: Course,
-    /// Folder for results and plots; nothing is written where missing.
+    /// Folder for results and plots; `None` writes no files.
     pub out: Option<PathBuf>,
 }
