--- a/crates/rig/src/experiment/outcome.rs
+++ b/crates/rig/src/experiment/outcome.rs
@@ -1,4 +1,4 @@
-//! One run with its conditions.
+//! Result of one run and the conditions it ran under.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -10,31 +10,31 @@
 use super::user::User;
 use super::variant::Variant;
 
-/// One run of one variant.
+/// Result of one run of one variant, as written to the results file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Whose fleet.
+    /// User whose fleet was run.
     pub user: User,
-    /// What befell it.
+    /// Scenario of the run.
     pub scenario: Scenario,
-    /// The variant of the policy.
+    /// Policy variant of the run.
     pub variant: Variant,
-    /// Number of the repeat, from 1.
+    /// Number of the repeat, starting at 1.
     pub repeat: u32,
-    /// Factor on the slots.
+    /// Factor on the slots of every target.
     pub scale: f64,
-    /// Physical capacity in whole requests a second.
+    /// Physical capacity in complete requests per second.
     pub capacity: f64,
-    /// Usual load in requests a second.
+    /// Normal load in requests per second.
     pub normal: f64,
-    /// The phases.
+    /// Lengths of the phases.
     pub course: Course,
-    /// The machine's load average over the last minute at the begin of the run, with other processes.
+    /// One-minute load average of the machine at the start of the run, which includes other processes.
     pub load_average: SmolStr,
-    /// What it showed.
+    /// Measures of the run.
     pub measures: Measures,
-    /// By second.
+    /// Goodput and latency of each second.
     pub seconds: Vec<Second>,
-    /// Breaches of invariants that nodes counted.
+    /// Invariant breaches that the nodes counted.
     pub breaches: Vec<String>,
 }
