--- a/crates/rig/src/experiment/recovery.rs
+++ b/crates/rig/src/experiment/recovery.rs
@@ -1,62 +1,62 @@
-//! Recovery time of a run.
+//! Recovery time after the trigger of a run.
 
 use std::ops::Range;
 
 use serde::{Deserialize, Serialize};
 
-/// One second of a run.
+/// Goodput and latency of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Whole answers.
+    /// Complete responses in this second.
     pub whole: f64,
-    /// Latency that 99 in 100 of them stay within, in milliseconds.
+    /// 99th percentile of their latency, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// Recovery after a trigger.
+/// Whether and when goodput and latency returned to their level before the trigger.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Recovery {
-    /// Seconds from the end of the trigger.
+    /// Recovered this long after the end of the trigger.
     After {
-        /// Whole seconds; 0 where the load was never disturbed beyond the trigger.
+        /// Whole seconds; 0 if the load was not disturbed beyond the trigger.
         seconds: usize,
     },
-    /// Not within the run.
+    /// No recovery within the run.
     NotSeen,
 }
 
-/// Seconds that must be well in a row.
-const WINDOW: usize = 3;
+/// Number of consecutive seconds that are compared with the baseline.
+const WINDOW_SECONDS: usize = 3;
 
-/// Share of the goodput before from which the goodput is back.
+/// Share of the baseline goodput at which the goodput counts as recovered.
 const GOODPUT_SHARE: f64 = 0.95;
 
-/// Multiple of the p99 before up to which the p99 is back.
+/// Multiple of the baseline p99 up to which the p99 counts as recovered.
 const P99_FACTOR: f64 = 2.0;
 
 impl Recovery {
-    /// Finds the first window of seconds at or after `end` that is as good as those of `before`.
+    /// Finds the first window at or after `end` that reaches the baseline of the seconds in `before`.
     ///
-    /// Goodput is compared as the mean over the window, because it varies by chance from second to second; the median of
-    /// its p99 must be within twice the median of those before.
+    /// Goodput is compared as the mean over the window, because it varies randomly from second to second. The median
+    /// p99 of the window must be at most twice the median p99 of the baseline.
     pub fn of(seconds: &[Second], before: Range<usize>, end: usize) -> Self {
-        let Some(usual) = seconds.get(before) else {
+        let Some(baseline) = seconds.get(before) else {
             return Self::NotSeen;
         };
         let after = seconds.get(end..).unwrap_or_default();
-        let goodput = mean_whole(usual) * GOODPUT_SHARE;
-        let p99_ms = median_p99(usual) * P99_FACTOR;
-        let found = after
-            .windows(WINDOW)
-            .position(|window| mean_whole(window) >= goodput && median_p99(window) <= p99_ms);
+        let min_goodput = mean_whole(baseline) * GOODPUT_SHARE;
+        let max_p99_ms = median_p99(baseline) * P99_FACTOR;
+        let found = after.windows(WINDOW_SECONDS).position(|window| {
+            mean_whole(window) >= min_goodput && median_p99(window) <= max_p99_ms
+        });
         match found {
             Some(seconds) => Self::After { seconds },
             None => Self::NotSeen,
         }
     }
 
-    /// Seconds, or the length of the time that was seen where it did not come.
+    /// Recovery time in seconds, or `seen`, the observed time, if there was no recovery.
     pub fn seconds_within(self, seen: usize) -> f64 {
         match self {
             Self::After { seconds } => seconds as f64,
