--- a/crates/rig/src/experiment/run.rs
+++ b/crates/rig/src/experiment/run.rs
@@ -1,4 +1,4 @@
-//! Runs experiments one after the other.
+//! Runs the scenarios of an experiment and writes their results.
 
 use std::fs;
 use std::path::Path;
@@ -24,26 +24,26 @@
 use super::user::User;
 use super::variant::Variant;
 
-/// Usual load as a share of the physical capacity.
+/// Normal load as a share of the physical capacity.
 const NORMAL_SHARE: f64 = 0.6;
 
-/// Time after the fleet's start in which nodes find each other and targets warm up.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Wait after the fleet's start for nodes to discover each other and targets to warm up.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Time after which a client gives up a sending in milliseconds.
+/// Time after which a client abandons an attempt, in milliseconds.
 const CLIENT_TIMEOUT_MS: u64 = 3_000;
 
-/// Calls in flight at most.
+/// Maximum number of calls in flight.
 const MAX_IN_FLIGHT: usize = 8_192;
 
-/// Runs every scenario for every user, the variants in turn, and prints a table of each.
+/// Runs every scenario for every user with the variants in turn, and prints a table for each scenario.
 pub async fn run(options: &ExperimentOptions) -> Result<(), RigError> {
     for &user in &options.users {
         for &scenario in &options.scenarios {
             let outcomes = run_scenario(options, user, scenario).await?;
             print!("{}", table::markdown(user, scenario, &outcomes));
             if let Some(folder) = &options.out {
-                write(folder, &format!("{user}-{scenario}"), &outcomes)?;
+                write_results(folder, &format!("{user}-{scenario}"), &outcomes)?;
             }
         }
     }
@@ -71,7 +71,7 @@
     Ok(outcomes)
 }
 
-/// One run of one variant.
+/// Identifies one run of one variant.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     user: User,
@@ -88,7 +88,7 @@
         let mut fleet = Fleet::start(self.fleet_plan(&deployment)).await?;
         set_domain_latency(&mut fleet);
         let links = ClientLinks::open(&fleet).await?;
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         trigger::prepare(self.scenario, &fleet).await?;
 
         let course = options.course;
@@ -102,22 +102,22 @@
         let load = tokio::spawn(load::run(plan));
 
         wait_until(start, course.trigger_start()).await;
-        let before = Snapshot::take(&fleet).await?;
+        let at_trigger_start = Snapshot::take(&fleet).await?;
         trigger::begin(self.scenario, &mut fleet, &deployment).await?;
         wait_until(start, course.trigger_end()).await;
-        let at_end = Snapshot::take(&fleet).await?;
+        let at_trigger_end = Snapshot::take(&fleet).await?;
         trigger::end(self.scenario, &mut fleet, &deployment).await?;
         let report = load
             .await
             .map_err(|e| RigError::Settings(e.to_string()))??;
-        let last = Snapshot::take(&fleet).await?;
+        let at_run_end = Snapshot::take(&fleet).await?;
 
         let work = TargetWork {
-            deepest: at_end.since(&before, deployment.deepest),
-            all: last.since(&before, ""),
+            deepest: at_trigger_end.since(&at_trigger_start, deployment.deepest),
+            all: at_run_end.since(&at_trigger_start, ""),
         };
-        let capacity_then = deployment.capacity * self.scenario.capacity_share();
-        let attainable = capacity_then.min(normal * self.scenario.surge());
+        let trigger_capacity = deployment.capacity * self.scenario.capacity_share();
+        let attainable = trigger_capacity.min(normal * self.scenario.surge());
         Ok(Outcome {
             user: self.user,
             scenario: self.scenario,
@@ -150,7 +150,7 @@
             behaviour: Behaviour::HardRetry {
                 tries: self.scenario.tries(),
             },
-            // Chance in the arrivals would hide a goodput that is 5 % short.
+            // Random arrivals would hide a goodput that is 5 % too low.
             arrivals: Arrivals::Even,
             timeout_ms: CLIENT_TIMEOUT_MS,
             max_in_flight: MAX_IN_FLIGHT,
@@ -164,13 +164,14 @@
     sleep_until((start + Duration::from_secs(seconds as u64)).into()).await;
 }
 
-/// The one-minute load average of the machine; empty where it can't be read.
+/// Returns the machine's one-minute load average, or an empty string if it can't be read.
 pub(crate) fn load_average() -> SmolStr {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split(' ').next().unwrap_or_default().into()
 }
 
-fn write(folder: &Path, name: &str, outcomes: &[Outcome]) -> Result<(), RigError> {
+/// Writes the results as JSON and their plots as SVG.
+fn write_results(folder: &Path, name: &str, outcomes: &[Outcome]) -> Result<(), RigError> {
     fs::create_dir_all(folder)?;
     let json = serde_json::to_string_pretty(outcomes)?;
     fs::write(folder.join(format!("{name}.json")), json)?;
