--- a/crates/rig/src/experiment/scenario.rs
+++ b/crates/rig/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! What befalls a fleet during an experiment.
+//! Overload and fault scenarios of the experiments.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,36 +7,36 @@
 
 use crate::error::RigError;
 
-/// A scenario.
+/// Load and faults that a fleet is exposed to during the trigger phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Twice the usual load.
+    /// Twice the normal load.
     Surge2x,
-    /// Four times the usual load.
+    /// Four times the normal load.
     Surge4x,
-    /// Eight times the usual load.
+    /// Eight times the normal load.
     Surge8x,
-    /// The deepest service takes five times as long.
+    /// The deepest service takes five times its normal service time.
     SlowDeep,
-    /// Four times the load while the deepest service takes five times as long.
+    /// Four times the normal load while the deepest service takes five times its normal service time.
     SurgeSlowDeep,
-    /// Half of the deepest calls fail, and clients send ten times.
+    /// Half of the calls to the deepest service fail, and clients make up to ten attempts for each call.
     RetryStorm,
-    /// A third of the targets is replaced by cold ones.
+    /// The first target of each service, about a third of all, is replaced by a cold one.
     ColdStart,
-    /// One failure domain is gone.
+    /// All nodes and targets of one failure domain are killed.
     DomainGone,
-    /// Four times the load while the platform is down, from before the surge to the end.
+    /// Four times the normal load; the platform is down from before the load starts until the run ends.
     PlatformDown,
-    /// A target that fails every call says that it is healthy, and the others that they are not.
+    /// One target of the deepest service fails every call but reports healthy; its working peers report unhealthy.
     LyingHealth,
-    /// One failure domain is cut off from the others.
+    /// One failure domain is partitioned from the others.
     Partition,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Self; 11] = [
         Self::Surge2x,
         Self::Surge4x,
@@ -51,7 +51,7 @@
         Self::Partition,
     ];
 
-    /// The name on the command line and in results.
+    /// Name on the command line and in results.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Surge2x => "surge-2x",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Load during the trigger over the usual load.
+    /// Load during the trigger as a multiple of the normal load.
     pub const fn surge(self) -> f64 {
         match self {
             Self::Surge2x => 2.0,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Factor on the deepest service's time during the trigger.
+    /// Factor on the deepest service's service time during the trigger.
     pub const fn slowness(self) -> f64 {
         match self {
             Self::SlowDeep | Self::SurgeSlowDeep => 5.0,
@@ -86,19 +86,19 @@
         }
     }
 
-    /// Capacity of the deepest service during the trigger over the usual one.
+    /// Capacity of the deepest service during the trigger as a share of its normal capacity.
     pub const fn capacity_share(self) -> f64 {
         match self {
             Self::SlowDeep | Self::SurgeSlowDeep => 1.0 / self.slowness(),
             Self::RetryStorm => 0.5,
-            // Two of three instances at full speed and one at a fifth.
+            // Two of three instances run at full speed, the cold one at a fifth.
             Self::ColdStart => (2.0 + 0.2) / 3.0,
             Self::DomainGone | Self::LyingHealth => 2.0 / 3.0,
             _ => 1.0,
         }
     }
 
-    /// Sendings of a call by the clients at most.
+    /// Maximum attempts that clients make for one call.
     pub const fn tries(self) -> u32 {
         match self {
             Self::RetryStorm => 10,
@@ -114,7 +114,7 @@
         let found = Self::ALL
             .into_iter()
             .find(|scenario| scenario.as_str() == s);
-        found.ok_or_else(|| RigError::Settings(format!("{s:?} is no scenario")))
+        found.ok_or_else(|| RigError::Settings(format!("unknown scenario {s:?}")))
     }
 }
 
