--- a/crates/rig/src/experiment/snapshot.rs
+++ b/crates/rig/src/experiment/snapshot.rs
@@ -1,4 +1,4 @@
-//! Counts of all targets at one moment.
+//! Snapshots of the counters of all targets.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 use crate::fleet::Fleet;
 use crate::target::TargetCounts;
 
-/// Counts by node.
+/// Counters of the running targets at one moment, by node name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Snapshot {
     counts: BTreeMap<SmolStr, TargetCounts>,
 }
 
-/// Work between two snapshots.
+/// Work that targets did between two snapshots.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Work {
     /// Calls that arrived.
     pub arrived: u64,
-    /// Milliseconds of work.
+    /// Time spent on calls, in milliseconds.
     pub work_ms: f64,
-    /// Milliseconds of work of calls that failed or were cancelled.
+    /// Time spent on calls that failed or were cancelled, in milliseconds.
     pub wasted_ms: f64,
 }
 
 impl Snapshot {
-    /// Asks every running target.
+    /// Reads the counters of every running target.
     pub(super) async fn take(fleet: &Fleet) -> Result<Self, RigError> {
         let mut counts = BTreeMap::new();
         for member in fleet.members.values().filter(|m| m.target.is_some()) {
@@ -37,20 +37,21 @@
         Ok(Self { counts })
     }
 
-    /// Work of the targets whose nodes' names begin with `prefix` since an earlier snapshot.
+    /// Sums the work since `earlier` of targets whose node name starts with `prefix`.
     ///
-    /// A target that was restarted meanwhile counts from zero, so what it did before its end is missing.
+    /// The counters of a target that was restarted in between start again from zero, so its work before the restart is
+    /// missing.
     pub(super) fn since(&self, earlier: &Self, prefix: &str) -> Work {
         let mut work = Work::default();
-        let none = TargetCounts::default();
+        let zero = TargetCounts::default();
         for (name, now) in self
             .counts
             .iter()
             .filter(|(name, _)| name.starts_with(prefix))
         {
-            let before = earlier.counts.get(name).unwrap_or(&none);
+            let before = earlier.counts.get(name).unwrap_or(&zero);
             let before = if before.arrived > now.arrived {
-                &none
+                &zero
             } else {
                 before
             };
