--- a/crates/rig/src/experiment/spread.rs
+++ b/crates/rig/src/experiment/spread.rs
@@ -1,29 +1,29 @@
-//! Least, middle and largest of repeated figures.
+//! Minimum, median and maximum of repeated measurements.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Spread of a figure over repeats.
+/// Minimum, median and maximum of a measurement over repeated runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// The least.
+    /// Smallest value.
     pub min: f64,
-    /// The middle one, the upper of two.
+    /// Median; the upper of the two middle values if their number is even.
     pub median: f64,
-    /// The largest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Spread {
-    /// Spread of some figures; zeros where there are none.
-    pub fn of(mut figures: Vec<f64>) -> Self {
-        figures.sort_by(f64::total_cmp);
-        let at = |index: usize| figures.get(index).copied().unwrap_or(0.0);
+    /// Computes the spread of `values`; all zeros if there are none.
+    pub fn of(mut values: Vec<f64>) -> Self {
+        values.sort_by(f64::total_cmp);
+        let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
         Self {
             min: at(0),
-            median: at(figures.len() / 2),
-            max: at(figures.len().saturating_sub(1)),
+            median: at(values.len() / 2),
+            max: at(values.len().saturating_sub(1)),
         }
     }
 }
