--- a/crates/rig/src/experiment/table.rs
+++ b/crates/rig/src/experiment/table.rs
@@ -1,4 +1,4 @@
-//! Results as a Markdown table.
+//! Formats results as a Markdown table.
 
 use std::fmt::Write;
 
@@ -10,7 +10,7 @@
 use super::user::User;
 use super::variant::Variant;
 
-/// One row for each variant: the median over the repeats, and the least and the largest in brackets.
+/// Formats one row per variant: the median over the repeats, with minimum and maximum in parentheses.
 pub(super) fn markdown(user: User, scenario: Scenario, outcomes: &[Outcome]) -> String {
     let mut text = heading(user, scenario, outcomes);
     for variant in variants(outcomes) {
@@ -24,7 +24,7 @@
     text
 }
 
-/// The variants in the order of their first runs.
+/// Returns the variants in the order of their first runs.
 pub(crate) fn variants(outcomes: &[Outcome]) -> Vec<Variant> {
     let mut variants = Vec::new();
     for outcome in outcomes {
