--- a/crates/rig/src/experiment/trigger.rs
+++ b/crates/rig/src/experiment/trigger.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a scenario.
+//! Injects and clears the faults of a scenario.
 
 use crate::error::RigError;
 use crate::fleet::Fleet;
@@ -10,17 +10,19 @@
 use super::deployment::Deployment;
 use super::scenario::Scenario;
 
-/// The failure domain that is lost or cut off.
-const LOST: &str = "c";
+/// Failure domain that is killed or partitioned.
+const FAULTY_DOMAIN: &str = "c";
 
-/// Length of a cold start and the factor on the service time meanwhile.
+/// Duration of a cold start in milliseconds.
 const COLD_MS: u64 = 10_000;
+
+/// Factor on the service time during a cold start.
 const COLD_FACTOR: f64 = 5.0;
 
-/// Share of calls that fail in the retry storm.
-const STORM_FAILURES: f64 = 0.5;
+/// Share of calls to the deepest service that fail in the retry storm.
+const STORM_FAIL_RATIO: f64 = 0.5;
 
-/// Faults that stand from the begin of the load.
+/// Injects faults that are active from the start of the load.
 pub(super) async fn prepare(scenario: Scenario, fleet: &Fleet) -> Result<(), RigError> {
     match scenario {
         Scenario::PlatformDown => fleet.platform_fault(FaultMode::Down, FaultScope::All).await,
@@ -28,34 +30,34 @@
     }
 }
 
-/// Begins the faults.
+/// Injects the faults of the trigger phase.
 pub(super) async fn begin(
     scenario: Scenario,
     fleet: &mut Fleet,
     deployment: &Deployment,
 ) -> Result<(), RigError> {
-    let usual = deployment.target_of(deployment.deepest);
+    let normal = deployment.target_of(deployment.deepest);
     match scenario {
         Scenario::SlowDeep | Scenario::SurgeSlowDeep => {
             let slow = Settings {
-                service_ms: usual.service_ms * scenario.slowness(),
-                ..usual
+                service_ms: normal.service_ms * scenario.slowness(),
+                ..normal
             };
             set_deepest(fleet, deployment, &slow).await
         }
         Scenario::RetryStorm => {
             let failing = Settings {
-                fail_ratio: STORM_FAILURES,
-                ..usual
+                fail_ratio: STORM_FAIL_RATIO,
+                ..normal
             };
             set_deepest(fleet, deployment, &failing).await
         }
-        Scenario::ColdStart => replace_a_third(fleet, deployment).await,
+        Scenario::ColdStart => replace_with_cold_targets(fleet, deployment).await,
         Scenario::DomainGone => stop_domain(fleet),
-        Scenario::LyingHealth => lie(fleet, deployment).await,
+        Scenario::LyingHealth => misreport_health(fleet, deployment).await,
         Scenario::Partition => {
-            fleet.cut(LOST, "a", Cut::Blackhole);
-            fleet.cut(LOST, "b", Cut::Blackhole);
+            fleet.cut(FAULTY_DOMAIN, "a", Cut::Blackhole);
+            fleet.cut(FAULTY_DOMAIN, "b", Cut::Blackhole);
             Ok(())
         }
         Scenario::Surge2x | Scenario::Surge4x | Scenario::Surge8x | Scenario::PlatformDown => {
@@ -64,7 +66,7 @@
     }
 }
 
-/// Ends the faults.
+/// Clears the faults of the trigger phase.
 pub(super) async fn end(
     scenario: Scenario,
     fleet: &mut Fleet,
@@ -75,8 +77,8 @@
         | Scenario::SurgeSlowDeep
         | Scenario::RetryStorm
         | Scenario::LyingHealth => {
-            let usual = deployment.target_of(deployment.deepest);
-            set_deepest(fleet, deployment, &usual).await
+            let normal = deployment.target_of(deployment.deepest);
+            set_deepest(fleet, deployment, &normal).await
         }
         Scenario::DomainGone => start_domain(fleet, deployment).await,
         Scenario::Partition => {
@@ -102,9 +104,9 @@
     Ok(())
 }
 
-/// The first target fails and says that it is well, the others work and say that they don't.
-async fn lie(fleet: &Fleet, deployment: &Deployment) -> Result<(), RigError> {
-    let usual = deployment.target_of(deployment.deepest);
+/// Lets the first target of the deepest service fail every call but report healthy; its working peers report unhealthy.
+async fn misreport_health(fleet: &Fleet, deployment: &Deployment) -> Result<(), RigError> {
+    let normal = deployment.target_of(deployment.deepest);
     for (index, member) in fleet.of_service(deployment.deepest).enumerate() {
         let (fail_ratio, health) = match index {
             0 => (1.0, Health::AlwaysHealthy),
@@ -113,15 +115,18 @@
         let lying = Settings {
             fail_ratio,
             health,
-            ..usual.clone()
+            ..normal.clone()
         };
         member.set_target(&fleet.client, &lying).await?;
     }
     Ok(())
 }
 
-/// Replaces the first target of each service by a cold one.
-async fn replace_a_third(fleet: &mut Fleet, deployment: &Deployment) -> Result<(), RigError> {
+/// Replaces the first target of each service with a cold one.
+async fn replace_with_cold_targets(
+    fleet: &mut Fleet,
+    deployment: &Deployment,
+) -> Result<(), RigError> {
     let client = fleet.client.clone();
     for service in &deployment.services {
         let cold = Settings {
@@ -137,7 +142,11 @@
 }
 
 fn stop_domain(fleet: &mut Fleet) -> Result<(), RigError> {
-    for member in fleet.members.values_mut().filter(|m| m.domain == LOST) {
+    for member in fleet
+        .members
+        .values_mut()
+        .filter(|m| m.domain == FAULTY_DOMAIN)
+    {
         member.kill_node()?;
         member.target = None;
     }
@@ -146,7 +155,11 @@
 
 async fn start_domain(fleet: &mut Fleet, deployment: &Deployment) -> Result<(), RigError> {
     let client = fleet.client.clone();
-    for member in fleet.members.values_mut().filter(|m| m.domain == LOST) {
+    for member in fleet
+        .members
+        .values_mut()
+        .filter(|m| m.domain == FAULTY_DOMAIN)
+    {
         let settings = deployment.target_of(&member.service);
         member.start_target(&client, &settings).await?;
         member.start_node()?;
