--- a/crates/rig/src/experiment/user.rs
+++ b/crates/rig/src/experiment/user.rs
@@ -1,4 +1,4 @@
-//! The users whose fleets are measured.
+//! Users whose fleets the experiments model.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::error::RigError;
 
-/// A user with a fleet of its own.
+/// User whose fleet is modelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum User {
@@ -18,10 +18,10 @@
 }
 
 impl User {
-    /// Both.
+    /// All users.
     pub const ALL: [Self; 2] = [Self::Telmarino, Self::Nilestone];
 
-    /// The name on the command line and in results.
+    /// Name on the command line and in results.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Telmarino => "telmarino",
@@ -35,7 +35,11 @@
 
     fn from_str(s: &str) -> Result<Self, RigError> {
         let found = Self::ALL.into_iter().find(|user| user.as_str() == s);
-        found.ok_or_else(|| RigError::Settings(format!("{s:?} is neither telmarino nor nilestone")))
+        found.ok_or_else(|| {
+            RigError::Settings(format!(
+                "unknown user {s:?}: expected telmarino or nilestone"
+            ))
+        })
     }
 }
 
