--- a/crates/rig/src/experiment/variant.rs
+++ b/crates/rig/src/experiment/variant.rs
@@ -1,4 +1,4 @@
-//! Variants of the policy that are compared.
+//! Policy variants that the experiments compare.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,29 +8,29 @@
 
 use crate::error::RigError;
 
-/// A variant of the policy.
+/// Variant of the admission and retry policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Variant {
-    /// Everything as by default.
+    /// Default settings.
     Full,
-    /// No admission, no levels, no deadline check, no bound on retries; targets retry twice at each hop.
+    /// No admission control, level shedding, deadline check or retry allowance; targets retry twice at each hop.
     None,
-    /// Fixed limits with a queue, without levels and deadline check.
+    /// Static concurrency limits with a queue, without level shedding and deadline check.
     Static,
-    /// Without levels.
+    /// Default settings without level shedding.
     NoLevels,
-    /// Without the deadline check.
+    /// Default settings without the deadline check.
     NoDeadlineCheck,
-    /// Without the bound on retries.
+    /// Default settings without the retry allowance.
     NoAllowance,
 }
 
-/// Naive retries of targets at each hop in `none`.
+/// Retries that targets make at each hop in variant `none`.
 const NAIVE_RETRIES: u32 = 2;
 
 impl Variant {
-    /// Every variant.
+    /// All variants.
     pub const ALL: [Self; 6] = [
         Self::Full,
         Self::None,
@@ -40,7 +40,7 @@
         Self::NoAllowance,
     ];
 
-    /// The name on the command line and in results.
+    /// Name on the command line and in results.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Full => "full",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Fields of every node's settings.
+    /// Settings that this variant applies to every node.
     pub fn node_settings(self) -> Value {
         match self {
             Self::Full => json!({}),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Naive retries that targets make at each hop.
+    /// Retries that targets make at each hop.
     pub const fn target_retries(self) -> u32 {
         match self {
             Self::None => NAIVE_RETRIES,
@@ -83,7 +83,7 @@
 
     fn from_str(s: &str) -> Result<Self, RigError> {
         let found = Self::ALL.into_iter().find(|variant| variant.as_str() == s);
-        found.ok_or_else(|| RigError::Settings(format!("{s:?} is no variant")))
+        found.ok_or_else(|| RigError::Settings(format!("unknown variant {s:?}")))
     }
 }
 
