--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -1,4 +1,5 @@
-//! What a node costs: processor, memory, control bytes and platform calls against what it has to carry.
+//! Resource cost of a node: processor time, memory, control traffic and platform calls as functions of fleet size and
+//! load.
 
 mod dimension;
 mod line;
