--- a/crates/rig/src/cost/dimension.rs
+++ b/crates/rig/src/cost/dimension.rs
@@ -1,4 +1,4 @@
-//! What is varied.
+//! Dimensions that a cost run varies.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,24 +7,24 @@
 
 use crate::error::RigError;
 
-/// What is varied while all else stays.
+/// Quantity that is varied while all others stay constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dimension {
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     Nodes,
-    /// Documents.
+    /// Number of documents of services without instances, published besides the fleet's own.
     Documents,
-    /// Idempotency tokens that each node of a service keeps.
+    /// Number of idempotency tokens that each node of a service stores.
     Tokens,
-    /// Calls a second over the fleet.
+    /// Calls per second, in total over the fleet.
     Calls,
-    /// Changes of documents a second.
+    /// Document changes per second.
     Changes,
 }
 
 impl Dimension {
-    /// Every dimension.
+    /// All dimensions.
     pub const ALL: [Self; 5] = [
         Self::Nodes,
         Self::Documents,
@@ -33,7 +33,7 @@
         Self::Changes,
     ];
 
-    /// The name on the command line and in results.
+    /// Name on the command line and in results.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Nodes => "nodes",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Values that are measured.
+    /// Values at which the cost is measured; fleet sizes above `most_nodes` are left out.
     pub fn values(self, most_nodes: usize) -> Vec<usize> {
         match self {
             Self::Nodes => {
@@ -67,7 +67,7 @@
         let found = Self::ALL
             .into_iter()
             .find(|dimension| dimension.as_str() == s);
-        found.ok_or_else(|| RigError::Settings(format!("{s:?} can't be varied")))
+        found.ok_or_else(|| RigError::Settings(format!("unknown cost dimension {s:?}")))
     }
 }
 
