--- a/crates/rig/src/cost/line.rs
+++ b/crates/rig/src/cost/line.rs
@@ -1,35 +1,39 @@
-//! A straight line through measured points.
+//! Least-squares line through measured points.
 
 use serde::{Deserialize, Serialize};
 
-/// A measured point.
+/// One measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// What was varied.
+    /// Value of the varied quantity.
     pub x: f64,
-    /// What was measured.
+    /// Measured value.
     pub y: f64,
 }
 
-/// The line with the least sum of squared distances in `y`.
+/// Line that minimizes the sum of squared residuals in `y`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Growth of `y` for each unit of `x`.
+    /// Change of `y` per unit of `x`.
     pub slope: f64,
-    /// `y` at zero.
+    /// Value of `y` at `x = 0`.
     pub intercept: f64,
 }
 
 impl Line {
-    /// The line through some points; level where they have one `x` only.
-    pub fn through(points: &[Point]) -> Self {
+    /// Fits a line to `points`; the slope is 0 if all have the same `x`.
+    pub fn fit(points: &[Point]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
-        let together = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y));
-        let alone = points.iter().map(|p| (p.x - mean_x).powi(2));
-        let (together, alone) = (together.sum::<f64>(), alone.sum::<f64>());
-        let slope = if alone > 0.0 { together / alone } else { 0.0 };
+        let products = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y));
+        let squares = points.iter().map(|p| (p.x - mean_x).powi(2));
+        let (products, squares) = (products.sum::<f64>(), squares.sum::<f64>());
+        let slope = if squares > 0.0 {
+            products / squares
+        } else {
+            0.0
+        };
         Self {
             slope,
             intercept: mean_y - slope * mean_x,
--- a/crates/rig/src/cost/run.rs
+++ b/crates/rig/src/cost/run.rs
@@ -1,4 +1,4 @@
-//! Measures each dimension and prints points and slopes.
+//! Runs the cost measurements and prints the points and slopes of each dimension.
 
 use std::fs;
 
@@ -12,9 +12,9 @@
 use super::line::{Line, Point};
 use super::measure::Cost;
 use super::options::CostOptions;
-use super::sweep::point;
+use super::sweep::measure_point;
 
-/// One value of a dimension with its cost.
+/// Cost at one value of a dimension.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct CostPoint {
     value: usize,
@@ -22,7 +22,7 @@
     cost: Cost,
 }
 
-/// All values of a dimension with the lines through them.
+/// Cost at all values of a dimension, with a line fitted to each kind of cost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct CostSeries {
     dimension: Dimension,
@@ -33,7 +33,7 @@
     platform_calls: Line,
 }
 
-/// Runs and prints a table for each dimension.
+/// Measures each dimension, prints a table for it and writes the results to the output file.
 pub async fn run(options: &CostOptions) -> Result<(), RigError> {
     let mut all = Vec::new();
     for &dimension in &options.dimensions {
@@ -43,7 +43,7 @@
             points.push(CostPoint {
                 value,
                 load_average: load_average(),
-                cost: point(dimension, value, options.window).await?,
+                cost: measure_point(dimension, value, options.window).await?,
             });
         }
         let series = CostSeries::of(dimension, points);
@@ -63,7 +63,7 @@
                 x: point.value as f64,
                 y: figure(&point.cost),
             });
-            Line::through(&points.collect::<Vec<_>>())
+            Line::fit(&points.collect::<Vec<_>>())
         };
         Self {
             dimension,
--- a/crates/rig/tests/figures.rs
+++ b/crates/rig/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of the experiments: recovery time, slopes, quantiles and spread.
+//! Tests the calculations behind the results: recovery time, fitted lines, quantiles, spread and fleet capacity.
 
 use std::time::Duration;
 
@@ -8,43 +8,46 @@
 
 struct RecoveryCase {
     name: &'static str,
-    /// Whole answers and p99 by second, the first three before the trigger.
+    /// Complete responses and p99 of each second; the first three seconds are the baseline.
     seconds: &'static [(f64, f64)],
     expected: Recovery,
 }
 
 /// First second after the trigger in every case.
-const END: usize = 5;
+const TRIGGER_END: usize = 5;
 
 #[test]
 fn recovery_is_the_first_window_as_good_as_before() {
-    const USUAL: (f64, f64) = (100.0, 10.0);
+    const BASELINE: (f64, f64) = (100.0, 10.0);
     const BAD: (f64, f64) = (20.0, 900.0);
-    // Full goodput, but answers still come too late.
+    // Full goodput, but a p99 above twice the baseline.
     const SLOW: (f64, f64) = (100.0, 21.0);
-    // Within 95 % and twice the p99.
-    const NEARLY: (f64, f64) = (95.0, 20.0);
+    // Exactly at both limits: 95 % of the goodput and twice the p99.
+    const AT_LIMITS: (f64, f64) = (95.0, 20.0);
     let cases = [
         RecoveryCase {
             name: "at once",
-            seconds: &[USUAL, USUAL, USUAL, BAD, BAD, NEARLY, NEARLY, NEARLY],
+            seconds: &[
+                BASELINE, BASELINE, BASELINE, BAD, BAD, AT_LIMITS, AT_LIMITS, AT_LIMITS,
+            ],
             expected: Recovery::After { seconds: 0 },
         },
         RecoveryCase {
             name: "late, with one slow second among three",
             seconds: &[
-                USUAL, USUAL, USUAL, BAD, BAD, BAD, SLOW, SLOW, USUAL, USUAL, USUAL,
+                BASELINE, BASELINE, BASELINE, BAD, BAD, BAD, SLOW, SLOW, BASELINE, BASELINE,
+                BASELINE,
             ],
             expected: Recovery::After { seconds: 2 },
         },
         RecoveryCase {
             name: "one good second is not enough",
-            seconds: &[USUAL, USUAL, USUAL, BAD, BAD, BAD, USUAL, BAD],
+            seconds: &[BASELINE, BASELINE, BASELINE, BAD, BAD, BAD, BASELINE, BAD],
             expected: Recovery::NotSeen,
         },
         RecoveryCase {
             name: "the run ends before",
-            seconds: &[USUAL, USUAL, USUAL, BAD, BAD, USUAL],
+            seconds: &[BASELINE, BASELINE, BASELINE, BAD, BAD, BASELINE],
             expected: Recovery::NotSeen,
         },
     ];
@@ -54,7 +57,7 @@
             p99_ms: *p99_ms,
         };
         let seconds: Vec<Second> = case.seconds.iter().map(second).collect();
-        let found = Recovery::of(&seconds, 0..3, END);
+        let found = Recovery::of(&seconds, 0..3, TRIGGER_END);
         assert_eq!(found, case.expected, "{}", case.name);
     }
 }
@@ -90,7 +93,7 @@
     ];
     for case in cases {
         let points: Vec<Point> = case.points.iter().map(|&(x, y)| Point { x, y }).collect();
-        let line = Line::through(&points);
+        let line = Line::fit(&points);
         assert!((line.slope - case.slope).abs() < 1e-9, "{line:?}");
         assert!((line.intercept - case.intercept).abs() < 1e-9, "{line:?}");
     }
@@ -107,7 +110,7 @@
     assert_eq!((spread.min, spread.median, spread.max), (1.0, 2.0, 3.0));
 }
 
-/// The chains end at the service that limits them, and the documents of the examples cover the calls.
+/// Call chains must end at the deepest service, which limits the capacity, and the calls must parse.
 #[test]
 fn deployments_are_scaled_to_one_machine() {
     for user in User::ALL {
