--- a/crates/rig/src/cost/measure.rs
+++ b/crates/rig/src/cost/measure.rs
@@ -1,4 +1,4 @@
-//! Cost of the nodes of a fleet over a window of time.
+//! Measures the cost of a fleet's nodes over a time window.
 
 use std::time::{Duration, Instant};
 
@@ -12,22 +12,23 @@
 
 use super::process_cost::{processor_time, resident_kib};
 
-/// Name of the metric with the bytes of control messages that a node has sent.
+/// Metric that counts the bytes of control messages sent by a node.
 const CONTROL_METRIC: &str = "control_sent_bytes_total";
 
-/// Cost of one node, as the mean over the fleet, and platform calls of all.
+/// Mean cost of one node, and the platform calls of the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Processor time in milliseconds a second.
+    /// Processor time in milliseconds per second.
     pub processor_ms: f64,
     /// Resident memory in KiB.
     pub resident_kib: f64,
-    /// Bytes of control messages sent a second.
+    /// Bytes of control messages sent per second.
     pub control_bytes: f64,
-    /// Platform calls of the whole fleet a second.
+    /// Platform calls of the whole fleet per second.
     pub platform_calls: f64,
 }
 
+/// Cumulative counters summed over the fleet at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Totals {
     at: Instant,
@@ -36,11 +37,11 @@
     platform_calls: f64,
 }
 
-/// Watches the fleet for a while.
+/// Measures the cost of the fleet over `window`.
 pub(super) async fn measure(fleet: &Fleet, window: Duration) -> Result<Cost, RigError> {
-    let before = totals(fleet).await?;
+    let before = read_totals(fleet).await?;
     sleep(window).await;
-    let after = totals(fleet).await?;
+    let after = read_totals(fleet).await?;
     let seconds = (after.at - before.at).as_secs_f64();
     let nodes = fleet.members.len() as f64;
     let mut resident = 0.0;
@@ -56,10 +57,10 @@
     })
 }
 
-async fn totals(fleet: &Fleet) -> Result<Totals, RigError> {
+async fn read_totals(fleet: &Fleet) -> Result<Totals, RigError> {
     let mut control_bytes = 0.0;
     for member in fleet.members.values() {
-        control_bytes += control_sent(fleet, member.addresses.operators).await?;
+        control_bytes += control_bytes_sent(fleet, member.addresses.operators).await?;
     }
     let counts = fleet.platform_counts().await?;
     let mut processor = Duration::ZERO;
@@ -79,7 +80,11 @@
     nodes.map(|node| node.pid())
 }
 
-async fn control_sent(fleet: &Fleet, operators: std::net::SocketAddr) -> Result<f64, RigError> {
+/// Reads the control bytes that a node has sent from its metrics.
+async fn control_bytes_sent(
+    fleet: &Fleet,
+    operators: std::net::SocketAddr,
+) -> Result<f64, RigError> {
     let call = ClientCall::new(operators, Method::GET, "/metrics");
     let answer = fleet.client.send(call).await?;
     let text = String::from_utf8_lossy(&answer.body);
