--- a/crates/rig/src/cost/options.rs
+++ b/crates/rig/src/cost/options.rs
@@ -1,19 +1,19 @@
-//! What a cost run measures.
+//! Options of a cost run.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use super::dimension::Dimension;
 
-/// What a cost run measures.
+/// Dimensions that a cost run varies, and how each is measured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CostOptions {
-    /// What is varied, one after the other.
+    /// Dimensions to vary, one after the other.
     pub dimensions: Vec<Dimension>,
-    /// Most nodes of a fleet.
+    /// Maximum number of nodes in a fleet.
     pub most_nodes: usize,
-    /// Time over which each point is measured.
+    /// Duration of the measurement of each point.
     pub window: Duration,
-    /// File for the results; none is written where missing.
+    /// File for the results; `None` writes no file.
     pub out: Option<PathBuf>,
 }
