--- a/crates/rig/src/latency.rs
+++ b/crates/rig/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latency that the nodes add: caller, entry, host and target against caller and target alone.
+//! Latency that the nodes add: calls through entry and host compared with calls sent directly to the target.
 
 mod options;
 mod quantiles;
