--- a/crates/rig/src/latency/options.rs
+++ b/crates/rig/src/latency/options.rs
@@ -1,14 +1,14 @@
-//! What a latency run does.
+//! Options of a latency run.
 
 use std::path::PathBuf;
 
-/// What a latency run does.
+/// Length and number of the latency runs, and where to write the results.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LatencyOptions {
-    /// Seconds of each run.
+    /// Length of each run in seconds.
     pub seconds: f64,
-    /// Runs.
+    /// Number of runs.
     pub repeat: u32,
-    /// File for the results; none is written where missing.
+    /// File for the results; `None` writes no file.
     pub out: Option<PathBuf>,
 }
