--- a/crates/rig/src/latency/quantiles.rs
+++ b/crates/rig/src/latency/quantiles.rs
@@ -1,24 +1,24 @@
-//! Latencies of one way.
+//! Latency quantiles of the calls on one path.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Quantiles in milliseconds.
+/// Latency quantiles in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Half of the calls took at most this.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1000.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Calls that were answered whole.
+    /// Number of successful calls.
     pub calls: usize,
 }
 
 impl Quantiles {
-    /// Quantiles of some latencies; zeros where there are none.
+    /// Computes the quantiles of `latencies` by nearest rank; all zeros if there are none.
     pub fn of(mut latencies: Vec<Duration>) -> Self {
         latencies.sort_unstable();
         let at = |per_mille: usize| {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Each quantile less that of another way.
+    /// Subtracts the quantiles of `other`; `calls` keeps the count of `self`.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             p50_ms: self.p50_ms - other.p50_ms,
