--- a/crates/rig/src/latency/run.rs
+++ b/crates/rig/src/latency/run.rs
@@ -1,4 +1,4 @@
-//! Calls by both ways in turn.
+//! Measures the latency of calls sent alternately through the nodes and directly to the target.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,19 +19,22 @@
 use super::options::LatencyOptions;
 use super::quantiles::Quantiles;
 
-/// Slots and service time of the target.
+/// Slots of the target.
 const SLOTS: usize = 4;
+
+/// Service time of the target in milliseconds.
 const SERVICE_MS: f64 = 2.0;
 
-/// Load of the target by both ways together.
-const LOAD: f64 = 0.3;
+/// Utilization of the target by the calls on both paths together.
+const UTILIZATION: f64 = 0.3;
 
-/// Calls that open the connections and aren't measured.
+/// Calls that open the connections before the first run and aren't measured.
 const WARM_UP_CALLS: usize = 300;
 
-const SETTLE: Duration = Duration::from_secs(2);
+/// Wait after the fleet's start for nodes to discover each other.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// One run.
+/// Latencies of one run on both paths, and the latency that the nodes add.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct LatencyRun {
     load_average: SmolStr,
@@ -40,18 +43,18 @@
     added: Quantiles,
 }
 
-/// Runs and prints a table.
+/// Runs the measurements, prints a table and writes the results to the output file.
 pub async fn run(options: &LatencyOptions) -> Result<(), RigError> {
-    let fleet = Fleet::start(plan()).await?;
-    sleep(SETTLE).await;
-    let ways = Ways::of(&fleet);
-    ways.measure(&fleet.client, WARM_UP_CALLS).await?;
-    let rate = LOAD * SLOTS as f64 / (SERVICE_MS / 1000.0);
+    let fleet = Fleet::start(fleet_plan()).await?;
+    sleep(SETTLE_TIME).await;
+    let paths = Paths::of(&fleet);
+    paths.measure(&fleet.client, WARM_UP_CALLS).await?;
+    let rate = UTILIZATION * SLOTS as f64 / (SERVICE_MS / 1000.0);
     let calls = (rate * options.seconds) as usize;
     let mut runs = Vec::new();
     for _ in 0..options.repeat {
         let load_average = load_average();
-        let measured = ways.measure(&fleet.client, calls).await?;
+        let measured = paths.measure(&fleet.client, calls).await?;
         runs.push(LatencyRun {
             load_average,
             added: measured.through_nodes.minus(&measured.direct),
@@ -65,8 +68,8 @@
     Ok(())
 }
 
-/// An entry beside another target, and a host.
-fn plan() -> FleetPlan {
+/// Plans a fleet with an entry node of service `front` and the host of the measured service `served`.
+fn fleet_plan() -> FleetPlan {
     let served = ServicePlan {
         target: target::Settings {
             slots: SLOTS,
@@ -81,13 +84,14 @@
     }
 }
 
+/// Addresses that calls on each path are sent to.
 #[derive(Clone, Copy, Debug)]
-struct Ways {
+struct Paths {
     entry: SocketAddr,
     target: SocketAddr,
 }
 
-impl Ways {
+impl Paths {
     fn of(fleet: &Fleet) -> Self {
         Self {
             entry: fleet.member("front-1").addresses.callers,
@@ -95,31 +99,31 @@
         }
     }
 
-    /// Sends calls at equal gaps, every second one through the nodes.
+    /// Sends calls at equal intervals, every second one through the nodes.
     async fn measure(self, client: &Client, calls: usize) -> Result<LatencyRun, RigError> {
-        let gap = Duration::from_secs_f64(SERVICE_MS / 1000.0 / SLOTS as f64 / LOAD);
+        let interval = Duration::from_secs_f64(SERVICE_MS / 1000.0 / SLOTS as f64 / UTILIZATION);
         let start = Instant::now();
         let mut running = JoinSet::new();
-        let mut ended = Ended::default();
+        let mut latencies = Latencies::default();
         for i in 0..calls {
-            sleep_until((start + gap * i as u32).into()).await;
+            sleep_until((start + interval * i as u32).into()).await;
             let is_direct = i % 2 == 0;
             let call = match is_direct {
                 true => ClientCall::new(self.target, Method::GET, "/items/1"),
                 false => ClientCall::new(self.entry, Method::GET, "/served/items/1"),
             };
-            running.spawn(timed(client.clone(), call, is_direct));
+            running.spawn(send_timed(client.clone(), call, is_direct));
             while let Some(Ok(call)) = running.try_join_next() {
-                ended.take(call)?;
+                latencies.record(call)?;
             }
         }
         while let Some(Ok(call)) = running.join_next().await {
-            ended.take(call)?;
+            latencies.record(call)?;
         }
         Ok(LatencyRun {
             load_average: SmolStr::default(),
-            direct: Quantiles::of(ended.direct),
-            through_nodes: Quantiles::of(ended.through_nodes),
+            direct: Quantiles::of(latencies.direct),
+            through_nodes: Quantiles::of(latencies.through_nodes),
             added: Quantiles::default(),
         })
     }
@@ -130,14 +134,15 @@
     took: Result<Duration, RigError>,
 }
 
+/// Latencies by path.
 #[derive(Default)]
-struct Ended {
+struct Latencies {
     direct: Vec<Duration>,
     through_nodes: Vec<Duration>,
 }
 
-impl Ended {
-    fn take(&mut self, call: TimedCall) -> Result<(), RigError> {
+impl Latencies {
+    fn record(&mut self, call: TimedCall) -> Result<(), RigError> {
         let took = call.took?;
         match call.is_direct {
             true => self.direct.push(took),
@@ -147,7 +152,7 @@
     }
 }
 
-async fn timed(client: Client, call: ClientCall, is_direct: bool) -> TimedCall {
+async fn send_timed(client: Client, call: ClientCall, is_direct: bool) -> TimedCall {
     let start = Instant::now();
     let took = match client.send(call).await {
         Ok(answer) if answer.status.is_success() => Ok(start.elapsed()),
@@ -175,12 +180,16 @@
     text
 }
 
-fn row<W>(name: &str, runs: &[LatencyRun], way: W) -> String
+fn row<F>(name: &str, runs: &[LatencyRun], quantiles_of: F) -> String
 where
-    W: Fn(&LatencyRun) -> Quantiles,
+    F: Fn(&LatencyRun) -> Quantiles,
 {
     let spread = |quantile: fn(&Quantiles) -> f64| {
-        Spread::of(runs.iter().map(|run| quantile(&way(run))).collect())
+        Spread::of(
+            runs.iter()
+                .map(|run| quantile(&quantiles_of(run)))
+                .collect(),
+        )
     };
     format!(
         "| {name} | {} | {} | {} |\n",
