--- a/crates/rig/src/plot/palette.rs
+++ b/crates/rig/src/plot/palette.rs
@@ -1,4 +1,4 @@
-//! Colours that stay apart for readers who see few colours (Okabe and Ito).
+//! Okabe-Ito palette, whose colours remain distinguishable with colour vision deficiency.
 
 use plotters::style::RGBColor;
 
@@ -11,7 +11,7 @@
     RGBColor(86, 180, 233),
 ];
 
-/// Colour of the variant at this position.
+/// Returns the colour of the variant at `index`, repeating the palette after its last colour.
 pub(super) fn colour(index: usize) -> RGBColor {
     COLOURS[index % COLOURS.len()]
 }
