--- a/crates/rig/src/plot.rs
+++ b/crates/rig/src/plot.rs
@@ -1,7 +1,7 @@
-//! Plots of results as SVG.
+//! Plots experiment results as SVG.
 
 mod bars;
-mod fault;
+mod error;
 mod lines;
 mod palette;
 
