--- a/crates/rig/src/cli/experiment.rs
+++ b/crates/rig/src/cli/experiment.rs
@@ -5,7 +5,7 @@
 use bpaf::Bpaf;
 
 use crate::error::RigError;
-use crate::experiment::{self, Course, ExperimentOptions, Scenario, User, Variant};
+use crate::experiment::{self, ExperimentOptions, Phases, Scenario, User, Variant};
 
 /// Options of `experiment`.
 #[derive(Clone, Debug, Bpaf)]
@@ -42,14 +42,14 @@
 
 impl ExperimentArgs {
     fn into_options(self) -> ExperimentOptions {
-        let default = Course::default();
+        let default = Phases::default();
         ExperimentOptions {
             users: or(self.user, &User::ALL),
             scenarios: self.scenario,
             variants: or(self.variant, &USUAL),
             repeat: self.repeat,
             scale: self.scale,
-            course: Course {
+            phases: Phases {
                 trigger: self.trigger.unwrap_or(default.trigger),
                 after: self.after.unwrap_or(default.after),
                 ..default
--- a/crates/rig/src/experiment.rs
+++ b/crates/rig/src/experiment.rs
@@ -1,11 +1,11 @@
 //! Overload and fault experiments on both users' fleets, comparing variants of the admission and retry policy.
 
 mod client_links;
-mod course;
 mod deployment;
 mod measures;
 mod options;
 mod outcome;
+mod phases;
 mod recovery;
 mod run;
 mod scenario;
@@ -16,11 +16,11 @@
 mod user;
 mod variant;
 
-pub use self::course::Course;
 pub use self::deployment::Deployment;
 pub use self::measures::{ClassMeasure, Measures};
 pub use self::options::ExperimentOptions;
 pub use self::outcome::Outcome;
+pub use self::phases::Phases;
 pub use self::recovery::{Recovery, Second};
 pub(crate) use self::run::load_average;
 pub use self::run::run;
--- a/crates/rig/src/experiment/measures.rs
+++ b/crates/rig/src/experiment/measures.rs
@@ -5,7 +5,7 @@
 
 use crate::load::{EndingCounts, LoadReport};
 
-use super::course::Course;
+use super::phases::Phases;
 use super::recovery::{Recovery, Second};
 use super::snapshot::Work;
 
@@ -59,12 +59,12 @@
 impl Measures {
     pub(super) fn of(
         report: &LoadReport,
-        course: Course,
+        phases: Phases,
         work: TargetWork,
         attainable: f64,
     ) -> Self {
         let seconds = seconds(report);
-        let trigger = course.trigger_range();
+        let trigger = phases.trigger_range();
         let due = |range: std::ops::Range<usize>| -> f64 {
             let within = report.by_second.iter().take(range.end).skip(range.start);
             within.map(|second| second.calls).sum::<u64>() as f64
@@ -73,8 +73,8 @@
             let within = seconds.iter().take(range.end).skip(range.start);
             within.map(|second| second.whole).sum()
         };
-        let goodput = whole(trigger.clone()) / course.trigger as f64;
-        let before = course.before_range();
+        let goodput = whole(trigger.clone()) / phases.trigger as f64;
+        let before = phases.before_range();
         let mut p99: Vec<f64> = seconds
             .iter()
             .take(trigger.end)
@@ -87,11 +87,11 @@
             attainable,
             goodput_ratio: goodput / attainable,
             before_ratio: whole(before.clone()) / due(before.clone()).max(1.0),
-            recovery: Recovery::of(&seconds, before, course.trigger_end()),
+            recovery: Recovery::of(&seconds, before, phases.trigger_end()),
             deepest_per_request: work.deepest.arrived as f64 / due(trigger.clone()).max(1.0),
             wasted_share: work.all.wasted_ms / work.all.work_ms.max(1.0),
             trigger_p99_ms: p99.get(p99.len() / 2).copied().unwrap_or(0.0),
-            classes: class_measures(report, course, due(trigger)),
+            classes: class_measures(report, phases, due(trigger)),
             endings: report.endings,
             max_start_lag_ms: report.max_start_lag_ms,
         }
@@ -107,8 +107,8 @@
     seconds.collect()
 }
 
-fn class_measures(report: &LoadReport, course: Course, due: f64) -> Vec<ClassMeasure> {
-    let trigger = course.trigger_range();
+fn class_measures(report: &LoadReport, phases: Phases, due: f64) -> Vec<ClassMeasure> {
+    let trigger = phases.trigger_range();
     let measures = report.classes.iter().map(|class| {
         let within = class.goodput.iter().take(trigger.end).skip(trigger.start);
         let whole = within.sum::<u64>() as f64;
--- a/crates/rig/src/experiment/options.rs
+++ b/crates/rig/src/experiment/options.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use super::course::Course;
+use super::phases::Phases;
 use super::scenario::Scenario;
 use super::user::User;
 use super::variant::Variant;
@@ -21,7 +21,7 @@
     /// Factor on the slots of every target, and therefore on the capacity.
     pub scale: f64,
     /// Lengths of the phases of a run.
-    pub course: Course,
+    pub phases: Phases,
     /// Folder for results and plots; `None` writes no files.
     pub out: Option<PathBuf>,
 }
--- a/crates/rig/src/experiment/outcome.rs
+++ b/crates/rig/src/experiment/outcome.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use super::course::Course;
 use super::measures::Measures;
+use super::phases::Phases;
 use super::recovery::Second;
 use super::scenario::Scenario;
 use super::user::User;
@@ -28,7 +28,8 @@
     /// Normal load in requests per second.
     pub normal: f64,
     /// Lengths of the phases.
-    pub course: Course,
+    #[serde(rename = "course")]
+    pub phases: Phases,
     /// One-minute load average of the machine at the start of the run, which includes other processes.
     pub load_average: SmolStr,
     /// Measures of the run.
--- a/crates/rig/src/experiment/course.rs
+++ b/crates/rig/src/experiment/phases.rs
@@ -8,7 +8,7 @@
 
 /// Lengths of the phases of a run, in whole seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Course {
+pub struct Phases {
     /// Normal load, excluded from the measures.
     pub warm_up: usize,
     /// Normal load; the baseline that recovery is compared with.
@@ -19,7 +19,7 @@
     pub after: usize,
 }
 
-impl Default for Course {
+impl Default for Phases {
     fn default() -> Self {
         Self {
             warm_up: 5,
@@ -30,7 +30,7 @@
     }
 }
 
-impl Course {
+impl Phases {
     /// Seconds of the baseline phase, as indexes into the run.
     pub fn before_range(&self) -> Range<usize> {
         self.warm_up..self.trigger_start()
--- a/crates/rig/src/experiment/run.rs
+++ b/crates/rig/src/experiment/run.rs
@@ -91,20 +91,20 @@
         sleep(SETTLE_TIME).await;
         trigger::prepare(self.scenario, &fleet).await?;
 
-        let course = options.course;
+        let phases = options.phases;
         let normal = deployment.capacity * NORMAL_SHARE;
         let plan = LoadPlan {
             entries: links.entries.clone(),
-            stages: course.stages(normal, self.scenario.surge()),
+            stages: phases.stages(normal, self.scenario.surge()),
             ..self.load_plan(&deployment)
         };
         let start = Instant::now();
         let load = tokio::spawn(load::run(plan));
 
-        wait_until(start, course.trigger_start()).await;
+        wait_until(start, phases.trigger_start()).await;
         let at_trigger_start = Snapshot::take(&fleet).await?;
         trigger::begin(self.scenario, &mut fleet, &deployment).await?;
-        wait_until(start, course.trigger_end()).await;
+        wait_until(start, phases.trigger_end()).await;
         let at_trigger_end = Snapshot::take(&fleet).await?;
         trigger::end(self.scenario, &mut fleet, &deployment).await?;
         let report = load
@@ -126,9 +126,9 @@
             scale: options.scale,
             capacity: deployment.capacity,
             normal,
-            course,
+            phases,
             load_average,
-            measures: Measures::of(&report, course, work, attainable),
+            measures: Measures::of(&report, phases, work, attainable),
             seconds: seconds(&report),
             breaches: fleet.breaches().await?,
         })
--- a/crates/rig/src/plot/bars.rs
+++ b/crates/rig/src/plot/bars.rs
@@ -34,7 +34,7 @@
             outcome
                 .measures
                 .recovery
-                .seconds_within(outcome.course.after)
+                .seconds_within(outcome.phases.after)
         },
     },
     Panel {
--- a/crates/rig/src/plot/lines.rs
+++ b/crates/rig/src/plot/lines.rs
@@ -20,7 +20,7 @@
     };
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(draw_error)?;
-    let seconds = first.course.seconds();
+    let seconds = first.phases.seconds();
     let y_max = outcomes.iter().flat_map(|outcome| &outcome.seconds);
     let y_max = y_max
         .map(|second| second.whole)
@@ -40,7 +40,7 @@
         .draw()
         .map_err(draw_error)?;
 
-    let trigger = first.course.trigger_range();
+    let trigger = first.phases.trigger_range();
     let corners = [(trigger.start as f64, 0.0), (trigger.end as f64, y_max)];
     let shading = Rectangle::new(corners, BLACK.mix(0.08).filled());
     chart.draw_series([shading]).map_err(draw_error)?;
