--- a/crates/rig/src/experiment.rs
+++ b/crates/rig/src/experiment.rs
@@ -21,7 +21,7 @@
 pub use self::options::ExperimentOptions;
 pub use self::outcome::Outcome;
 pub use self::phases::Phases;
-pub use self::recovery::{Recovery, Second};
+pub use self::recovery::{Recovery, SecondStats};
 pub(crate) use self::run::load_average;
 pub use self::run::run;
 pub use self::scenario::Scenario;
--- a/crates/rig/src/experiment/measures.rs
+++ b/crates/rig/src/experiment/measures.rs
@@ -6,7 +6,7 @@
 use crate::load::{EndingCounts, LoadReport};
 
 use super::phases::Phases;
-use super::recovery::{Recovery, Second};
+use super::recovery::{Recovery, SecondStats};
 use super::snapshot::Work;
 
 /// Measures of one run.
@@ -63,7 +63,7 @@
         work: TargetWork,
         attainable: f64,
     ) -> Self {
-        let seconds = seconds(report);
+        let seconds = stats_by_second(report);
         let trigger = phases.trigger_range();
         let due = |range: std::ops::Range<usize>| -> f64 {
             let within = report.by_second.iter().take(range.end).skip(range.start);
@@ -99,8 +99,8 @@
 }
 
 /// Returns the complete responses and the p99 latency of each second.
-pub(super) fn seconds(report: &LoadReport) -> Vec<Second> {
-    let seconds = report.by_second.iter().map(|second| Second {
+pub(super) fn stats_by_second(report: &LoadReport) -> Vec<SecondStats> {
+    let seconds = report.by_second.iter().map(|second| SecondStats {
         whole: second.endings.whole as f64,
         p99_ms: second.p99_ms,
     });
--- a/crates/rig/src/experiment/outcome.rs
+++ b/crates/rig/src/experiment/outcome.rs
@@ -5,7 +5,7 @@
 
 use super::measures::Measures;
 use super::phases::Phases;
-use super::recovery::Second;
+use super::recovery::SecondStats;
 use super::scenario::Scenario;
 use super::user::User;
 use super::variant::Variant;
@@ -35,7 +35,7 @@
     /// Measures of the run.
     pub measures: Measures,
     /// Goodput and latency of each second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondStats>,
     /// Invariant breaches that the nodes counted.
     pub breaches: Vec<String>,
 }
--- a/crates/rig/src/experiment/recovery.rs
+++ b/crates/rig/src/experiment/recovery.rs
@@ -6,7 +6,7 @@
 
 /// Goodput and latency of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second {
+pub struct SecondStats {
     /// Complete responses in this second.
     pub whole: f64,
     /// 99th percentile of their latency, in milliseconds.
@@ -40,15 +40,15 @@
     ///
     /// Goodput is compared as the mean over the window, because it varies randomly from second to second. The median
     /// p99 of the window must be at most twice the median p99 of the baseline.
-    pub fn of(seconds: &[Second], before: Range<usize>, end: usize) -> Self {
+    pub fn of(seconds: &[SecondStats], before: Range<usize>, end: usize) -> Self {
         let Some(baseline) = seconds.get(before) else {
             return Self::NotSeen;
         };
         let after = seconds.get(end..).unwrap_or_default();
-        let min_goodput = mean_whole(baseline) * GOODPUT_SHARE;
+        let min_goodput = mean_goodput(baseline) * GOODPUT_SHARE;
         let max_p99_ms = median_p99(baseline) * P99_FACTOR;
         let found = after.windows(WINDOW_SECONDS).position(|window| {
-            mean_whole(window) >= min_goodput && median_p99(window) <= max_p99_ms
+            mean_goodput(window) >= min_goodput && median_p99(window) <= max_p99_ms
         });
         match found {
             Some(seconds) => Self::After { seconds },
@@ -56,21 +56,21 @@
         }
     }
 
-    /// Recovery time in seconds, or `seen`, the observed time, if there was no recovery.
-    pub fn seconds_within(self, seen: usize) -> f64 {
+    /// Recovery time in seconds, or `observed`, the length of the time observed, if there was no recovery.
+    pub fn seconds_or(self, observed: usize) -> f64 {
         match self {
             Self::After { seconds } => seconds as f64,
-            Self::NotSeen => seen as f64,
+            Self::NotSeen => observed as f64,
         }
     }
 }
 
-fn mean_whole(seconds: &[Second]) -> f64 {
+fn mean_goodput(seconds: &[SecondStats]) -> f64 {
     let whole: f64 = seconds.iter().map(|second| second.whole).sum();
     whole / seconds.len().max(1) as f64
 }
 
-fn median_p99(seconds: &[Second]) -> f64 {
+fn median_p99(seconds: &[SecondStats]) -> f64 {
     let mut p99: Vec<f64> = seconds.iter().map(|second| second.p99_ms).collect();
     p99.sort_by(f64::total_cmp);
     p99.get(p99.len() / 2).copied().unwrap_or(0.0)
--- a/crates/rig/src/experiment/run.rs
+++ b/crates/rig/src/experiment/run.rs
@@ -14,7 +14,7 @@
 
 use super::client_links::{ClientLinks, set_domain_latency};
 use super::deployment::Deployment;
-use super::measures::{Measures, TargetWork, seconds};
+use super::measures::{Measures, TargetWork, stats_by_second};
 use super::options::ExperimentOptions;
 use super::outcome::Outcome;
 use super::scenario::Scenario;
@@ -129,7 +129,7 @@
             phases,
             load_average,
             measures: Measures::of(&report, phases, work, attainable),
-            seconds: seconds(&report),
+            seconds: stats_by_second(&report),
             breaches: fleet.breaches().await?,
         })
     }
--- a/crates/rig/src/experiment/table.rs
+++ b/crates/rig/src/experiment/table.rs
@@ -96,7 +96,7 @@
         .count();
     let seconds = runs
         .iter()
-        .map(|run| run.measures.recovery.seconds_within(run.phases.after));
+        .map(|run| run.measures.recovery.seconds_or(run.phases.after));
     let spread = Spread::of(seconds.collect());
     match missing {
         0 => format!("{spread:.0}"),
--- a/crates/rig/src/plot/bars.rs
+++ b/crates/rig/src/plot/bars.rs
@@ -30,12 +30,7 @@
     },
     Panel {
         title: "recovery (s)",
-        measure: |outcome| {
-            outcome
-                .measures
-                .recovery
-                .seconds_within(outcome.phases.after)
-        },
+        measure: |outcome| outcome.measures.recovery.seconds_or(outcome.phases.after),
     },
     Panel {
         title: "deepest calls a request",
--- a/crates/rig/tests/figures.rs
+++ b/crates/rig/tests/figures.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootport_rig::cost::{Line, Point};
-use coltsfootport_rig::experiment::{Deployment, Recovery, Second, Spread, User};
+use coltsfootport_rig::experiment::{Deployment, Recovery, SecondStats, Spread, User};
 use coltsfootport_rig::latency::Quantiles;
 
 struct RecoveryCase {
@@ -52,11 +52,11 @@
         },
     ];
     for case in cases {
-        let second = |(whole, p99_ms): &(f64, f64)| Second {
+        let second = |(whole, p99_ms): &(f64, f64)| SecondStats {
             whole: *whole,
             p99_ms: *p99_ms,
         };
-        let seconds: Vec<Second> = case.seconds.iter().map(second).collect();
+        let seconds: Vec<SecondStats> = case.seconds.iter().map(second).collect();
         let found = Recovery::of(&seconds, 0..3, TRIGGER_END);
         assert_eq!(found, case.expected, "{}", case.name);
     }
