--- a/crates/rig/src/process/ports.rs
+++ b/crates/rig/src/process/ports.rs
@@ -62,9 +62,7 @@
                 return Ok(());
             }
         }
-        Err(RigError::Settings(
-            "no free port".into(),
-        ))
+        Err(RigError::Settings("no free port".into()))
     }
 }
 
