--- a/crates/rig/tests/at_most_once.rs
+++ b/crates/rig/tests/at_most_once.rs
@@ -110,7 +110,10 @@
         }
         Fault::FreezeHome => fleet.member_mut(home).freeze().expect("frozen"),
         Fault::StopHome => {
-            let stopped = fleet.member_mut(home).stop_node(common::PATIENCE).await;
+            let stopped = fleet
+                .member_mut(home)
+                .stop_node(common::EVENT_TIMEOUT)
+                .await;
             assert!(stopped.expect("a stop"), "the home has not stopped");
         }
         Fault::FreezeEntry => fleet.member_mut(ENTRY_B).freeze().expect("frozen"),
@@ -328,7 +331,7 @@
         }
         let key = format!("plain-{serial}");
         let addr = fleet.member(ENTRY_C).addresses.callers;
-        let mut call = common::keyed(addr, "/bidding/bids", &key, common::PATIENCE);
+        let mut call = common::get_with_key(addr, "/bidding/bids", &key, common::EVENT_TIMEOUT);
         call.method = Method::POST;
         call.headers
             .insert("coltsfootport-deadline-ms", 2000.into());
--- a/crates/rig/tests/common/bids.rs
+++ b/crates/rig/tests/common/bids.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use super::PATIENCE;
+use super::EVENT_TIMEOUT;
 
 /// The node whose target runs the bids of most tests; it is alone in failure domain `a`.
 pub const HOME: &str = "bidding-1";
@@ -63,7 +63,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    let met = timeout(PATIENCE, look).await;
+    let met = timeout(EVENT_TIMEOUT, look).await;
     assert!(met.is_ok(), "{what}: not in time");
 }
 
@@ -161,7 +161,7 @@
             numbered: true,
             malformed: false,
             deadline_ms: 4000,
-            patience: PATIENCE,
+            patience: EVENT_TIMEOUT,
         }
     }
 
@@ -306,6 +306,6 @@
 
 /// Waits until nothing is in flight anywhere.
 pub async fn at_rest(fleet: &Fleet) {
-    let rest = chaos::at_rest(fleet, PATIENCE).await;
+    let rest = chaos::at_rest(fleet, EVENT_TIMEOUT).await;
     rest.expect("a fleet at rest");
 }
--- a/crates/rig/tests/common/hostile_peer.rs
+++ b/crates/rig/tests/common/hostile_peer.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use tokio::time::timeout;
 
-use super::common::PATIENCE;
+use super::common::EVENT_TIMEOUT;
 
 /// Client connection to a node's peer listener.
 pub struct HostilePeer {
@@ -58,7 +58,7 @@
         let mut endpoint = Endpoint::client(loopback(0)).expect("failed to bind the QUIC endpoint");
         endpoint.set_default_client_config(cfg);
         let connecting = endpoint.connect(addr, node).expect("valid server name");
-        let connection = timeout(PATIENCE, connecting).await.ok()?.ok()?;
+        let connection = timeout(EVENT_TIMEOUT, connecting).await.ok()?.ok()?;
         Some(Self {
             connection,
             _endpoint: endpoint,
@@ -72,7 +72,7 @@
         };
         let _ = tx.write_all(bytes).await;
         let _ = tx.finish();
-        let reply = timeout(PATIENCE, rx.read_to_end(1 << 20)).await;
+        let reply = timeout(EVENT_TIMEOUT, rx.read_to_end(1 << 20)).await;
         reply
             .expect("node did not close the stream in time")
             .unwrap_or_default()
@@ -92,7 +92,7 @@
             .await
             .ok()?;
         tx.finish().ok()?;
-        let head = timeout(PATIENCE, read_head(&mut rx, 1 << 20)).await;
+        let head = timeout(EVENT_TIMEOUT, read_head(&mut rx, 1 << 20)).await;
         match head
             .expect("node did not close the stream in time")
             .ok()?
--- a/crates/rig/tests/common/mod.rs
+++ b/crates/rig/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers of the rig's tests.
+//! Helpers shared by the integration tests of the rig.
 
-#![allow(dead_code, reason = "each test program uses some of these")]
+#![allow(dead_code, reason = "each test binary uses a subset of these")]
 
 pub mod bids;
 
@@ -14,18 +14,18 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for something that is sure to come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for an event that is expected to occur.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A time limit for something that must not come.
-pub const SHORT: Duration = Duration::from_millis(150);
+/// How long to wait for an event that must not occur.
+pub const ABSENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A listener on a free loopback port.
+/// Binds a listener to a free loopback port.
 pub async fn listener() -> TcpListener {
     bind(loopback(0)).await.expect("a loopback port")
 }
 
-/// A stand-in target of the service `svc`.
+/// Starts a simulated target of the service `svc`.
 pub async fn target(settings: Settings, egress: Option<SocketAddr>) -> Target {
     let placement = Placement {
         service: "svc".into(),
@@ -34,66 +34,73 @@
     Target::start(listener().await, placement, settings).expect("a target")
 }
 
-/// The target's counts.
+/// Reads the call counts of the target.
 pub async fn counts(client: &Client, target: &Target) -> TargetCounts {
     client.get(target.addr(), "/counts").await.expect("counts")
 }
 
-/// Looks at the target's counts until they are as wanted.
-pub async fn counts_until<W>(client: &Client, target: &Target, wanted: W) -> TargetCounts
+/// Polls the counts of the target until `predicate` accepts them.
+pub async fn counts_until<P>(client: &Client, target: &Target, predicate: P) -> TargetCounts
 where
-    W: Fn(&TargetCounts) -> bool,
+    P: Fn(&TargetCounts) -> bool,
 {
-    let look = async || Some(counts(client, target).await).filter(&wanted);
-    until(look).await
+    let probe = async || Some(counts(client, target).await).filter(&predicate);
+    poll_until(probe).await
 }
 
-/// Looks again and again until there is something to see.
-pub async fn until<T, L>(look: L) -> T
+/// Calls `probe` every 5 ms until it returns a value; panics after [`EVENT_TIMEOUT`].
+pub async fn poll_until<T, P>(probe: P) -> T
 where
-    L: AsyncFn() -> Option<T>,
+    P: AsyncFn() -> Option<T>,
 {
-    let looks = async {
+    let polling = async {
         loop {
-            if let Some(seen) = look().await {
-                return seen;
+            if let Some(value) = probe().await {
+                return value;
             }
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, looks).await.expect("seen in time")
+    timeout(EVENT_TIMEOUT, polling)
+        .await
+        .expect("a value within the event timeout")
 }
 
-/// A `GET` with a key.
-pub fn keyed(addr: SocketAddr, path: &str, key: &str, limit: Duration) -> ClientCall {
+/// Builds a `GET` with `key` in the `x-rig-key` header.
+pub fn get_with_key(
+    addr: SocketAddr,
+    path: &str,
+    key: &str,
+    client_timeout: Duration,
+) -> ClientCall {
     let mut headers = HeaderMap::new();
     headers.insert(
         "x-rig-key",
-        HeaderValue::from_str(key).expect("a plain key"),
+        HeaderValue::from_str(key).expect("a key that is a valid header value"),
     );
     ClientCall {
         headers,
-        timeout: limit,
+        timeout: client_timeout,
         ..ClientCall::new(addr, Method::GET, path)
     }
 }
 
-/// The body of an answer as text.
-pub fn text(answer: &ClientAnswer) -> String {
+/// Returns the body of an answer as text; invalid UTF-8 is replaced.
+pub fn body_text(answer: &ClientAnswer) -> String {
     String::from_utf8_lossy(&answer.body).into_owned()
 }
 
-/// A counter of a node, 0 where it is not shown.
+/// Sums the samples of a node's metric over its lines in `/metrics`; 0 if it has none.
 pub async fn metric(client: &Client, operators: SocketAddr, name: &str) -> u64 {
     let call = ClientCall::new(operators, Method::GET, "/metrics");
-    let page = text(&client.send(call).await.expect("metrics"));
+    let page = body_text(&client.send(call).await.expect("metrics"));
     let lines = page.lines().filter(|line| line.contains(name));
     let numbers = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
     numbers.sum()
 }
 
-/// Resident memory of a process in bytes.
-pub fn resident(pid: i32) -> u64 {
+/// Returns the resident memory of a process in bytes.
+pub fn resident_bytes(pid: i32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<u64>().ok());
--- a/crates/rig/tests/hostile_callers.rs
+++ b/crates/rig/tests/hostile_callers.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-use common::{PATIENCE, listener, metric, resident, text, until};
+use common::{EVENT_TIMEOUT, body_text, listener, metric, poll_until, resident_bytes};
 
 /// The attacked node.
 const VICTIM: &str = "bidding-1";
@@ -57,7 +57,7 @@
 /// Builds a call to the attacked node with the given headers.
 fn call(fleet: &Fleet, method: Method, path: &str, headers: &[(&str, &str)]) -> ClientCall {
     let mut call = ClientCall::new(victim_addr(fleet), method, path);
-    call.timeout = PATIENCE;
+    call.timeout = EVENT_TIMEOUT;
     for (name, value) in headers {
         let name = HeaderName::try_from(*name).expect("valid header name");
         call.headers.append(
@@ -74,7 +74,7 @@
         for service in services {
             let call = ClientCall::new(entry, Method::GET, format!("/{service}/lots/1"));
             let answer = send(fleet, call).await;
-            assert_eq!(answer.status, 200, "after {after}: {}", text(&answer));
+            assert_eq!(answer.status, 200, "after {after}: {}", body_text(&answer));
         }
     }
     let breaches = fleet
@@ -100,7 +100,7 @@
         let _ = stream.shutdown().await;
     }
     let mut answer = Vec::new();
-    let reading = timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
+    let reading = timeout(EVENT_TIMEOUT, stream.read_to_end(&mut answer)).await;
     let _ = reading.expect("node did not close the connection in time");
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -389,7 +389,7 @@
     let mut fresh = String::new();
     for token in refused {
         let answer = bid(token, "1", token).await;
-        assert_eq!(answer.status, 503, "{}", text(&answer));
+        assert_eq!(answer.status, 503, "{}", body_text(&answer));
         assert_eq!(answer.header("coltsfootport-error"), Some("table-full"));
         assert_eq!(answer.header("coltsfootport-outcome"), Some("not-run"));
         assert!(answer.header("coltsfootport-retry-after-ms").is_some());
@@ -404,7 +404,7 @@
     assert_serving(&fleet, &["bidding", "prices"], "filling the token table").await;
     for token in kept {
         let answer = bid(token, "2", token).await;
-        assert_eq!(answer.status, 200, "{}", text(&answer));
+        assert_eq!(answer.status, 200, "{}", body_text(&answer));
         assert_eq!(answer.header("coltsfootport-replayed"), Some("true"));
         assert_eq!(
             fleet
@@ -423,7 +423,7 @@
             0
         );
     }
-    until(async || (bid(&fresh, "1", "later").await.status != 503).then_some(())).await;
+    poll_until(async || (bid(&fresh, "1", "later").await.status != 503).then_some(())).await;
 }
 
 // More calls than `limits.in_flight` arrive while the target hangs. If only calls at the target were limited and not those the
@@ -450,7 +450,7 @@
             .expect("failed to read the target counts");
         (counts[0].started == 4).then_some(())
     };
-    until(started).await;
+    poll_until(started).await;
     for _ in 0..20 {
         let answer = send(&fleet, call(&fleet, Method::GET, "/prices/lots/1", &[])).await;
         assert_eq!(answer.header("coltsfootport-error"), Some("shed"));
@@ -469,7 +469,7 @@
     assert_eq!(send(&fleet, other).await.status, 200);
     while let Some(ended) = held.join_next().await {
         let answer = ended.expect("task panicked").expect("call failed");
-        assert_eq!(answer.status, 504, "{}", text(&answer));
+        assert_eq!(answer.status, 504, "{}", body_text(&answer));
     }
     let freed = call(&fleet, Method::GET, "/prices/lots/1", &[]);
     assert_eq!(send(&fleet, freed).await.status, 200);
@@ -537,7 +537,7 @@
         .pid();
     let mut established = TcpStream::connect(addr).await.expect("failed to connect");
     assert_serving(&fleet, &["bidding"], "startup").await;
-    let before = resident(pid);
+    let before = resident_bytes(pid);
     let mut slow = JoinSet::new();
     for i in 0..3000 {
         let kind = [
@@ -561,7 +561,7 @@
             .await
             .expect("established connection was closed");
         let mut answer = [0; 4096];
-        let read = timeout(PATIENCE, established.read(&mut answer)).await;
+        let read = timeout(EVENT_TIMEOUT, established.read(&mut answer)).await;
         let read = read
             .expect("no response in time")
             .expect("failed to read the response");
@@ -578,7 +578,7 @@
                 "call through another node"
             );
         }
-        peak = peak.max(resident(pid));
+        peak = peak.max(resident_bytes(pid));
     }
     let grown = peak.saturating_sub(before);
     println!(
@@ -593,7 +593,7 @@
             ended.expect("task panicked");
         }
     };
-    timeout(3 * PATIENCE, cut)
+    timeout(3 * EVENT_TIMEOUT, cut)
         .await
         .expect("slow connections were not closed in time");
     assert_serving(&fleet, &["bidding", "prices"], "the slow connections").await;
@@ -723,7 +723,7 @@
         let path = format!("/bidding/lots/1?{mode}");
         let limit = [("coltsfootport-deadline-ms", "1500")];
         let answer = send(&fleet, call(&fleet, Method::GET, &path, &limit)).await;
-        assert_eq!(answer.status, status, "{mode}: {}", text(&answer));
+        assert_eq!(answer.status, status, "{mode}: {}", body_text(&answer));
         assert_eq!(answer.header("coltsfootport-error"), error, "{mode}");
         let outcome = if error.is_some() { "unknown" } else { "ran" };
         assert_eq!(
@@ -739,19 +739,19 @@
             }
         };
         if dropped {
-            timeout(PATIENCE, until_dropped).await.expect(mode);
+            timeout(EVENT_TIMEOUT, until_dropped).await.expect(mode);
         }
         for _ in 0..3 {
             let answer = send(&fleet, call(&fleet, Method::GET, "/bidding/lots/2", &[])).await;
             assert_eq!(
-                (answer.status.as_u16(), text(&answer)),
+                (answer.status.as_u16(), body_text(&answer)),
                 (200, "ok".to_owned()),
                 "after {mode}"
             );
         }
         assert_serving(&fleet, &["prices"], mode).await;
     }
-    let used = resident(pid);
+    let used = resident_bytes(pid);
     println!("{used} bytes resident after all faulty responses");
     assert!(used < 96 << 20, "{used} bytes resident");
     serving.abort();
@@ -784,7 +784,7 @@
             ..call(&fleet, Method::GET, "/bidding/lots/1", &forged)
         };
         assert_eq!(send(&fleet, call).await.status, 200);
-        let head = match timeout(PATIENCE, events.recv())
+        let head = match timeout(EVENT_TIMEOUT, events.recv())
             .await
             .expect("no request in time")
         {
--- a/crates/rig/tests/hostile_peers.rs
+++ b/crates/rig/tests/hostile_peers.rs
@@ -20,7 +20,7 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use common::{metric, text, until};
+use common::{body_text, metric, poll_until};
 use hostile_peer::{HostilePeer, encode_head, start_server};
 
 /// The attacked node.
@@ -89,7 +89,7 @@
         for service in ["bidding", "prices"] {
             let call = ClientCall::new(entry, Method::GET, format!("/{service}/lots/1"));
             let answer = fleet.client.send(call).await.expect("call failed");
-            assert_eq!(answer.status, 200, "after {after}: {}", text(&answer));
+            assert_eq!(answer.status, 200, "after {after}: {}", body_text(&answer));
         }
     }
     let breaches = fleet
@@ -200,7 +200,8 @@
             assert!(reply.is_none(), "{name}: {reply:?}");
             peer.connection.closed().await;
         }
-        until(async || (rejected_count(&fleet, "certificate").await > before).then_some(())).await;
+        poll_until(async || (rejected_count(&fleet, "certificate").await > before).then_some(()))
+            .await;
         assert_serving(&fleet, name).await;
     }
 }
@@ -326,8 +327,10 @@
         let before = rejected_count(&fleet, "frame").await;
         peer.send(&case.bytes).await;
         if case.counted.is_some() {
-            until(async || (rejected_count(&fleet, "frame").await == before + 1).then_some(()))
-                .await;
+            poll_until(async || {
+                (rejected_count(&fleet, "frame").await == before + 1).then_some(())
+            })
+            .await;
         } else {
             assert_eq!(
                 rejected_count(&fleet, "frame").await,
@@ -398,7 +401,7 @@
         let before = rejected_count(&fleet, "name").await;
         let peer = connect_attacker(&fleet).await;
         assert!(peer.send_control(request).await.is_none(), "{name}");
-        until(async || (rejected_count(&fleet, "name").await > before).then_some(())).await;
+        poll_until(async || (rejected_count(&fleet, "name").await > before).then_some(())).await;
         assert_serving(&fleet, &name).await;
     }
     let peer = connect_attacker(&fleet).await;
@@ -441,13 +444,13 @@
             .node()
             .expect("node is not running")
             .pid();
-        let used = common::resident(node);
+        let used = common::resident_bytes(node);
         println!("{streams} streams, {used} bytes resident");
         assert!(used < 112 << 20, "{used} bytes resident");
         let (_, last) = held.last_mut().expect("no connection was opened");
         let ended = last.last_mut().expect("no stream was opened").stopped();
         if frame_ms < 60_000 {
-            let ended = tokio::time::timeout(common::PATIENCE, ended).await;
+            let ended = tokio::time::timeout(common::EVENT_TIMEOUT, ended).await;
             assert!(
                 ended.is_ok(),
                 "an unfinished stream is still open after the frame timeout"
@@ -470,7 +473,7 @@
             .expect("node is not running")
             .pid()
     });
-    let before = pids.map(common::resident);
+    let before = pids.map(common::resident_bytes);
     for batch in 0..4 {
         let state_report = |i| StateReportFrame {
             node: format!("invented-{batch}-{i}").into(),
@@ -492,7 +495,7 @@
             .await;
     }
     for ((name, pid), before) in nodes.iter().zip(pids).zip(before) {
-        let grown = common::resident(pid).saturating_sub(before);
+        let grown = common::resident_bytes(pid).saturating_sub(before);
         println!(
             "{name}: memory growth after 32000 forged state reports and 90 MB of documents: {grown} bytes"
         );
@@ -541,7 +544,7 @@
         .node()
         .expect("node is not running")
         .pid();
-    let before = common::resident(pid);
+    let before = common::resident_bytes(pid);
     for id in 0..2000 {
         let refuse = ControlRequest::Refuse {
             token: token(id, VICTIM, victim.report.incarnation),
@@ -549,7 +552,7 @@
         };
         assert!(peer.send_control(refuse).await.is_some());
     }
-    let grown = common::resident(pid).saturating_sub(before);
+    let grown = common::resident_bytes(pid).saturating_sub(before);
     println!("memory growth after 2000 forged tokens: {grown} bytes");
     assert!(grown < 16 << 20, "memory grew by {grown} bytes");
     assert_serving(&fleet, "refusal requests").await;
@@ -653,7 +656,7 @@
         let answer = fleet.client.send(call).await;
         answer.unwrap_or_else(|e| panic!("{path}: {e}"))
     };
-    until(async || (get("/prices/p".into()).await.status == 200).then_some(())).await;
+    poll_until(async || (get("/prices/p".into()).await.status == 200).then_some(())).await;
     let (frame, reply, name) = (Some("frame"), Some("reply"), Some("name"));
     let cases = [
         ("garbage", 502, frame),
@@ -694,7 +697,7 @@
             );
         }
         let good = async || (get("/prices/p".into()).await.body == "ok").then_some(());
-        until(good).await;
+        poll_until(good).await;
     }
     let breaches = fleet
         .breaches()
--- a/crates/rig/tests/not_run.rs
+++ b/crates/rig/tests/not_run.rs
@@ -360,7 +360,7 @@
     running.check(&fleet, &both, "running").await;
     ran.check(&fleet, &told, "ran").await;
     let home = fleet.member_mut(HOME).node().expect("a process");
-    home.wait(common::PATIENCE)
+    home.wait(common::EVENT_TIMEOUT)
         .await
         .expect("the end of the home");
     fleet.member_mut(HOME).node = None;
@@ -378,7 +378,7 @@
         let token = bids::try_token(&fleet, HOME, HOME).await.expect("a token");
         let mut bid = Bid::of(&format!("shed-{i}"), token);
         bid.deadline_ms = [60, 200, 2000][i % 3];
-        bid.patience = [common::PATIENCE, Duration::from_millis(50)][i % 2];
+        bid.patience = [common::EVENT_TIMEOUT, Duration::from_millis(50)][i % 2];
         bids.push(bid);
     }
     let mut sendings = Vec::new();
@@ -423,7 +423,7 @@
     for i in 0..60 {
         let key = format!("attempts-{i}");
         let addr = fleet.member(HOME).addresses.callers;
-        let call = common::keyed(addr, "/bidding/lots/1", &key, common::PATIENCE);
+        let call = common::get_with_key(addr, "/bidding/lots/1", &key, common::EVENT_TIMEOUT);
         let told = Told::of(&fleet.client.send(call).await);
         let counts = fleet.member(HOME).counts(&fleet.client).await;
         let counts = counts.expect("counts");
@@ -448,7 +448,10 @@
     fleet.set_links("b", "a", &LinkFaults::both(latency));
     let first = bid.send(&fleet, ENTRY_B);
     until("it runs", || async { bid.runs(&fleet).await == [1] }).await;
-    let stopped = fleet.member_mut(HOME).stop_node(common::PATIENCE).await;
+    let stopped = fleet
+        .member_mut(HOME)
+        .stop_node(common::EVENT_TIMEOUT)
+        .await;
     assert!(stopped.expect("a stop"), "the home has not stopped");
     let first = first.await.expect("a sending");
     assert!(matches!(first, Told::Ran { .. }), "{first:?}");
--- a/crates/rig/tests/platform.rs
+++ b/crates/rig/tests/platform.rs
@@ -9,7 +9,7 @@
     InstancesAnswer, Platform, Seed,
 };
 
-use crate::common::{listener, until};
+use crate::common::{listener, poll_until};
 
 async fn platform() -> Platform {
     Platform::start(listener().await, Seed::default()).expect("start platform")
@@ -104,7 +104,7 @@
     };
     let config = watch("/config?after=0&wait_ms=9000");
     let instances = watch("/instances?after=0&wait_ms=9000");
-    until(async || (counts(&client, &platform).await.watches == 2).then_some(())).await;
+    poll_until(async || (counts(&client, &platform).await.watches == 2).then_some(())).await;
     client
         .put(addr, "/config/documents/a", "1")
         .await
--- a/crates/rig/tests/process.rs
+++ b/crates/rig/tests/process.rs
@@ -12,7 +12,7 @@
 use coltsfootport_rig::target::TargetCounts;
 use tokio::net::TcpStream;
 
-use crate::common::{PATIENCE, SHORT, keyed, text};
+use crate::common::{ABSENCE_TIMEOUT, EVENT_TIMEOUT, body_text, get_with_key};
 
 const RIG: &str = env!("CARGO_BIN_EXE_coltsfootport-rig");
 
@@ -29,25 +29,25 @@
     let line = format!("target --listen {addr} --service svc --slots 3 --service-ms 1");
     let mut child = Process::start(spec(&line)).expect("a child");
     child
-        .ready(&client, addr, "/health", PATIENCE)
+        .ready(&client, addr, "/health", EVENT_TIMEOUT)
         .await
         .expect("ready");
 
     child.signal(Signal::STOP).expect("a signal");
-    let call = keyed(addr, "/x", "late", PATIENCE);
+    let call = get_with_key(addr, "/x", "late", EVENT_TIMEOUT);
     let call = tokio::spawn({
         let client = client.clone();
         async move { client.send(call).await }
     });
-    tokio::time::sleep(SHORT).await;
+    tokio::time::sleep(ABSENCE_TIMEOUT).await;
     assert!(!call.is_finished() && child.is_running().expect("its state"));
     child.signal(Signal::CONT).expect("a signal");
     let answer = call.await.expect("a task").expect("the late answer");
-    assert!(text(&answer).contains("late"), "{answer:?}");
+    assert!(body_text(&answer).contains("late"), "{answer:?}");
     let counts: TargetCounts = client.get(addr, "/counts").await.expect("counts");
     assert_eq!(counts.max_runs_per_key(), 1);
 
-    let status = child.stop(PATIENCE).await.expect("an end");
+    let status = child.stop(EVENT_TIMEOUT).await.expect("an end");
     assert!(status.success(), "{status}");
     assert!(!child.is_running().expect("its state"));
 }
@@ -58,13 +58,13 @@
     let [port] = free_ports().expect("a port");
     let (addr, limit) = (loopback(port), Duration::from_millis(50));
     let mut ends = Process::start(spec("target --listen nowhere")).expect("a child");
-    let result = ends.ready(&client, addr, "/health", PATIENCE).await;
+    let result = ends.ready(&client, addr, "/health", EVENT_TIMEOUT).await;
     assert!(matches!(result, Err(RigError::NotReady(_))), "{result:?}");
 
     let line = format!("platform --listen {addr}");
     let mut platform = Process::start(spec(&line)).expect("a child");
     platform
-        .listening(addr, PATIENCE)
+        .listening(addr, EVENT_TIMEOUT)
         .await
         .expect("a listener");
     let result = platform.ready(&client, addr, "/none", limit).await;
@@ -87,7 +87,7 @@
         ..ProcessSpec::new("grep", "grep", ["-q", "settings"])
     };
     let mut child = Process::start(spec).expect("a child");
-    assert!(child.wait(PATIENCE).await.expect("an end").success());
+    assert!(child.wait(EVENT_TIMEOUT).await.expect("an end").success());
     let [a, b] = free_ports().expect("ports");
     assert_ne!(a, b);
 }
--- a/crates/rig/tests/proxy.rs
+++ b/crates/rig/tests/proxy.rs
@@ -16,7 +16,9 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-use crate::common::{PATIENCE, SHORT, counts, counts_until, keyed, target, until};
+use crate::common::{
+    ABSENCE_TIMEOUT, EVENT_TIMEOUT, counts, counts_until, get_with_key, poll_until, target,
+};
 
 const CLEAN: DirectionFaults = DirectionFaults {
     latency_ms: 0.0,
@@ -112,11 +114,11 @@
         let addr = proxy.addr("link").expect("link address");
         assert_eq!(proxy.set("link", &case.faults), 1);
         let limit = if case.expected == CallResult::Timeout {
-            SHORT
+            ABSENCE_TIMEOUT
         } else {
-            PATIENCE
+            EVENT_TIMEOUT
         };
-        let seen = match client.send(keyed(addr, "/x", "faulty", limit)).await {
+        let seen = match client.send(get_with_key(addr, "/x", "faulty", limit)).await {
             Ok(_) => CallResult::Complete,
             Err(RigError::Timeout) => CallResult::Timeout,
             Err(_) => CallResult::Failed,
@@ -127,7 +129,7 @@
 
         assert_eq!(proxy.set("li*", &LinkFaults::default()), 1);
         let healed = client
-            .send(keyed(addr, "/x", "healed", PATIENCE))
+            .send(get_with_key(addr, "/x", "healed", EVENT_TIMEOUT))
             .await
             .expect("response");
         let echo: Echo = serde_json::from_slice(&healed.body).expect("parse echo");
@@ -165,13 +167,15 @@
         let target = target(Settings::default(), None).await;
         let proxy = proxy(Protocol::Tcp, target.addr()).await;
         let addr = proxy.addr("link").expect("link address");
-        let first = client.send(keyed(addr, "/x", "first", PATIENCE)).await;
+        let first = client
+            .send(get_with_key(addr, "/x", "first", EVENT_TIMEOUT))
+            .await;
         assert!(
             first.is_ok(),
             "failed to open a pooled connection: {first:?}"
         );
         proxy.set("link", &case.faults);
-        let call = keyed(addr, "/x", "held", PATIENCE);
+        let call = get_with_key(addr, "/x", "held", EVENT_TIMEOUT);
         let held = tokio::spawn({
             let client = client.clone();
             async move { client.send(call).await }
@@ -179,7 +183,7 @@
         if case.runs_meanwhile > 0 {
             counts_until(&client, &target, |counts| counts.keys.contains_key("held")).await;
         }
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(ABSENCE_TIMEOUT).await;
         assert!(!held.is_finished());
         let runs = counts(&client, &target)
             .await
@@ -295,7 +299,7 @@
         let mut buf = [0; 16];
         let mut seen = Vec::new();
         while seen.len() < case.delivered {
-            let received = timeout(PATIENCE, upstream.recv_from(&mut buf)).await;
+            let received = timeout(EVENT_TIMEOUT, upstream.recv_from(&mut buf)).await;
             let (len, sender) = received.expect("timed out").expect("datagram");
             upstream
                 .send_to(&buf[..len], sender)
@@ -305,7 +309,7 @@
         }
         assert_eq!(seen.is_sorted(), case.in_order, "case {number}: {seen:?}");
         for _ in 0..case.responses {
-            let answer = timeout(PATIENCE, sender_socket.recv(&mut buf)).await;
+            let answer = timeout(EVENT_TIMEOUT, sender_socket.recv(&mut buf)).await;
             answer.expect("timed out").expect("response");
         }
         let none = timeout(Duration::from_millis(30), sender_socket.recv(&mut buf)).await;
@@ -351,10 +355,10 @@
         },
     );
     senders[0].send(b"cut").await.expect("datagram");
-    until(async || (proxy.states()[0].counts.forward.lost == 1).then_some(())).await;
+    poll_until(async || (proxy.states()[0].counts.forward.lost == 1).then_some(())).await;
     senders[1].send(b"open").await.expect("datagram");
     let mut buf = [0; 16];
-    let received = timeout(PATIENCE, upstream.recv_from(&mut buf)).await;
+    let received = timeout(EVENT_TIMEOUT, upstream.recv_from(&mut buf)).await;
     let (len, _) = received.expect("timed out").expect("datagram");
     assert_eq!(&buf[..len], b"open");
     assert_eq!(proxy.states()[0].counts.connections, 2);
--- a/crates/rig/tests/target.rs
+++ b/crates/rig/tests/target.rs
@@ -8,7 +8,7 @@
 };
 use tokio::task::JoinSet;
 
-use crate::common::{PATIENCE, counts, counts_until, keyed, target};
+use crate::common::{EVENT_TIMEOUT, counts, counts_until, get_with_key, target};
 
 /// Starts `n` calls with keys `k0`, `k1` and so on.
 fn start_calls(client: &Client, addr: std::net::SocketAddr, n: usize) -> JoinSet<u16> {
@@ -16,7 +16,7 @@
     for i in 0..n {
         let (client, call) = (
             client.clone(),
-            keyed(addr, "/x", &format!("k{i}"), PATIENCE),
+            get_with_key(addr, "/x", &format!("k{i}"), EVENT_TIMEOUT),
         );
         calls.spawn(async move { client.send(call).await.map_or(0, |a| a.status.as_u16()) });
     }
@@ -167,7 +167,7 @@
             let waits = tokio::spawn({
                 let (client, call) = (
                     client.clone(),
-                    keyed(target.addr(), "/x", "waits", PATIENCE),
+                    get_with_key(target.addr(), "/x", "waits", EVENT_TIMEOUT),
                 );
                 async move { client.send(call).await }
             });
@@ -218,7 +218,7 @@
         }
     );
     let refused = client
-        .send(keyed(target.addr(), "/x", "late", PATIENCE))
+        .send(get_with_key(target.addr(), "/x", "late", EVENT_TIMEOUT))
         .await;
     assert_eq!(refused.expect("response").status.as_u16(), 503);
     assert_eq!(running.join_all().await, [200; 3]);
@@ -245,7 +245,7 @@
         };
         let target = target(settings, None).await;
         let answer = client
-            .send(keyed(target.addr(), "/health", "", PATIENCE))
+            .send(get_with_key(target.addr(), "/health", "", EVENT_TIMEOUT))
             .await;
         assert_eq!(
             answer.expect("response").status.as_u16(),
@@ -323,7 +323,7 @@
         };
         let upper = target(upper, Some(lower.addr())).await;
         let answer = client
-            .send(keyed(upper.addr(), "/x?y", "key", PATIENCE))
+            .send(get_with_key(upper.addr(), "/x?y", "key", EVENT_TIMEOUT))
             .await;
         let answer = answer.expect("complete response");
         assert_eq!(answer.status.as_u16(), case.status, "case {number}");
