--- a/crates/rig/tests/drain.rs
+++ b/crates/rig/tests/drain.rs
@@ -17,7 +17,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use flow::Stream;
+use flow::CallStream;
 
 /// The node that leaves; its failure domain holds nobody else.
 const LEAVER: &str = "svc-3";
@@ -65,7 +65,7 @@
         service_ms: 10.0,
         ..Settings::default()
     };
-    let mut node = flow::unbounded_otherwise();
+    let mut node = flow::allowance_only_settings();
     // The leaver stays up for longer than is watched, so that it is not its end that keeps calls away.
     node["shutdown"] = json!({ "announce_ms": 4500 });
     let plan = FleetPlan {
@@ -173,8 +173,8 @@
         Order::Operator | Order::Signal => vec![entry("svc-1"), entry("svc-2")],
     };
     let gap = Duration::from_millis(4);
-    let stream = Stream::start(&fleet.client, case.name, "/svc/x", &entries, gap);
-    flow::until("calls at the leaver", || async {
+    let stream = CallStream::start(&fleet.client, case.name, "/svc/x", &entries, gap);
+    flow::wait_until("calls at the leaver", || async {
         started(&fleet).await >= 30
     })
     .await;
@@ -182,8 +182,8 @@
     let (ordered, seen) = (Instant::now(), started(&fleet).await);
     order(&mut fleet, case.order).await;
     let last = last_new_call(&mut fleet, ordered, seen).await;
-    let told = stream.end().await;
-    let tally = flow::tally(&told);
+    let told = stream.finish().await;
+    let tally = flow::count_endings(&told);
     println!(
         "{}: last new call after {} ms, calls {tally:?}",
         case.name,
@@ -203,14 +203,17 @@
     let wrong = told.iter().find(|told| told.ending == Ending::Wrong);
     assert!(wrong.is_none(), "{wrong:?}");
     if case.order != Order::List {
-        let ended = fleet.member_mut(LEAVER).stop_node(flow::PATIENCE).await;
+        let ended = fleet
+            .member_mut(LEAVER)
+            .stop_node(flow::EVENT_TIMEOUT)
+            .await;
         assert!(
             ended.expect("a node"),
             "{}: the leaver did not end",
             case.name
         );
     }
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
 
 /// Symptom: a target that is to be taken away still gets new calls, which are cut off when it goes.
--- a/crates/rig/tests/graceful_stop.rs
+++ b/crates/rig/tests/graceful_stop.rs
@@ -14,12 +14,12 @@
 use coltsfootport_rig::target::Settings;
 use serde_json::{Value, json};
 
-use flow::{Stream, Told};
+use flow::{CallResult, CallStream};
 
 /// Longest time that a node with calls of at most a few seconds may take to end.
 const STOP_TIME: Duration = Duration::from_secs(15);
 
-/// Time limit of a call in milliseconds, as long as that of [`flow::Ask::get`].
+/// Time limit of a call in milliseconds, as long as that of [`flow::Call::get`].
 const DEADLINE_MS: u64 = 5000;
 
 /// Failure domains, one for each instance.
@@ -53,7 +53,7 @@
 }
 
 fn node(case: &Case) -> Value {
-    let mut node = flow::unbounded_otherwise();
+    let mut node = flow::allowance_only_settings();
     if case.adaptive {
         node["admission"] = json!({ "cold_start_ms": 0 });
     }
@@ -115,7 +115,7 @@
 
 async fn served(fleet: &Fleet, more: u64) {
     let before = finished(fleet).await;
-    flow::until("calls to be served", || async {
+    flow::wait_until("calls to be served", || async {
         finished(fleet).await >= before + more
     })
     .await;
@@ -137,7 +137,7 @@
 }
 
 /// A call ends whole, or not run and so told, or finds the port of a node that has ended closed.
-fn judge(told: &Told, case: &Case, stopped: &[SocketAddr], runs: &BTreeMap<String, u64>) {
+fn judge(told: &CallResult, case: &Case, stopped: &[SocketAddr], runs: &BTreeMap<String, u64>) {
     let started = runs.get(&told.key).copied().unwrap_or(0);
     let is_well = match told.ending {
         Ending::Whole => started >= 1,
@@ -161,7 +161,7 @@
         .values()
         .filter(|member| is_entry(&member.name));
     let entries: Vec<SocketAddr> = entries.map(|member| member.addresses.callers).collect();
-    let stream = Stream::start(&fleet.client, case.name, "/front/x", &entries, case.gap);
+    let stream = CallStream::start(&fleet.client, case.name, "/front/x", &entries, case.gap);
     served(&fleet, 50).await;
     let mut stopped = Vec::new();
     for group in &case.groups {
@@ -179,14 +179,14 @@
         }
         served(&fleet, 50).await;
     }
-    let told = stream.end().await;
-    flow::quiet(&fleet).await;
-    println!("{}: {:?}", case.name, flow::tally(&told));
+    let told = stream.finish().await;
+    flow::wait_until_idle(&fleet).await;
+    println!("{}: {:?}", case.name, flow::count_endings(&told));
     let runs = runs(&fleet).await;
     for told in &told {
         judge(told, case, &stopped, &runs);
     }
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
 
 fn case() -> Case {
--- a/crates/rig/tests/retry_bound.rs
+++ b/crates/rig/tests/retry_bound.rs
@@ -13,7 +13,7 @@
 use coltsfootport_rig::target::{DownstreamMode, Settings};
 use tokio::task::JoinSet;
 
-use flow::Ask;
+use flow::Call;
 
 /// Services of the chain.
 const DEPTH: usize = 13;
@@ -158,13 +158,13 @@
     });
     let plan = FleetPlan {
         services: plans.collect(),
-        node: flow::unbounded_otherwise(),
+        node: flow::allowance_only_settings(),
         proxied: true,
         ..FleetPlan::default()
     };
     let fleet = Fleet::start(plan).await.expect("a fleet");
     let entries = [entry(&fleet, graph)];
-    flow::settled(&fleet, &format!("/{}/x", graph.service), &entries).await;
+    flow::wait_until_settled(&fleet, &format!("/{}/x", graph.service), &entries).await;
     fleet
 }
 
@@ -181,7 +181,7 @@
                 change(&mut settings);
             }
         }
-        flow::set_service(fleet, service, &settings).await;
+        flow::set_targets(fleet, service, &settings).await;
     }
     fleet.set_links("a", "b", &case.links);
 }
@@ -204,9 +204,9 @@
     let mut asked = JoinSet::new();
     for i in 0..REQUESTS {
         let entry = entry(fleet, graph);
-        let ask = Ask {
+        let ask = Call {
             deadline: Duration::from_secs(3),
-            ..Ask::get(
+            ..Call::get(
                 entry,
                 &format!("/{}/x", graph.service),
                 &format!("{}#{i}", case.name),
@@ -217,7 +217,7 @@
     }
     let told = asked.join_all().await;
     fleet.heal();
-    flow::quiet(fleet).await;
+    flow::wait_until_idle(fleet).await;
 
     let runs = runs(fleet).await;
     let (mut most, mut repeats, mut extra) = (0, 0, 0);
@@ -378,7 +378,7 @@
     for case in cases("s13", "s7") {
         run(&mut fleet, &graph, &case).await;
     }
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
 
 /// Symptom: a request that fans out makes more retries than its document allows.
@@ -391,5 +391,5 @@
     for case in cases("l1", "m1") {
         run(&mut fleet, &graph, &case).await;
     }
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
--- a/crates/rig/tests/shedding.rs
+++ b/crates/rig/tests/shedding.rs
@@ -140,7 +140,7 @@
         case.name
     );
     assert!(lookup < 0.9, "{}: nothing had to be shed", case.name);
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
 
 /// Symptom: bids are refused while targets serve look-ups.
--- a/crates/rig/tests/whole_answer.rs
+++ b/crates/rig/tests/whole_answer.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use flow::{Ask, Told};
+use flow::{Call, CallResult};
 
 /// Largest body that the nodes take.
 const BODY_LIMIT: usize = 256 * 1024;
@@ -74,7 +74,7 @@
             document: ServicePlan::document(name, 3),
             ..ServicePlan::new(name, &["a", "b"])
         });
-    let mut node = flow::unbounded_otherwise();
+    let mut node = flow::allowance_only_settings();
     node["limits"] = json!({ "body_bytes": BODY_LIMIT });
     let plan = FleetPlan {
         services: services.into(),
@@ -83,7 +83,7 @@
         ..FleetPlan::default()
     };
     let fleet = Fleet::start(plan).await.expect("a fleet");
-    flow::settled(&fleet, "/front/x", &fleet.entries()).await;
+    flow::wait_until_settled(&fleet, "/front/x", &fleet.entries()).await;
     fleet
 }
 
@@ -94,16 +94,16 @@
     (0..len).map(|_| rng.random::<u8>()).collect()
 }
 
-async fn ask_all(fleet: &mut Fleet, case: &Case) -> Vec<Told> {
+async fn ask_all(fleet: &mut Fleet, case: &Case) -> Vec<CallResult> {
     let mut rng = StdRng::seed_from_u64(7);
     let entries = fleet.entries();
     let mut asked = JoinSet::new();
     for i in 0..CALLS {
-        let ask = Ask {
+        let ask = Call {
             method: Method::PUT,
             body: body(&mut rng),
             deadline: Duration::from_millis(case.deadline_ms),
-            ..Ask::get(
+            ..Call::get(
                 entries[i % entries.len()],
                 &format!("/front/things/{i}?n={i}"),
                 &format!("{}#{i}", case.name),
@@ -279,13 +279,13 @@
     let mut fleet = start().await;
     for case in cases() {
         let target = calls_low(case.target.clone());
-        flow::set_service(&fleet, "front", &target).await;
-        flow::set_service(&fleet, "low", &case.below).await;
+        flow::set_targets(&fleet, "front", &target).await;
+        flow::set_targets(&fleet, "low", &case.below).await;
         for (from, to) in [("a", "b"), ("b", "a")] {
             fleet.set_links(from, to, &LinkFaults::both(case.links));
         }
         let told = ask_all(&mut fleet, &case).await;
-        println!("{}: {:?}", case.name, flow::tally(&told));
+        println!("{}: {:?}", case.name, flow::count_endings(&told));
         for told in &told {
             let is_whole = told.ending == Ending::Whole;
             assert_ne!(told.ending, Ending::Wrong, "{}", told.describe());
@@ -299,9 +299,9 @@
             case.name
         );
         fleet.heal();
-        flow::quiet(&fleet).await;
+        flow::wait_until_idle(&fleet).await;
     }
-    flow::no_breaches(&fleet).await;
+    flow::assert_no_breaches(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -321,10 +321,10 @@
     for (i, entry) in fleet.entries().into_iter().enumerate() {
         for size in sizes {
             let key = format!("size-{i}-{size}");
-            let ask = Ask {
+            let ask = Call {
                 method: Method::PUT,
                 body: (0..size).map(|i| (i % 251) as u8).collect(),
-                ..Ask::get(entry, "/front/sizes", &key)
+                ..Call::get(entry, "/front/sizes", &key)
             };
             let told = ask.send(&fleet.client).await;
             let runs = fleet.runs("front", &key).await.expect("counts");
