--- a/crates/rig/tests/at_most_once.rs
+++ b/crates/rig/tests/at_most_once.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use serde_json::json;
 
-use self::common::bids::{self, Bid, ENTRY_B, ENTRY_C, HOME, OTHER, Told, until};
+use self::common::bids::{self, Bid, ENTRY_B, ENTRY_C, HOME, OTHER_HOME, Outcome, wait_until};
 
 /// How long a run takes: enough for faults to fall into it.
 const WORK_MS: f64 = 400.0;
@@ -153,7 +153,7 @@
     fleet.heal();
     let up = fleet.platform_fault(FaultMode::Up, FaultScope::All).await;
     up.expect("a platform");
-    for name in [HOME, OTHER, ENTRY_B] {
+    for name in [HOME, OTHER_HOME, ENTRY_B] {
         let member = fleet.member_mut(name);
         match member.node {
             Some(_) => member.wake().expect("awake"),
@@ -165,7 +165,7 @@
 
 /// Waits until the call is where the faults are to strike.
 async fn reach(fleet: &Fleet, bid: &Bid, when: When) {
-    until("the call is under way", || async {
+    wait_until("the call is under way", || async {
         let status = fleet.status(HOME).await.expect("a status");
         let started = !bid.runs(fleet).await.is_empty();
         match when {
@@ -180,9 +180,9 @@
 
 async fn run(fleet: &mut Fleet, case: &Case, serial: usize) {
     let name = format!("{case:?}");
-    let mut bid = Bid::at(fleet, HOME, &format!("case-{serial}")).await;
+    let mut bid = Bid::for_home(fleet, HOME, &format!("case-{serial}")).await;
     bid.deadline_ms = 1500;
-    let mut blocker = Bid::at(fleet, HOME, &format!("blocker-{serial}")).await;
+    let mut blocker = Bid::for_home(fleet, HOME, &format!("blocker-{serial}")).await;
     let mut blocking = None;
     if case.when == When::Queued {
         blocking = Some(blocker.send(fleet, ENTRY_C));
@@ -202,7 +202,7 @@
     }
     // The caller tries again at once through each of the others while the faults last.
     let second = bid.send(fleet, ENTRY_C);
-    let third = bid.send(fleet, OTHER);
+    let third = bid.send(fleet, OTHER_HOME);
     let frozen = [Fault::FreezeEntry, Fault::KillEntry];
     let mut told = Vec::new();
     let [second, third] = [second.await, third.await].map(|told| told.expect("a sending"));
@@ -216,19 +216,19 @@
     told.extend([second, third]);
     bid.check(fleet, &told, &name).await;
     for entry in [ENTRY_B, HOME, ENTRY_C] {
-        told.push(bid.told(fleet, entry).await);
+        told.push(bid.send_and_wait(fleet, entry).await);
     }
-    let mut runs = bid.check_at_rest(fleet, &told, &name).await;
+    let mut runs = bid.check_when_idle(fleet, &told, &name).await;
     let mut last = told.last().expect("sendings").clone();
     if runs.is_empty() && !case.loses_home() {
         // Every sending so far was refused for good; one more runs.
-        told.push(bid.told(fleet, ENTRY_C).await);
-        runs = bid.check_at_rest(fleet, &told, &name).await;
+        told.push(bid.send_and_wait(fleet, ENTRY_C).await);
+        runs = bid.check_when_idle(fleet, &told, &name).await;
         last = told.last().expect("sendings").clone();
     }
     match case.learns {
-        Learns::Answer => assert!(matches!(last, Told::Ran { .. }), "{name}: {told:?}"),
-        Learns::Unknown => assert!(matches!(last, Told::Unknown { .. }), "{name}: {told:?}"),
+        Learns::Answer => assert!(matches!(last, Outcome::Ran { .. }), "{name}: {told:?}"),
+        Learns::Unknown => assert!(matches!(last, Outcome::Unknown { .. }), "{name}: {told:?}"),
     }
     if matches!(case.when, When::Running | When::Ran) {
         assert_eq!(runs, [1], "{name}: {told:?}");
@@ -325,7 +325,7 @@
     let faults = [KillHome, RestartHome, FreezeHome, CutAnswers, StopHome];
     for (serial, fault) in faults.into_iter().cycle().take(10).enumerate() {
         let name = format!("{fault:?} {serial}");
-        for home in [HOME, OTHER] {
+        for home in [HOME, OTHER_HOME] {
             // The entry has noticed by then that its former connections to the home have ended.
             bids::token(&fleet, ENTRY_C, home).await;
         }
@@ -336,20 +336,20 @@
         call.headers
             .insert("coltsfootport-deadline-ms", 2000.into());
         let client = fleet.client.clone();
-        let sending = tokio::spawn(async move { Told::of(&client.send(call).await) });
+        let sending = tokio::spawn(async move { Outcome::from_answer(&client.send(call).await) });
         let runs = async || fleet.runs("bidding", &key).await.expect("counts");
-        until("it runs", async || runs().await == 1).await;
+        wait_until("it runs", async || runs().await == 1).await;
         let of_home = fleet.member(HOME).counts(&fleet.client).await;
         let at_home = of_home.expect("counts").keys.contains_key(key.as_str());
-        let home = if at_home { HOME } else { OTHER };
+        let home = if at_home { HOME } else { OTHER_HOME };
         strike(&mut fleet, home, fault).await;
         let told = sending.await.expect("a sending");
         recover(&mut fleet).await;
-        bids::at_rest(&fleet).await;
+        bids::wait_until_idle(&fleet).await;
         let runs = fleet.runs("bidding", &key).await.expect("counts");
         assert_eq!(runs, 1, "{name}: {told:?}");
         assert!(
-            !told.is_not_run() && told != Told::Nothing,
+            !told.is_not_run() && told != Outcome::Nothing,
             "{name}: {told:?}"
         );
     }
--- a/crates/rig/tests/not_run.rs
+++ b/crates/rig/tests/not_run.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use self::common::bids::{self, Bid, ENTRY_B, ENTRY_C, HOME, OTHER, Told, until};
+use self::common::bids::{self, Bid, ENTRY_B, ENTRY_C, HOME, OTHER_HOME, Outcome, wait_until};
 
 async fn fleet(target: Settings, node: Value) -> Fleet {
     Fleet::start(bids::plan(target, node))
@@ -30,7 +30,7 @@
 
 /// Waits until a node that has not become ready answers calls.
 async fn answers(fleet: &Fleet, entry: &str) {
-    until("an answer", || async {
+    wait_until("an answer", || async {
         let addr = fleet.member(entry).addresses.callers;
         let call = ClientCall::new(addr, Method::GET, "/bidding/lots/1");
         fleet.client.send(call).await.is_ok()
@@ -57,7 +57,7 @@
     let cases = refusing.map(|how| [(how, true), (how, false)]);
     for (serial, (how, numbered)) in cases.into_iter().flatten().enumerate() {
         let name = format!("{how:?}, numbered: {numbered}");
-        let mut bid = Bid::at(&fleet, HOME, &format!("frozen-{serial}")).await;
+        let mut bid = Bid::for_home(&fleet, HOME, &format!("frozen-{serial}")).await;
         bid.numbered = numbered;
         fleet.member_mut(ENTRY_B).freeze().expect("frozen");
         let first = bid.send(&fleet, ENTRY_B);
@@ -73,18 +73,21 @@
             entry.start_node().expect("started");
             answers(&fleet, ENTRY_C).await;
         }
-        bid.malformed = how == Refusing::Malformed;
-        let second = bid.told(&fleet, ENTRY_C).await;
-        bid.malformed = false;
+        bid.malformed_deadline = how == Refusing::Malformed;
+        let second = bid.send_and_wait(&fleet, ENTRY_C).await;
+        bid.malformed_deadline = false;
         fleet.heal();
         let up = fleet.platform_fault(FaultMode::Up, FaultScope::All).await;
         up.expect("a platform");
         fleet.member_mut(ENTRY_B).wake().expect("awake");
         let first = first.await.expect("a sending");
         fleet.all_ready().await.expect("a ready fleet");
-        assert!(matches!(second, Told::Unknown { .. }), "{name}: {second:?}");
+        assert!(
+            matches!(second, Outcome::Unknown { .. }),
+            "{name}: {second:?}"
+        );
         let told = [first, second];
-        let runs = bid.check_at_rest(&fleet, &told, &name).await;
+        let runs = bid.check_when_idle(&fleet, &told, &name).await;
         assert_eq!(
             runs,
             [1],
@@ -99,14 +102,14 @@
     let mut fleet = fleet(slow(5.0), json!({})).await;
     let freezes_ms = [200, 490, 510, 600, 750, 1000, 1500];
     for (serial, freeze_ms) in freezes_ms.into_iter().cycle().take(28).enumerate() {
-        let mut bid = Bid::at(&fleet, HOME, &format!("waited-{serial}")).await;
+        let mut bid = Bid::for_home(&fleet, HOME, &format!("waited-{serial}")).await;
         fleet.member_mut(ENTRY_B).freeze().expect("frozen");
         let sending = bid.send(&fleet, ENTRY_B);
         sleep(Duration::from_millis(freeze_ms)).await;
         fleet.member_mut(ENTRY_B).wake().expect("awake");
         let told = sending.await.expect("a sending");
         let name = format!("frozen for {freeze_ms} ms");
-        assert!(matches!(told, Told::Ran { .. }), "{name}: {told:?}");
+        assert!(matches!(told, Outcome::Ran { .. }), "{name}: {told:?}");
         assert_eq!(bid.check(&fleet, &[told], &name).await, [1], "{name}");
     }
 }
@@ -120,16 +123,16 @@
         let mut gone = Vec::new();
         for serial in 0..40 {
             let token = bids::try_token(&fleet, HOME, HOME).await.expect("a token");
-            gone.push(Bid::of(&format!("gone-{entry}-{serial}"), token));
+            gone.push(Bid::with_token(&format!("gone-{entry}-{serial}"), token));
         }
         fleet.member_mut(entry).freeze().expect("frozen");
         // A second request on the connection hides its end from the HTTP library.
         let behind = ["", "GET /bidding/lots/1 HTTP/1.1\r\nhost: node\r\n\r\n"];
         for (i, bid) in gone.iter_mut().enumerate() {
-            bid.send_and_leave(&fleet, entry, behind[i % 2]);
+            bid.send_and_disconnect(&fleet, entry, behind[i % 2]);
         }
         fleet.member_mut(entry).wake().expect("awake");
-        bids::at_rest(&fleet).await;
+        bids::wait_until_idle(&fleet).await;
         for bid in &gone {
             assert_eq!(bid.runs(&fleet).await, [0; 0], "{entry}");
         }
@@ -144,11 +147,11 @@
     let mut fleet = fleet(slow(800.0), json!({"admission": admission})).await;
     for first_is_queued in [true, false] {
         let name = format!("queued: {first_is_queued}");
-        let mut bid = Bid::at(&fleet, HOME, &format!("older-{first_is_queued}")).await;
-        let mut blocker = Bid::at(&fleet, HOME, &format!("blocker-{first_is_queued}")).await;
-        let mut waiting = Bid::at(&fleet, HOME, &format!("waiting-{first_is_queued}")).await;
+        let mut bid = Bid::for_home(&fleet, HOME, &format!("older-{first_is_queued}")).await;
+        let mut blocker = Bid::for_home(&fleet, HOME, &format!("blocker-{first_is_queued}")).await;
+        let mut waiting = Bid::for_home(&fleet, HOME, &format!("waiting-{first_is_queued}")).await;
         let blocking = blocker.send(&fleet, ENTRY_C);
-        until("the slot is taken", || async {
+        wait_until("the slot is taken", || async {
             blocker.runs(&fleet).await == [1]
         })
         .await;
@@ -161,15 +164,15 @@
                 (first, Some(waiting.send(&fleet, ENTRY_C)))
             }
         };
-        until("the queue is full", || async {
+        wait_until("the queue is full", || async {
             fleet.status(HOME).await.expect("a status")["admission"]["queued"] == 1
         })
         .await;
         bid.deadline_ms = 100;
-        let second = bid.told(&fleet, ENTRY_C).await;
+        let second = bid.send_and_wait(&fleet, ENTRY_C).await;
         assert!(second.is_not_run(), "{name}: {second:?}");
         let told = blocking.await.expect("a sending");
-        assert!(matches!(told, Told::Ran { .. }), "{name}: {told:?}");
+        assert!(matches!(told, Outcome::Ran { .. }), "{name}: {told:?}");
         if let Some(waits) = waits {
             // Either it or sending 2 was shed from the one place; it is told the truth as well.
             let told = waits.await.expect("a sending");
@@ -177,7 +180,7 @@
         }
         fleet.member_mut(ENTRY_B).wake().expect("awake");
         let first = first.await.expect("a sending");
-        let runs = bid.check_at_rest(&fleet, &[first, second], &name).await;
+        let runs = bid.check_when_idle(&fleet, &[first, second], &name).await;
         assert_eq!(runs, [0; 0], "{name}");
     }
 }
@@ -188,15 +191,21 @@
     let mut fleet = fleet(slow(5.0), json!({})).await;
     for (serial, deadline_ms) in [50, 300, 900].into_iter().enumerate() {
         let name = format!("deadline {deadline_ms} ms");
-        let mut bid = Bid::at(&fleet, HOME, &format!("late-{serial}")).await;
+        let mut bid = Bid::for_home(&fleet, HOME, &format!("late-{serial}")).await;
         bid.deadline_ms = deadline_ms;
         fleet.member_mut(HOME).freeze().expect("frozen");
-        let first = bid.told(&fleet, ENTRY_B).await;
-        let second = bid.told(&fleet, ENTRY_C).await;
+        let first = bid.send_and_wait(&fleet, ENTRY_B).await;
+        let second = bid.send_and_wait(&fleet, ENTRY_C).await;
         fleet.member_mut(HOME).wake().expect("awake");
-        assert!(matches!(first, Told::Unknown { .. }), "{name}: {first:?}");
-        assert!(matches!(second, Told::Unknown { .. }), "{name}: {second:?}");
-        bid.check_at_rest(&fleet, &[first, second], &name).await;
+        assert!(
+            matches!(first, Outcome::Unknown { .. }),
+            "{name}: {first:?}"
+        );
+        assert!(
+            matches!(second, Outcome::Unknown { .. }),
+            "{name}: {second:?}"
+        );
+        bid.check_when_idle(&fleet, &[first, second], &name).await;
     }
 }
 
@@ -205,24 +214,24 @@
 async fn a_token_past_its_retention_never_runs() {
     let once = json!({"once": {"retention_ms": 1000, "record_margin_ms": 1000}});
     let fleet = fleet(slow(1.0), once).await;
-    let mut unused = Bid::at(&fleet, HOME, "unused").await;
-    let mut bid = Bid::at(&fleet, HOME, "old").await;
-    let mut told = vec![bid.told(&fleet, ENTRY_B).await];
-    assert!(matches!(told[0], Told::Ran { .. }), "{told:?}");
-    until("the record has expired", || async {
+    let mut unused = Bid::for_home(&fleet, HOME, "unused").await;
+    let mut bid = Bid::for_home(&fleet, HOME, "old").await;
+    let mut told = vec![bid.send_and_wait(&fleet, ENTRY_B).await];
+    assert!(matches!(told[0], Outcome::Ran { .. }), "{told:?}");
+    wait_until("the record has expired", || async {
         let kept = fleet.status(HOME).await.expect("a status")["tokens"]["kept"].clone();
         kept == 0
     })
     .await;
-    for entry in [ENTRY_B, ENTRY_C, HOME, OTHER] {
-        told.push(bid.told(&fleet, entry).await);
-        assert_eq!(told.last().map(Told::error), Some("token-expired"));
+    for entry in [ENTRY_B, ENTRY_C, HOME, OTHER_HOME] {
+        told.push(bid.send_and_wait(&fleet, entry).await);
+        assert_eq!(told.last().map(Outcome::error), Some("token-expired"));
     }
-    assert_eq!(bid.check_at_rest(&fleet, &told, "old").await, [1]);
-    let late = unused.told(&fleet, ENTRY_B).await;
+    assert_eq!(bid.check_when_idle(&fleet, &told, "old").await, [1]);
+    let late = unused.send_and_wait(&fleet, ENTRY_B).await;
     assert_eq!(late.error(), "token-expired");
     assert_eq!(
-        unused.check_at_rest(&fleet, &[late], "unused").await,
+        unused.check_when_idle(&fleet, &[late], "unused").await,
         [0; 0]
     );
 }
@@ -231,7 +240,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_forged_token_never_runs() {
     let fleet = fleet(slow(1.0), json!({})).await;
-    let bid = Bid::at(&fleet, HOME, "true").await;
+    let bid = Bid::for_home(&fleet, HOME, "true").await;
     let text = bid.token();
     let altered = (0..text.len()).map(|i| {
         let other = if &text[i..=i] == "A" { "B" } else { "A" };
@@ -239,8 +248,8 @@
     });
     let forged = altered.chain([text[..text.len() - 2].to_owned(), format!("{text}AA")]);
     for (i, forged) in forged.enumerate() {
-        let mut bid = Bid::of(&format!("forged-{i}"), forged);
-        let told = bid.told(&fleet, ENTRY_B).await;
+        let mut bid = Bid::with_token(&format!("forged-{i}"), forged);
+        let told = bid.send_and_wait(&fleet, ENTRY_B).await;
         // The last character holds unused bits; whatever a decoder makes of them, the token is refused or the same.
         assert_eq!(told.error(), "bad-token", "character {i}: {told:?}");
         assert_eq!(bid.check(&fleet, &[told], "forged").await, [0; 0]);
@@ -264,36 +273,36 @@
     let once = json!({"once": {"capacity": 1}});
     let fleet = fleet(slow(1.0), once).await;
     let token = async || bids::try_token(&fleet, HOME, HOME).await.expect("a token");
-    let mut held = Bid::of("held", token().await);
-    let mut refused = Bid::of("refused", token().await);
-    let mut told = vec![held.told(&fleet, ENTRY_B).await];
-    assert!(matches!(told[0], Told::Ran { .. }), "{told:?}");
-    let full = refused.told(&fleet, ENTRY_C).await;
-    let Told::NotRun { error, fresh } = &full else {
+    let mut held = Bid::with_token("held", token().await);
+    let mut refused = Bid::with_token("refused", token().await);
+    let mut told = vec![held.send_and_wait(&fleet, ENTRY_B).await];
+    assert!(matches!(told[0], Outcome::Ran { .. }), "{told:?}");
+    let full = refused.send_and_wait(&fleet, ENTRY_C).await;
+    let Outcome::NotRun { error, fresh_token } = &full else {
         panic!("{full:?}");
     };
     assert_eq!(error, "table-full");
-    assert!(fresh.is_some(), "no fresh token");
-    told.push(held.told(&fleet, ENTRY_C).await);
+    assert!(fresh_token.is_some(), "no fresh token");
+    told.push(held.send_and_wait(&fleet, ENTRY_C).await);
     assert!(
-        matches!(told[1], Told::Ran { replayed: true, .. }),
+        matches!(told[1], Outcome::Ran { replayed: true, .. }),
         "{told:?}"
     );
     // The same number again, as a copy that was under way would bear it.
     let mut copy = refused.clone();
-    copy.restart_numbers("copy");
-    let again = copy.told(&fleet, ENTRY_B).await;
+    copy.restart_numbering("copy");
+    let again = copy.send_and_wait(&fleet, ENTRY_B).await;
     assert_eq!(again.error(), "token-refused", "{again:?}");
-    copy.check_at_rest(&fleet, &[again], "copy").await;
-    refused.check_at_rest(&fleet, &[full], "refused").await;
-    held.check_at_rest(&fleet, &told, "held").await;
+    copy.check_when_idle(&fleet, &[again], "copy").await;
+    refused.check_when_idle(&fleet, &[full], "refused").await;
+    held.check_when_idle(&fleet, &told, "held").await;
 }
 
 /// Guards against a call with a caller's own key that runs at two targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_key_is_answered_with_a_token() {
     let fleet = fleet(slow(1.0), json!({})).await;
-    for (i, entry) in [ENTRY_B, ENTRY_C, HOME, OTHER].into_iter().enumerate() {
+    for (i, entry) in [ENTRY_B, ENTRY_C, HOME, OTHER_HOME].into_iter().enumerate() {
         let mut call = ClientCall::new(
             fleet.member(entry).addresses.callers,
             Method::POST,
@@ -304,18 +313,18 @@
         let key = "plain".parse().expect("a key");
         call.headers.insert("idempotency-key", key);
         let answer = fleet.client.send(call).await;
-        let told = Told::of(&answer);
+        let told = Outcome::from_answer(&answer);
         assert_eq!(answer.expect("an answer").status, 428);
-        let Told::NotRun { fresh, .. } = told else {
+        let Outcome::NotRun { fresh_token, .. } = told else {
             panic!("{told:?}");
         };
         assert_eq!(fleet.runs("bidding", "plain#1").await.expect("counts"), 0);
-        let mut bid = Bid::of(&format!("fresh-{i}"), fresh.expect("a fresh token"));
+        let mut bid = Bid::with_token(&format!("fresh-{i}"), fresh_token.expect("a fresh token"));
         let told = [
-            bid.told(&fleet, entry).await,
-            bid.told(&fleet, ENTRY_C).await,
+            bid.send_and_wait(&fleet, entry).await,
+            bid.send_and_wait(&fleet, ENTRY_C).await,
         ];
-        assert!(matches!(told[0], Told::Ran { .. }), "{told:?}");
+        assert!(matches!(told[0], Outcome::Ran { .. }), "{told:?}");
         assert_eq!(bid.check(&fleet, &told, entry).await, [1]);
     }
 }
@@ -325,36 +334,36 @@
 async fn a_leaving_home_gives_the_answers_that_it_keeps() {
     let node = json!({"shutdown": {"announce_ms": 0}});
     let mut fleet = fleet(slow(1.0), node).await;
-    let mut ran = Bid::at(&fleet, HOME, "ran").await;
-    let mut running = Bid::at(&fleet, HOME, "running").await;
-    let mut new = Bid::at(&fleet, HOME, "new").await;
-    let mut told = vec![ran.told(&fleet, ENTRY_B).await];
+    let mut ran = Bid::for_home(&fleet, HOME, "ran").await;
+    let mut running = Bid::for_home(&fleet, HOME, "running").await;
+    let mut new = Bid::for_home(&fleet, HOME, "new").await;
+    let mut told = vec![ran.send_and_wait(&fleet, ENTRY_B).await];
     let home = fleet.member(HOME);
     let set = home.set_target(&fleet.client, &slow(2000.0)).await;
     set.expect("settings");
     let first = running.send(&fleet, ENTRY_B);
-    until("it runs", || async { running.runs(&fleet).await == [1] }).await;
+    wait_until("it runs", || async { running.runs(&fleet).await == [1] }).await;
     let drain = fleet
         .client
         .post_json(home.addresses.operators, "/drain", &Value::Null);
     drain.await.expect("draining");
-    until("the home leaves", || async {
+    wait_until("the home leaves", || async {
         fleet.status(HOME).await.expect("a status")["phase"] == "leaving"
     })
     .await;
-    for entry in [ENTRY_B, ENTRY_C, OTHER] {
-        told.push(ran.told(&fleet, entry).await);
-        let replayed = matches!(told.last(), Some(Told::Ran { replayed: true, .. }));
+    for entry in [ENTRY_B, ENTRY_C, OTHER_HOME] {
+        told.push(ran.send_and_wait(&fleet, entry).await);
+        let replayed = matches!(told.last(), Some(Outcome::Ran { replayed: true, .. }));
         assert!(replayed, "{told:?}");
     }
-    let refused = new.told(&fleet, ENTRY_C).await;
+    let refused = new.send_and_wait(&fleet, ENTRY_C).await;
     assert_eq!(refused.error(), "leaving", "{refused:?}");
     let second = running.send(&fleet, ENTRY_C);
     let both = [first, second].map(|sending| async { sending.await.expect("a sending") });
     let [first, second] = both;
     let both = [first.await, second.await];
     assert!(
-        both.iter().all(|told| matches!(told, Told::Ran { .. })),
+        both.iter().all(|told| matches!(told, Outcome::Ran { .. })),
         "{both:?}"
     );
     running.check(&fleet, &both, "running").await;
@@ -376,9 +385,9 @@
     let mut bids: Vec<Bid> = Vec::new();
     for i in 0..60 {
         let token = bids::try_token(&fleet, HOME, HOME).await.expect("a token");
-        let mut bid = Bid::of(&format!("shed-{i}"), token);
+        let mut bid = Bid::with_token(&format!("shed-{i}"), token);
         bid.deadline_ms = [60, 200, 2000][i % 3];
-        bid.patience = [common::EVENT_TIMEOUT, Duration::from_millis(50)][i % 2];
+        bid.client_timeout = [common::EVENT_TIMEOUT, Duration::from_millis(50)][i % 2];
         bids.push(bid);
     }
     let mut sendings = Vec::new();
@@ -396,7 +405,7 @@
         told.push(both);
     }
     assert!(shed > 0, "nothing was shed: {told:?}");
-    bids::at_rest(&fleet).await;
+    bids::wait_until_idle(&fleet).await;
     for (bid, told) in bids.iter().zip(&told) {
         bid.check(&fleet, told, "shed").await;
     }
@@ -418,13 +427,13 @@
     let client = fleet.client.clone();
     let set = fleet.member(HOME).set_target(&client, &broken).await;
     set.expect("settings");
-    fleet.member_mut(OTHER).target = None;
+    fleet.member_mut(OTHER_HOME).target = None;
     let mut tried = 0;
     for i in 0..60 {
         let key = format!("attempts-{i}");
         let addr = fleet.member(HOME).addresses.callers;
         let call = common::get_with_key(addr, "/bidding/lots/1", &key, common::EVENT_TIMEOUT);
-        let told = Told::of(&fleet.client.send(call).await);
+        let told = Outcome::from_answer(&fleet.client.send(call).await);
         let counts = fleet.member(HOME).counts(&fleet.client).await;
         let counts = counts.expect("counts");
         let ran = counts.keys.contains_key(key.as_str());
@@ -443,17 +452,17 @@
         ..slow(300.0)
     };
     let mut fleet = fleet(target, json!({"shutdown": {"announce_ms": 0}})).await;
-    let mut bid = Bid::at(&fleet, HOME, "last").await;
+    let mut bid = Bid::for_home(&fleet, HOME, "last").await;
     let latency = DirectionFaults::latency(Duration::from_millis(15));
     fleet.set_links("b", "a", &LinkFaults::both(latency));
     let first = bid.send(&fleet, ENTRY_B);
-    until("it runs", || async { bid.runs(&fleet).await == [1] }).await;
+    wait_until("it runs", || async { bid.runs(&fleet).await == [1] }).await;
     let stopped = fleet
         .member_mut(HOME)
         .stop_node(common::EVENT_TIMEOUT)
         .await;
     assert!(stopped.expect("a stop"), "the home has not stopped");
     let first = first.await.expect("a sending");
-    assert!(matches!(first, Told::Ran { .. }), "{first:?}");
+    assert!(matches!(first, Outcome::Ran { .. }), "{first:?}");
     assert_eq!(bid.check(&fleet, &[first], "last").await, [1]);
 }
