--- a/crates/rig/tests/at_most_once.rs
+++ b/crates/rig/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call with a token runs at most once, whatever fails while it is sent again and again through other entries.
+//! A call with a token runs at most once, whatever fails while its caller retries it through other entries.
 
 mod common;
 
@@ -11,96 +11,100 @@
 
 use self::common::bids::{self, Bid, ENTRY_B, ENTRY_C, HOME, OTHER_HOME, Outcome, wait_until};
 
-/// How long a run takes: enough for faults to fall into it.
-const WORK_MS: f64 = 400.0;
+/// Service time of the targets, long enough to inject faults while a call runs.
+const SERVICE_TIME_MS: f64 = 400.0;
 
-/// What is done to the fleet.
+/// A fault injected into the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The home's node is killed and started again only at the end.
+    /// The node of the home is killed, and restarted only when all faults are lifted.
     KillHome,
-    /// The home's node is killed and started again at once, beside its target which works on.
+    /// The node of the home is killed and restarted at once, while its target keeps running.
     RestartHome,
-    /// The home's node sleeps past every deadline.
+    /// The node of the home is frozen beyond every deadline.
     FreezeHome,
-    /// The home's node is told to stop gracefully and started again when it has.
+    /// The node of the home is stopped gracefully, and restarted when all faults are lifted.
     StopHome,
-    /// The first entry sleeps.
+    /// The first entry is frozen.
     FreezeEntry,
     /// The first entry is killed.
     KillEntry,
-    /// Nothing passes between the home and all others.
+    /// The links between the home and all other nodes drop everything.
     CutHome,
-    /// Nothing passes between the home and the first entry; the other entry still reaches it.
+    /// The link between the home and the first entry drops everything; the other entry still reaches the home.
     CutEntry,
-    /// Answers of the home are lost, requests arrive.
+    /// Requests reach the home, but its answers are lost.
     CutAnswers,
-    /// Half of all datagrams come twice, half are overtaken by later ones.
+    /// Half of all datagrams are duplicated and half are reordered.
     Scramble,
     /// No node can read the platform.
     PlatformDown,
 }
 
-/// When the faults strike.
+/// The state of the call when the faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum When {
-    /// Before the call is sent.
-    Before,
-    /// It waits at its home for another call.
+enum CallState {
+    /// Not yet sent.
+    NotSent,
+    /// Queued at its home behind another call.
     Queued,
-    /// It is at its target.
+    /// Running at its target.
     Running,
-    /// It has run and been answered.
+    /// Finished at its target and answered.
     Ran,
 }
 
-/// What the caller learns by its last sending, when all faults are over.
+/// The expected outcome of the last attempt, after all faults are lifted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Learns {
+enum FinalOutcome {
     /// The answer of the one run.
     Answer,
-    /// The home's memory is gone with its process.
+    /// "Unknown", since the records of the home were lost with its process.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    when: When,
+    call_state: CallState,
     faults: &'static [Fault],
-    learns: Learns,
+    final_outcome: FinalOutcome,
 }
 
-const fn case(when: When, faults: &'static [Fault], learns: Learns) -> Case {
+const fn case(
+    call_state: CallState,
+    faults: &'static [Fault],
+    final_outcome: FinalOutcome,
+) -> Case {
     Case {
-        when,
+        call_state,
         faults,
-        learns,
+        final_outcome,
     }
 }
 
 impl Case {
-    /// Whether the home that the token names is gone at the end.
+    /// Whether the incarnation of the home that the token names has ended.
     fn loses_home(&self) -> bool {
-        let ends = [Fault::KillHome, Fault::RestartHome, Fault::StopHome];
-        self.faults.iter().any(|fault| ends.contains(fault))
+        let home_faults = [Fault::KillHome, Fault::RestartHome, Fault::StopHome];
+        self.faults.iter().any(|fault| home_faults.contains(fault))
     }
 }
 
 async fn fleet() -> Fleet {
     let target = Settings {
-        service_ms: WORK_MS,
+        service_ms: SERVICE_TIME_MS,
         ignore_cancel: true,
         ..Settings::default()
     };
-    let one = json!({"mode": "static", "initial_limit": 1, "min_limit": 1, "max_limit": 1});
-    let node = json!({"admission": one, "shutdown": {"announce_ms": 100}});
+    let one_slot = json!({"mode": "static", "initial_limit": 1, "min_limit": 1, "max_limit": 1});
+    let node = json!({"admission": one_slot, "shutdown": {"announce_ms": 100}});
     Fleet::start(bids::plan(target, node))
         .await
         .expect("a fleet")
 }
 
-async fn strike(fleet: &mut Fleet, home: &str, fault: Fault) {
-    let both = LinkFaults::both;
+async fn inject(fleet: &mut Fleet, home: &str, fault: Fault) {
+    let both_directions = LinkFaults::both;
     match fault {
         Fault::KillHome => fleet.member_mut(home).kill_node().expect("killed"),
         Fault::RestartHome => {
@@ -139,7 +143,7 @@
                 ..DirectionFaults::default()
             };
             for (from, to) in [("a", "b"), ("b", "a"), ("a", "c"), ("c", "a")] {
-                fleet.set_links(from, to, &both(scrambled));
+                fleet.set_links(from, to, &both_directions(scrambled));
             }
         }
         Fault::PlatformDown => {
@@ -149,6 +153,7 @@
     }
 }
 
+/// Lifts all faults, wakes or restarts the nodes and waits until all of them are ready.
 async fn recover(fleet: &mut Fleet) {
     fleet.heal();
     let up = fleet.platform_fault(FaultMode::Up, FaultScope::All).await;
@@ -163,16 +168,16 @@
     fleet.all_ready().await.expect("a ready fleet");
 }
 
-/// Waits until the call is where the faults are to strike.
-async fn reach(fleet: &Fleet, bid: &Bid, when: When) {
-    wait_until("the call is under way", || async {
+/// Waits until the call is in `state`.
+async fn wait_for_state(fleet: &Fleet, bid: &Bid, state: CallState) {
+    wait_until("the call reaches its state", || async {
         let status = fleet.status(HOME).await.expect("a status");
         let started = !bid.runs(fleet).await.is_empty();
-        match when {
-            When::Before => true,
-            When::Queued => status["admission"]["queued"] == 1,
-            When::Running => started,
-            When::Ran => started && status["admission"]["in_flight"] == 0,
+        match state {
+            CallState::NotSent => true,
+            CallState::Queued => status["admission"]["queued"] == 1,
+            CallState::Running => started,
+            CallState::Ran => started && status["admission"]["in_flight"] == 0,
         }
     })
     .await;
@@ -184,58 +189,63 @@
     bid.deadline_ms = 1500;
     let mut blocker = Bid::for_home(fleet, HOME, &format!("blocker-{serial}")).await;
     let mut blocking = None;
-    if case.when == When::Queued {
+    if case.call_state == CallState::Queued {
         blocking = Some(blocker.send(fleet, ENTRY_C));
-        reach(fleet, &blocker, When::Running).await;
+        wait_for_state(fleet, &blocker, CallState::Running).await;
     }
-    if case.when == When::Before {
+    if case.call_state == CallState::NotSent {
         for fault in case.faults {
-            strike(fleet, HOME, *fault).await;
+            inject(fleet, HOME, *fault).await;
         }
     }
     let first = bid.send(fleet, ENTRY_B);
-    if case.when != When::Before {
-        reach(fleet, &bid, case.when).await;
+    if case.call_state != CallState::NotSent {
+        wait_for_state(fleet, &bid, case.call_state).await;
         for fault in case.faults {
-            strike(fleet, HOME, *fault).await;
+            inject(fleet, HOME, *fault).await;
         }
     }
-    // The caller tries again at once through each of the others while the faults last.
+    // While the faults last, the caller retries at once through both other nodes.
     let second = bid.send(fleet, ENTRY_C);
     let third = bid.send(fleet, OTHER_HOME);
-    let frozen = [Fault::FreezeEntry, Fault::KillEntry];
-    let mut told = Vec::new();
-    let [second, third] = [second.await, third.await].map(|told| told.expect("a sending"));
-    if case.faults.iter().any(|fault| frozen.contains(fault)) {
+    let entry_faults = [Fault::FreezeEntry, Fault::KillEntry];
+    let mut outcomes = Vec::new();
+    let [second, third] = [second.await, third.await].map(|outcome| outcome.expect("an attempt"));
+    if case.faults.iter().any(|fault| entry_faults.contains(fault)) {
         recover(fleet).await;
-        told.push(first.await.expect("a sending"));
+        outcomes.push(first.await.expect("an attempt"));
     } else {
-        told.push(first.await.expect("a sending"));
+        outcomes.push(first.await.expect("an attempt"));
         recover(fleet).await;
     }
-    told.extend([second, third]);
-    bid.check(fleet, &told, &name).await;
+    outcomes.extend([second, third]);
+    bid.check(fleet, &outcomes, &name).await;
     for entry in [ENTRY_B, HOME, ENTRY_C] {
-        told.push(bid.send_and_wait(fleet, entry).await);
+        outcomes.push(bid.send_and_wait(fleet, entry).await);
     }
-    let mut runs = bid.check_when_idle(fleet, &told, &name).await;
-    let mut last = told.last().expect("sendings").clone();
+    let mut runs = bid.check_when_idle(fleet, &outcomes, &name).await;
+    let mut last = outcomes.last().expect("attempts").clone();
     if runs.is_empty() && !case.loses_home() {
-        // Every sending so far was refused for good; one more runs.
-        told.push(bid.send_and_wait(fleet, ENTRY_C).await);
-        runs = bid.check_when_idle(fleet, &told, &name).await;
-        last = told.last().expect("sendings").clone();
+        // Every attempt so far was told "not run", so a further one has to run.
+        outcomes.push(bid.send_and_wait(fleet, ENTRY_C).await);
+        runs = bid.check_when_idle(fleet, &outcomes, &name).await;
+        last = outcomes.last().expect("attempts").clone();
     }
-    match case.learns {
-        Learns::Answer => assert!(matches!(last, Outcome::Ran { .. }), "{name}: {told:?}"),
-        Learns::Unknown => assert!(matches!(last, Outcome::Unknown { .. }), "{name}: {told:?}"),
+    match case.final_outcome {
+        FinalOutcome::Answer => {
+            assert!(matches!(last, Outcome::Ran { .. }), "{name}: {outcomes:?}")
+        }
+        FinalOutcome::Unknown => assert!(
+            matches!(last, Outcome::Unknown { .. }),
+            "{name}: {outcomes:?}"
+        ),
     }
-    if matches!(case.when, When::Running | When::Ran) {
-        assert_eq!(runs, [1], "{name}: {told:?}");
+    if matches!(case.call_state, CallState::Running | CallState::Ran) {
+        assert_eq!(runs, [1], "{name}: {outcomes:?}");
     }
     if let Some(blocking) = blocking {
-        let told = blocking.await.expect("a sending");
-        blocker.check(fleet, &[told], &name).await;
+        let outcome = blocking.await.expect("an attempt");
+        blocker.check(fleet, &[outcome], &name).await;
     }
 }
 
@@ -246,15 +256,14 @@
     }
 }
 
-// Symptom: a bid is placed twice after its answer was lost.
-// Sequence: the home or the way to it fails before, while or after the bid is at the target; the caller sends it again
-// through every other entry, during the fault and after it.
-// Cause: a sending runs where the record of the first one is not: at another target, or at a new run of the home.
+// Guards against a bid that is placed twice after its answer was lost: the home, the entry or the links between them fail
+// while the bid runs, and the caller retries it through every other entry, during and after the fault. The bid runs twice
+// if a retry is accepted where the first attempt is not recorded: at another target, or at a new incarnation of the home.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_fault_at_the_target() {
+    use CallState::*;
     use Fault::*;
-    use Learns::*;
-    use When::*;
+    use FinalOutcome::*;
     run_all(&[
         case(Running, &[CutAnswers], Answer),
         case(Running, &[CutHome], Answer),
@@ -269,12 +278,13 @@
     .await;
 }
 
-// Symptom, sequence and cause: as before, where the bid has not reached its target or has left it.
+// Guards against the same failure as `one_fault_at_the_target`, with faults before the bid reaches its target or after
+// it has run.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_fault_before_or_after() {
+    use CallState::*;
     use Fault::*;
-    use Learns::*;
-    use When::*;
+    use FinalOutcome::*;
     run_all(&[
         case(Queued, &[KillHome], Unknown),
         case(Queued, &[FreezeHome], Answer),
@@ -283,21 +293,21 @@
         case(Ran, &[KillHome], Unknown),
         case(Ran, &[CutHome], Answer),
         case(Ran, &[PlatformDown], Answer),
-        case(Before, &[Scramble], Answer),
-        case(Before, &[FreezeHome], Answer),
-        case(Before, &[FreezeEntry], Answer),
-        case(Before, &[KillHome], Unknown),
+        case(NotSent, &[Scramble], Answer),
+        case(NotSent, &[FreezeHome], Answer),
+        case(NotSent, &[FreezeEntry], Answer),
+        case(NotSent, &[KillHome], Unknown),
     ])
     .await;
 }
 
-// Symptom and sequence: as with one fault, where the second one hides what the first left known.
-// Cause: a rule that holds for each fault by itself rests on the other's absence, such as on a reachable home.
+// Guards against a bid that is placed twice when a second fault hides what could be known after the first: a rule that
+// holds under each fault alone may depend on the absence of the other, such as on a reachable home.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_faults_at_once() {
+    use CallState::*;
     use Fault::*;
-    use Learns::*;
-    use When::*;
+    use FinalOutcome::*;
     run_all(&[
         case(Running, &[KillHome, FreezeEntry], Unknown),
         case(Running, &[RestartHome, PlatformDown], Unknown),
@@ -308,16 +318,15 @@
         case(Running, &[StopHome, CutEntry], Unknown),
         case(Queued, &[FreezeHome, CutEntry], Answer),
         case(Queued, &[KillHome, FreezeEntry], Unknown),
-        case(Before, &[Scramble, FreezeHome], Answer),
-        case(Before, &[Scramble, KillHome], Unknown),
-        case(Before, &[CutAnswers, FreezeEntry], Answer),
+        case(NotSent, &[Scramble, FreezeHome], Answer),
+        case(NotSent, &[Scramble, KillHome], Unknown),
+        case(NotSent, &[CutAnswers, FreezeEntry], Answer),
     ])
     .await;
 }
 
-// Symptom: a bid without token or key is placed twice.
-// Sequence: its answer is lost, or the home is killed or sleeps, while the bid is at the target; there is another target.
-// Cause: the entry sends on what it does not know not to have run.
+// Guards against a bid without token or key that is placed twice: its answer is lost, or its node is killed, stopped or
+// frozen, while the bid runs, and the entry retries it at the second target without proof that it has not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_without_identity_is_not_sent_twice() {
     use Fault::*;
@@ -326,7 +335,7 @@
     for (serial, fault) in faults.into_iter().cycle().take(10).enumerate() {
         let name = format!("{fault:?} {serial}");
         for home in [HOME, OTHER_HOME] {
-            // The entry has noticed by then that its former connections to the home have ended.
+            // Once a probe has run, the entry has detected that its previous connections to the home are closed.
             bids::token(&fleet, ENTRY_C, home).await;
         }
         let key = format!("plain-{serial}");
@@ -336,21 +345,21 @@
         call.headers
             .insert("coltsfootport-deadline-ms", 2000.into());
         let client = fleet.client.clone();
-        let sending = tokio::spawn(async move { Outcome::from_answer(&client.send(call).await) });
+        let attempt = tokio::spawn(async move { Outcome::from_answer(&client.send(call).await) });
         let runs = async || fleet.runs("bidding", &key).await.expect("counts");
         wait_until("it runs", async || runs().await == 1).await;
         let of_home = fleet.member(HOME).counts(&fleet.client).await;
         let at_home = of_home.expect("counts").keys.contains_key(key.as_str());
         let home = if at_home { HOME } else { OTHER_HOME };
-        strike(&mut fleet, home, fault).await;
-        let told = sending.await.expect("a sending");
+        inject(&mut fleet, home, fault).await;
+        let outcome = attempt.await.expect("an attempt");
         recover(&mut fleet).await;
         bids::wait_until_idle(&fleet).await;
         let runs = fleet.runs("bidding", &key).await.expect("counts");
-        assert_eq!(runs, 1, "{name}: {told:?}");
+        assert_eq!(runs, 1, "{name}: {outcome:?}");
         assert!(
-            !told.is_not_run() && told != Outcome::Nothing,
-            "{name}: {told:?}"
+            !outcome.is_not_run() && outcome != Outcome::Nothing,
+            "{name}: {outcome:?}"
         );
     }
 }
--- a/crates/rig/tests/common/bids.rs
+++ b/crates/rig/tests/common/bids.rs
@@ -265,7 +265,7 @@
         runs
     }
 
-    /// Runs [`Bid::check`] now and again once the fleet is idle, and asserts that no node has counted an invariant breach.
+    /// Runs [`Bid::check`] now and again once the fleet is idle; also asserts that no node counted an invariant breach.
     pub async fn check_when_idle(
         &self,
         fleet: &Fleet,
