--- a/crates/rig/tests/at_most_once.rs
+++ b/crates/rig/tests/at_most_once.rs
@@ -256,9 +256,9 @@
 }
 
 // Guards against a bid that is placed twice after its answer was lost: the home, the entry or the links between them
-// fail while the bid runs, and the caller retries it through every other entry, during and after the fault. The bid runs
-// twice if a retry is accepted where the first attempt is not recorded: at another target, or at a new incarnation of
-// the home.
+// fail while the bid runs, and the caller retries it through every other entry, during and after the fault. The bid
+// runs twice if a retry is accepted where the first attempt is not recorded: at another target, or at a new incarnation
+// of the home.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_fault_at_the_target() {
     use CallState::*;
--- a/crates/rig/tests/whole_answer.rs
+++ b/crates/rig/tests/whole_answer.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request or an error, whatever happens on the way.
+//! A caller gets the complete answer to its own request or an error, whatever fails on the path.
 
 #[path = "common/flow.rs"]
 mod flow;
@@ -19,47 +19,47 @@
 
 use flow::{Call, CallResult};
 
-/// Largest body that the nodes take.
+/// Largest body that the nodes accept, in bytes.
 const BODY_LIMIT: usize = 256 * 1024;
 
-/// Calls of each case, all at once.
+/// Number of concurrent calls in each case.
 const CALLS: usize = 400;
 
-/// Disturbances while the calls of a case are under way.
-const DISTURBANCES: usize = 4;
+/// How often the disturbance is repeated while the calls of a case are in flight.
+const DISTURBANCE_COUNT: usize = 4;
 
-/// What is done again and again while calls are under way.
+/// A fault that is injected and lifted repeatedly while calls are in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Disturbance {
     #[default]
     None,
-    /// Both directions between the failure domains are cut and healed.
+    /// Both directions between the failure domains are cut and restored.
     Cut,
-    /// A host is frozen and woken.
+    /// A node is frozen and resumed.
     Freeze,
-    /// A host is killed and started again.
+    /// A node is killed and restarted.
     Kill,
 }
 
-/// What goes wrong.
+/// The faults of a test case and the endings it expects.
 #[derive(Clone, Debug, Default)]
 struct Case {
     name: &'static str,
     links: DirectionFaults,
-    /// Behaviour of the targets of the service called.
+    /// Settings of the targets of the called service.
     target: Settings,
-    /// Behaviour of the targets of the service below it.
-    below: Settings,
+    /// Settings of the targets of its downstream service.
+    downstream_target: Settings,
     disturbance: Disturbance,
     /// Deadline of each call in milliseconds.
     deadline_ms: u64,
-    /// Whether every call is to succeed.
-    all_whole: bool,
-    /// Whether none may.
-    none_whole: bool,
+    /// Whether every call must succeed.
+    all_succeed: bool,
+    /// Whether every call must fail.
+    none_succeed: bool,
 }
 
-fn calls_low(target: Settings) -> Settings {
+fn with_downstream_call(target: Settings) -> Settings {
     let downstream = vec!["GET /low/x".parse().expect("a call")];
     Settings {
         downstream,
@@ -68,12 +68,15 @@
 }
 
 async fn start() -> Fleet {
-    let services =
-        [("front", calls_low(quick())), ("low", quick())].map(|(name, target)| ServicePlan {
-            target,
-            document: ServicePlan::document(name, 3),
-            ..ServicePlan::new(name, &["a", "b"])
-        });
+    let services = [
+        ("front", with_downstream_call(fast_target())),
+        ("low", fast_target()),
+    ]
+    .map(|(name, target)| ServicePlan {
+        target,
+        document: ServicePlan::document(name, 3),
+        ..ServicePlan::new(name, &["a", "b"])
+    });
     let mut node = flow::allowance_only_settings();
     node["limits"] = json!({ "body_bytes": BODY_LIMIT });
     let plan = FleetPlan {
@@ -87,21 +90,22 @@
     fleet
 }
 
-/// A body of its own for each call, most of them short.
-fn body(rng: &mut StdRng) -> Bytes {
-    let longest = 1 << rng.random_range(0..17);
-    let len = rng.random_range(0..longest);
+/// Generates a random body; the length limit is drawn from powers of two, so that most bodies are short.
+fn random_body(rng: &mut StdRng) -> Bytes {
+    let max_len = 1 << rng.random_range(0..17);
+    let len = rng.random_range(0..max_len);
     (0..len).map(|_| rng.random::<u8>()).collect()
 }
 
-async fn ask_all(fleet: &mut Fleet, case: &Case) -> Vec<CallResult> {
+/// Sends the calls of a case, repeats its disturbance meanwhile, and returns all results.
+async fn send_calls(fleet: &mut Fleet, case: &Case) -> Vec<CallResult> {
     let mut rng = StdRng::seed_from_u64(7);
     let entries = fleet.entries();
-    let mut asked = JoinSet::new();
+    let mut calls = JoinSet::new();
     for i in 0..CALLS {
-        let ask = Call {
+        let call = Call {
             method: Method::PUT,
-            body: body(&mut rng),
+            body: random_body(&mut rng),
             deadline: Duration::from_millis(case.deadline_ms),
             ..Call::get(
                 entries[i % entries.len()],
@@ -109,35 +113,35 @@
                 &format!("{}#{i}", case.name),
             )
         };
-        let (client, wait) = (fleet.client.clone(), rng.random_range(0..400));
-        asked.spawn(async move {
-            sleep(Duration::from_millis(wait)).await;
-            ask.send(&client).await
+        let (client, delay_ms) = (fleet.client.clone(), rng.random_range(0..400));
+        calls.spawn(async move {
+            sleep(Duration::from_millis(delay_ms)).await;
+            call.send(&client).await
         });
     }
-    for _ in 0..DISTURBANCES {
+    for _ in 0..DISTURBANCE_COUNT {
         disturb(fleet, case.disturbance).await;
     }
-    asked.join_all().await
+    calls.join_all().await
 }
 
 async fn disturb(fleet: &mut Fleet, disturbance: Disturbance) {
     let pause = || sleep(Duration::from_millis(60));
     let client = fleet.client.clone();
-    let host = "front-2";
+    let node = "front-2";
     match disturbance {
         Disturbance::None => return,
         Disturbance::Cut => fleet.cut("a", "b", Cut::Blackhole),
-        Disturbance::Freeze => fleet.member_mut(host).freeze().expect("a running node"),
-        Disturbance::Kill => fleet.member_mut(host).kill_node().expect("a running node"),
+        Disturbance::Freeze => fleet.member_mut(node).freeze().expect("a running node"),
+        Disturbance::Kill => fleet.member_mut(node).kill_node().expect("a running node"),
     }
     pause().await;
     match disturbance {
         Disturbance::None => {}
         Disturbance::Cut => fleet.heal(),
-        Disturbance::Freeze => fleet.member_mut(host).wake().expect("a frozen node"),
+        Disturbance::Freeze => fleet.member_mut(node).wake().expect("a frozen node"),
         Disturbance::Kill => {
-            let member = fleet.member_mut(host);
+            let member = fleet.member_mut(node);
             member.start_node().expect("a node");
             member.ready(&client).await.expect("a ready node");
         }
@@ -148,9 +152,9 @@
 fn cases() -> Vec<Case> {
     let slow = Settings {
         service_ms: 20.0,
-        ..quick()
+        ..fast_target()
     };
-    let jumbled = DirectionFaults {
+    let reordered = DirectionFaults {
         duplicate: 0.3,
         reorder: 0.3,
         reorder_ms: 8.0,
@@ -159,28 +163,28 @@
     };
     let lossy = DirectionFaults {
         loss: 0.02,
-        ..jumbled
+        ..reordered
     };
     let large = Settings {
         answer_bytes: 60_000,
         ..slow.clone()
     };
-    let cut_short = Settings {
+    let truncated = Settings {
         truncate_bytes: Some(120),
-        ..quick()
+        ..fast_target()
     };
     let often_late = Settings {
         service_ms: 150.0,
         service_time: ServiceTime::Exponential,
-        ..quick()
+        ..fast_target()
     };
     let too_large = Settings {
         answer_bytes: BODY_LIMIT + 1,
-        ..quick()
+        ..fast_target()
     };
     let case = Case {
         target: slow.clone(),
-        below: quick(),
+        downstream_target: fast_target(),
         deadline_ms: 8_000,
         ..Case::default()
     };
@@ -191,13 +195,13 @@
     vec![
         Case {
             name: "no-fault",
-            all_whole: true,
+            all_succeed: true,
             ..case.clone()
         },
         Case {
             name: "jumbled",
-            links: jumbled,
-            all_whole: true,
+            links: reordered,
+            all_succeed: true,
             ..case.clone()
         },
         Case {
@@ -208,20 +212,20 @@
         },
         Case {
             name: "cut-short",
-            target: cut_short.clone(),
-            none_whole: true,
+            target: truncated.clone(),
+            none_succeed: true,
             ..case.clone()
         },
         Case {
             name: "below-cut-short",
-            below: cut_short,
-            none_whole: true,
+            downstream_target: truncated,
+            none_succeed: true,
             ..case.clone()
         },
         Case {
             name: "too-large",
             target: too_large,
-            none_whole: true,
+            none_succeed: true,
             ..case.clone()
         },
         Case {
@@ -232,7 +236,7 @@
         },
         Case {
             name: "late-jumbled",
-            links: jumbled,
+            links: reordered,
             target: often_late,
             deadline_ms: 200,
             ..case.clone()
@@ -262,7 +266,7 @@
     ]
 }
 
-fn quick() -> Settings {
+fn fast_target() -> Settings {
     Settings {
         slots: 1000,
         service_ms: 1.0,
@@ -270,31 +274,31 @@
     }
 }
 
-/// Symptom: a caller takes part of an answer, or the answer to somebody else's request, for its own.
-/// Sequence: hundreds of calls share the connections between nodes; answers are cut, late, lost, sent twice or overtaken,
-/// hosts freeze, wake, die and come back.
-/// Cause: an answer that ended early passes for a whole one, or one that came late is matched to the next call.
+/// Guards against a caller that receives a truncated answer, or the answer to another call, as a success. Hundreds of
+/// calls share the connections between nodes, while answers are truncated, late, lost, duplicated or reordered and nodes
+/// are frozen, resumed, killed and restarted. The failure occurs if a truncated answer is taken for a complete one, or a
+/// late answer is matched to the next call.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_wrong_or_partial_answer_is_a_success() {
     let mut fleet = start().await;
     for case in cases() {
-        let target = calls_low(case.target.clone());
+        let target = with_downstream_call(case.target.clone());
         flow::set_targets(&fleet, "front", &target).await;
-        flow::set_targets(&fleet, "low", &case.below).await;
+        flow::set_targets(&fleet, "low", &case.downstream_target).await;
         for (from, to) in [("a", "b"), ("b", "a")] {
             fleet.set_links(from, to, &LinkFaults::both(case.links));
         }
-        let told = ask_all(&mut fleet, &case).await;
-        println!("{}: {:?}", case.name, flow::count_endings(&told));
-        for told in &told {
-            let is_whole = told.ending == Ending::Whole;
-            assert_ne!(told.ending, Ending::Wrong, "{}", told.describe());
-            assert!(is_whole || !case.all_whole, "{}", told.describe());
-            assert!(!is_whole || !case.none_whole, "{}", told.describe());
+        let results = send_calls(&mut fleet, &case).await;
+        println!("{}: {:?}", case.name, flow::count_endings(&results));
+        for result in &results {
+            let is_whole = result.ending == Ending::Whole;
+            assert_ne!(result.ending, Ending::Wrong, "{}", result.describe());
+            assert!(is_whole || !case.all_succeed, "{}", result.describe());
+            assert!(!is_whole || !case.none_succeed, "{}", result.describe());
         }
-        let is_some_whole = told.iter().any(|told| told.ending == Ending::Whole);
+        let any_whole = results.iter().any(|result| result.ending == Ending::Whole);
         assert!(
-            is_some_whole || case.none_whole,
+            any_whole || case.none_succeed,
             "{}: no call succeeded",
             case.name
         );
@@ -321,26 +325,26 @@
     for (i, entry) in fleet.entries().into_iter().enumerate() {
         for size in sizes {
             let key = format!("size-{i}-{size}");
-            let ask = Call {
+            let call = Call {
                 method: Method::PUT,
                 body: (0..size).map(|i| (i % 251) as u8).collect(),
                 ..Call::get(entry, "/front/sizes", &key)
             };
-            let told = ask.send(&fleet.client).await;
+            let result = call.send(&fleet.client).await;
             let runs = fleet.runs("front", &key).await.expect("counts");
             if size <= BODY_LIMIT {
                 assert_eq!(
-                    (told.ending, runs),
+                    (result.ending, runs),
                     (Ending::Whole, 1),
                     "{}",
-                    told.describe()
+                    result.describe()
                 );
                 continue;
             }
-            let status = told.result.as_ref().map(|answer| answer.status).ok();
-            let seen = (told.ending, status, runs);
+            let status = result.result.as_ref().map(|answer| answer.status).ok();
+            let actual = (result.ending, status, runs);
             let expected = (Ending::NotRun, Some(StatusCode::PAYLOAD_TOO_LARGE), 0);
-            assert_eq!(seen, expected, "{}", told.describe());
+            assert_eq!(actual, expected, "{}", result.describe());
         }
     }
 }
