--- a/crates/rig/tests/at_most_once.rs
+++ b/crates/rig/tests/at_most_once.rs
@@ -257,8 +257,8 @@
 
 // Guards against a bid that is placed twice after its answer was lost: the home, the entry or the links between them
 // fail while the bid runs, and the caller retries it through every other entry, during and after the fault. The bid
-// runs twice if a retry is accepted where the first attempt is not recorded: at another target, or at a new incarnation
-// of the home.
+// runs twice if a retry is accepted where the first attempt is not recorded: at another target, or at a new
+// incarnation of the home.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_fault_at_the_target() {
     use CallState::*;
@@ -325,8 +325,8 @@
     .await;
 }
 
-// Guards against a bid without token or key that is placed twice: its answer is lost, or its node is killed, stopped or
-// frozen, while the bid runs, and the entry retries it at the second target without proof that it has not run.
+// Guards against a bid without token or key that is placed twice: its answer is lost, or its node is killed, stopped
+// or frozen, while the bid runs, and the entry retries it at the second target without proof that it has not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_without_identity_is_not_sent_twice() {
     use Fault::*;
--- a/crates/rig/tests/common/bids.rs
+++ b/crates/rig/tests/common/bids.rs
@@ -30,8 +30,8 @@
 /// An entry node in failure domain `c`.
 pub const ENTRY_C: &str = "front-2";
 
-/// Plans two nodes of the service `bidding`, and two nodes of another service that act as entries only. The sections in
-/// `node` replace those of the default node settings.
+/// Plans two nodes of the service `bidding`, and two nodes of another service that act as entries only. The sections
+/// in `node` replace those of the default node settings.
 pub fn plan(target: Settings, node: Value) -> FleetPlan {
     let bidding = ServicePlan {
         target,
@@ -240,8 +240,8 @@
         runs
     }
 
-    /// Checks the outcomes of attempts 1, 2 and so on against what the targets have started so far. Returns the numbers
-    /// of the attempts that ran.
+    /// Checks the outcomes of attempts 1, 2 and so on against what the targets have started so far. Returns the
+    /// numbers of the attempts that ran.
     pub async fn check(&self, fleet: &Fleet, outcomes: &[Outcome], case: &str) -> Vec<u32> {
         let runs = self.runs(fleet).await;
         assert!(
@@ -265,7 +265,8 @@
         runs
     }
 
-    /// Runs [`Bid::check`] now and again once the fleet is idle; also asserts that no node counted an invariant breach.
+    /// Runs [`Bid::check`] now and again once the fleet is idle; also asserts that no node counted an invariant
+    /// breach.
     pub async fn check_when_idle(
         &self,
         fleet: &Fleet,
--- a/crates/rig/tests/retry_bound.rs
+++ b/crates/rig/tests/retry_bound.rs
@@ -1,4 +1,4 @@
-//! Retries stay within the allowance of their request over the whole call graph.
+//! The retries of a request stay within its allowance across the whole call graph.
 
 #[path = "common/flow.rs"]
 mod flow;
@@ -15,67 +15,71 @@
 
 use flow::Call;
 
-/// Services of the chain.
-const DEPTH: usize = 13;
+/// Number of services in the chain.
+const CHAIN_LENGTH: usize = 13;
 
-/// Children of each service of the tree.
+/// Number of services that each inner service of the tree calls.
 const FAN_OUT: usize = 3;
 
-/// Retries that a request brings.
+/// Retry allowance of each request.
 const ALLOWANCE: u16 = 8;
 
-/// Requests of each case, at once.
+/// Number of concurrent requests in each case.
 const REQUESTS: usize = 12;
 
-/// A service of the graph and its position.
+/// A service and the services that it calls.
 #[derive(Clone, Debug)]
-struct Node {
+struct CallGraph {
     service: String,
-    children: Vec<Node>,
+    children: Vec<CallGraph>,
 }
 
-/// Changes the behaviour of a target.
-type Change = fn(&mut Settings);
+/// Modifies the settings of a target.
+type SettingsChange = fn(&mut Settings);
 
-/// Retries that a case brings about.
+/// The retries that a case must cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Retries {
+enum ExpectedRetries {
     /// None, and every request succeeds.
     #[default]
     None,
     /// At least one.
     Some,
-    /// One, unless each lost answer took what was left of its request's allowance along; some request is met then.
-    WhereLeft,
+    /// At least one. None if every lost answer carried off the remaining allowance of its request; then at least
+    /// one request must fail.
+    IfAllowanceLeft,
 }
 
-/// What goes wrong.
+/// The faults of a test case and the retries it expects.
 #[derive(Clone, Debug, Default)]
 struct Case {
     name: &'static str,
-    /// Changes to the targets, by service; the empty name stands for all.
-    targets: Vec<(&'static str, Change)>,
-    /// Retries that every target makes by itself.
-    own_retries: u32,
-    /// Time after which a target gives up a call of its own, for each level below it; 0 for never.
-    own_timeout_ms: u64,
+    /// Changes to the settings of targets, by service; an empty name applies to all services.
+    targets: Vec<(&'static str, SettingsChange)>,
+    /// Retries that each target makes of its downstream calls.
+    target_retries: u32,
+    /// Timeout of a target for its downstream calls, multiplied by the height of the graph below it; 0 sets 10 s.
+    target_timeout_ms: u64,
     /// Faults of the links from failure domain `a` to `b`.
     links: LinkFaults,
-    /// What the case brings about; one that doesn't proves nothing.
-    retries: Retries,
+    /// Retries that the case must cause; without them it would test nothing.
+    retries: ExpectedRetries,
 }
 
-/// Starts of the planned calls of one request and of its retries.
+/// How often targets started the calls of one request, retries included.
 #[derive(Clone, Copy, Debug, Default)]
 struct Starts {
-    most_of_a_call: u64,
-    repeats: u64,
-    extra: u64,
+    /// Most starts of a single call.
+    max_per_call: u64,
+    /// Starts in excess of one for each run of the calling target.
+    retries: u64,
+    /// Starts in excess of one for each call.
+    unplanned: u64,
 }
 
-impl Node {
+impl CallGraph {
     fn chain(from: usize) -> Self {
-        let children = if from < DEPTH {
+        let children = if from < CHAIN_LENGTH {
             vec![Self::chain(from + 1)]
         } else {
             vec![]
@@ -102,58 +106,61 @@
         }
     }
 
+    /// Number of levels below this service.
     fn height(&self) -> u64 {
-        let below = self.children.iter().map(|child| child.height() + 1);
-        below.max().unwrap_or(0)
+        let heights = self.children.iter().map(|child| child.height() + 1);
+        heights.max().unwrap_or(0)
     }
 
     fn services(&self) -> BTreeMap<&str, &Self> {
-        let mut found: BTreeMap<_, _> = self.children.iter().flat_map(Self::services).collect();
-        found.insert(&self.service, self);
-        found
+        let mut services: BTreeMap<_, _> = self.children.iter().flat_map(Self::services).collect();
+        services.insert(&self.service, self);
+        services
     }
 
-    /// Every start beyond those of the calling runs is a retry: a run of a target plans each call below it once.
-    fn count(&self, key: &str, runs: &Runs, above: u64, starts: &mut Starts) {
+    /// Adds the starts of the call `key` and of all calls below it. Each run of a target makes every downstream call
+    /// once, so any start in excess of `caller_runs` is a retry.
+    fn count_starts(&self, key: &str, runs: &Runs, caller_runs: u64, starts: &mut Starts) {
         let started = runs
             .get(&(self.service.clone(), key.to_owned()))
             .copied()
             .unwrap_or(0);
-        starts.most_of_a_call = starts.most_of_a_call.max(started);
-        starts.repeats += started.saturating_sub(above);
-        starts.extra += started.saturating_sub(1);
+        starts.max_per_call = starts.max_per_call.max(started);
+        starts.retries += started.saturating_sub(caller_runs);
+        starts.unplanned += started.saturating_sub(1);
         for (i, child) in self.children.iter().enumerate() {
-            child.count(&format!("{key}.{i}"), runs, started, starts);
+            child.count_starts(&format!("{key}.{i}"), runs, started, starts);
         }
     }
 }
 
+/// Starts at targets by service and key.
 type Runs = BTreeMap<(String, String), u64>;
 
-fn settings(node: &Node, case: &Case) -> Settings {
+fn settings(graph: &CallGraph, case: &Case) -> Settings {
     Settings {
         slots: 1000,
         service_ms: 1.0,
-        downstream: node
+        downstream: graph
             .children
             .iter()
             .map(|child| format!("GET /{}/x", child.service).parse().expect("a call"))
             .collect(),
         downstream_mode: DownstreamMode::Parallel,
-        downstream_retries: case.own_retries,
-        downstream_timeout_ms: match case.own_timeout_ms {
+        downstream_retries: case.target_retries,
+        downstream_timeout_ms: match case.target_timeout_ms {
             0 => 10_000,
-            ms => ms * node.height(),
+            ms => ms * graph.height(),
         },
         ..Settings::default()
     }
 }
 
-async fn start(graph: &Node) -> Fleet {
+async fn start(graph: &CallGraph) -> Fleet {
     let services = graph.services();
-    let plans = services.iter().map(|(name, node)| ServicePlan {
+    let plans = services.iter().map(|(name, subgraph)| ServicePlan {
         document: ServicePlan::document(name, ALLOWANCE),
-        target: settings(node, &Case::default()),
+        target: settings(subgraph, &Case::default()),
         ..ServicePlan::new(name, &["a", "b"])
     });
     let plan = FleetPlan {
@@ -168,14 +175,14 @@
     fleet
 }
 
-fn entry(fleet: &Fleet, graph: &Node) -> SocketAddr {
+fn entry(fleet: &Fleet, graph: &CallGraph) -> SocketAddr {
     let root = fleet.member(&format!("{}-1", graph.service));
     root.addresses.callers
 }
 
-async fn prepare(fleet: &mut Fleet, graph: &Node, case: &Case) {
-    for (service, node) in graph.services() {
-        let mut settings = settings(node, case);
+async fn prepare(fleet: &mut Fleet, graph: &CallGraph, case: &Case) {
+    for (service, subgraph) in graph.services() {
+        let mut settings = settings(subgraph, case);
         for (name, change) in &case.targets {
             if name.is_empty() || *name == service {
                 change(&mut settings);
@@ -199,12 +206,12 @@
     runs
 }
 
-async fn run(fleet: &mut Fleet, graph: &Node, case: &Case) {
+async fn run(fleet: &mut Fleet, graph: &CallGraph, case: &Case) {
     prepare(fleet, graph, case).await;
-    let mut asked = JoinSet::new();
+    let mut calls = JoinSet::new();
     for i in 0..REQUESTS {
         let entry = entry(fleet, graph);
-        let ask = Call {
+        let call = Call {
             deadline: Duration::from_secs(3),
             ..Call::get(
                 entry,
@@ -213,46 +220,50 @@
             )
         };
         let client = fleet.client.clone();
-        asked.spawn(async move { ask.send(&client).await });
+        calls.spawn(async move { call.send(&client).await });
     }
-    let told = asked.join_all().await;
+    let results = calls.join_all().await;
     fleet.heal();
     flow::wait_until_idle(fleet).await;
 
     let runs = runs(fleet).await;
-    let (mut most, mut repeats, mut extra) = (0, 0, 0);
-    for told in &told {
-        assert_ne!(told.ending, Ending::Wrong, "{}", told.describe());
-        let is_whole = told.ending == Ending::Whole;
+    let (mut max_per_call, mut retries, mut unplanned) = (0, 0, 0);
+    for result in &results {
+        assert_ne!(result.ending, Ending::Wrong, "{}", result.describe());
+        let is_whole = result.ending == Ending::Whole;
         assert!(
-            is_whole || case.retries != Retries::None,
+            is_whole || case.retries != ExpectedRetries::None,
             "{}",
-            told.describe()
+            result.describe()
         );
         let mut starts = Starts::default();
-        graph.count(&told.key, &runs, 1, &mut starts);
+        graph.count_starts(&result.key, &runs, 1, &mut starts);
         let bound = u64::from(ALLOWANCE);
         assert!(
-            starts.most_of_a_call <= 1 + bound,
+            starts.max_per_call <= 1 + bound,
             "{}: {starts:?}",
-            told.describe()
+            result.describe()
         );
-        assert!(starts.repeats <= bound, "{}: {starts:?}", told.describe());
-        most = most.max(starts.most_of_a_call);
-        repeats = repeats.max(starts.repeats);
-        extra = extra.max(starts.extra);
+        assert!(starts.retries <= bound, "{}: {starts:?}", result.describe());
+        max_per_call = max_per_call.max(starts.max_per_call);
+        retries = retries.max(starts.retries);
+        unplanned = unplanned.max(starts.unplanned);
     }
     println!(
-        "{}: most starts of a call {most}, retries {repeats}, starts beyond the plan {extra}",
+        "{}: {max_per_call} starts of a call at most, {retries} retries, {unplanned} unplanned starts",
         case.name
     );
-    let is_met = told.iter().any(|told| told.ending != Ending::Whole);
-    let is_as_said = match case.retries {
-        Retries::None => repeats == 0,
-        Retries::Some => repeats > 0,
-        Retries::WhereLeft => repeats > 0 || is_met,
+    let any_failed = results.iter().any(|result| result.ending != Ending::Whole);
+    let is_as_expected = match case.retries {
+        ExpectedRetries::None => retries == 0,
+        ExpectedRetries::Some => retries > 0,
+        ExpectedRetries::IfAllowanceLeft => retries > 0 || any_failed,
     };
-    assert!(is_as_said, "{}: {repeats} retries", case.name);
+    assert!(
+        is_as_expected,
+        "{}: unexpected number of retries: {retries}",
+        case.name
+    );
 }
 
 fn fails(settings: &mut Settings) {
@@ -263,7 +274,7 @@
     settings.fail_ratio = 0.3;
 }
 
-fn cuts_answers(settings: &mut Settings) {
+fn truncates_answers(settings: &mut Settings) {
     settings.truncate_bytes = Some(20);
 }
 
@@ -290,90 +301,90 @@
     })
 }
 
-/// Cases for a graph, with the services near its end, in its middle and at its root.
+/// Builds the cases for a graph with the service `last` at its lowest level and `middle` at an intermediate one.
 fn cases(last: &'static str, middle: &'static str) -> Vec<Case> {
     let case = Case {
-        retries: Retries::Some,
+        retries: ExpectedRetries::Some,
         ..Case::default()
     };
-    let own = Case {
-        own_retries: 3,
+    let retrying = Case {
+        target_retries: 3,
         ..case.clone()
     };
-    let impatient = Case {
-        own_timeout_ms: 60,
-        ..own.clone()
+    let short_timeout = Case {
+        target_timeout_ms: 60,
+        ..retrying.clone()
     };
     vec![
         Case {
             name: "no-fault",
-            retries: Retries::None,
-            own_retries: 3,
+            retries: ExpectedRetries::None,
+            target_retries: 3,
             ..Case::default()
         },
         Case {
             name: "last-cuts",
-            targets: vec![(last, cuts_answers)],
+            targets: vec![(last, truncates_answers)],
             ..case.clone()
         },
         Case {
             name: "last-fails",
             targets: vec![(last, fails)],
-            ..own.clone()
+            ..retrying.clone()
         },
         Case {
             name: "last-cuts-own",
-            targets: vec![(last, cuts_answers)],
-            ..own.clone()
+            targets: vec![(last, truncates_answers)],
+            ..retrying.clone()
         },
         Case {
             name: "all-fail-often",
             targets: vec![("", fails_often)],
-            ..own.clone()
+            ..retrying.clone()
         },
         Case {
             name: "last-hangs",
             targets: vec![(last, hangs)],
-            ..impatient.clone()
+            ..short_timeout.clone()
         },
         Case {
             name: "last-slow",
             targets: vec![(last, is_slow)],
-            ..impatient.clone()
+            ..short_timeout.clone()
         },
         Case {
             name: "answers-lost",
             links: answers_lost(),
-            retries: Retries::WhereLeft,
-            ..impatient.clone()
+            retries: ExpectedRetries::IfAllowanceLeft,
+            ..short_timeout.clone()
         },
         Case {
             name: "middle-cuts-last-fails",
-            targets: vec![(middle, cuts_answers), (last, fails)],
-            ..own.clone()
+            targets: vec![(middle, truncates_answers), (last, fails)],
+            ..retrying.clone()
         },
         Case {
             name: "all-fail-lossy",
             targets: vec![("", fails_often)],
             links: lossy(),
-            ..own.clone()
+            ..retrying.clone()
         },
         Case {
             name: "hang-answers-lost",
             targets: vec![(last, hangs)],
             links: answers_lost(),
-            retries: Retries::WhereLeft,
-            ..impatient
+            retries: ExpectedRetries::IfAllowanceLeft,
+            ..short_timeout
         },
     ]
 }
 
-/// Symptom: a failing service deep in a chain gets many times its planned calls, and fails the more.
-/// Sequence: the service fails, cuts or loses answers; each of 12 hops above it, or each target by itself, tries again.
-/// Cause: retries that are bounded at each hop multiply over the hops, 4 to the power of 12 with three retries each.
+/// Guards against retries that multiply along a chain and overload a failing service at its end. The service fails, or
+/// its answers are truncated or lost, and each of the 12 hops above it, or each target by itself, retries. If retries
+/// were limited for each hop only, three per hop would amount to 4 to the power of 12 calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_chain_of_13_stays_within_the_allowance() {
-    let graph = Node::chain(1);
+    let graph = CallGraph::chain(1);
     let mut fleet = start(&graph).await;
     for case in cases("s13", "s7") {
         run(&mut fleet, &graph, &case).await;
@@ -381,12 +392,12 @@
     flow::assert_no_breaches(&fleet).await;
 }
 
-/// Symptom: a request that fans out makes more retries than its document allows.
-/// Sequence: `r` calls three services at once, each of which calls three; several branches fail and retry together.
-/// Cause: an allowance that is copied to each branch is multiplied by the fan-out.
+/// Guards against a request with fan-out that exceeds the retry allowance of its document. `r` calls three services
+/// concurrently, each of which calls three more, and several branches fail and retry at the same time. An allowance
+/// that is copied to each branch would be multiplied by the fan-out.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_tree_stays_within_the_allowance() {
-    let graph = Node::tree();
+    let graph = CallGraph::tree();
     let mut fleet = start(&graph).await;
     for case in cases("l1", "m1") {
         run(&mut fleet, &graph, &case).await;
--- a/crates/rig/tests/whole_answer.rs
+++ b/crates/rig/tests/whole_answer.rs
@@ -275,9 +275,9 @@
 }
 
 /// Guards against a caller that receives a truncated answer, or the answer to another call, as a success. Hundreds of
-/// calls share the connections between nodes, while answers are truncated, late, lost, duplicated or reordered and nodes
-/// are frozen, resumed, killed and restarted. The failure occurs if a truncated answer is taken for a complete one, or a
-/// late answer is matched to the next call.
+/// calls share the connections between nodes, while answers are truncated, late, lost, duplicated or reordered and
+/// nodes are frozen, resumed, killed and restarted. The failure occurs if a truncated answer is taken for a complete
+/// one, or a late answer is matched to the next call.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_wrong_or_partial_answer_is_a_success() {
     let mut fleet = start().await;
