--- a/crates/rig/tests/drain.rs
+++ b/crates/rig/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A target that leaves gets no new work.
+//! A target gets no new calls once its node is leaving.
 
 #[path = "common/flow.rs"]
 mod flow;
@@ -19,43 +19,44 @@
 
 use flow::CallStream;
 
-/// The node that leaves; its failure domain holds nobody else.
-const LEAVER: &str = "svc-3";
+/// The node that leaves; it is the only node in its failure domain.
+const LEAVING_NODE: &str = "svc-3";
 
-/// Time from the order to leave to the last new call at the leaver's target, generously.
-const PROMISE: Duration = Duration::from_secs(3);
+/// Upper bound, with a wide margin, on the time from the order to leave to the last new call at the target.
+const LAST_CALL_BOUND: Duration = Duration::from_secs(3);
 
-/// Time for which no new call must come, once the order is older than the promise.
-const WATCHED: Duration = Duration::from_millis(2500);
+/// Time for which the target is watched for new calls after the faults are lifted.
+const WATCH_TIME: Duration = Duration::from_millis(2500);
 
-/// Time for which a fault stands.
+/// Time from the order until the faults are lifted.
 const FAULT_TIME: Duration = Duration::from_millis(1200);
 
-/// Who says that the node leaves.
+/// How the node is ordered to leave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Order {
-    /// `POST /drain` at the operators' port.
+    /// `POST /drain` at the port for operators.
     #[default]
     Operator,
     /// SIGTERM.
     Signal,
-    /// The platform's list marks it as leaving; the node itself runs on.
+    /// The instance list of the platform marks the node as leaving, while its process keeps running.
     List,
 }
 
-/// What goes wrong while the node leaves.
+/// The faults while the node leaves.
 #[derive(Clone, Copy, Debug, Default)]
 struct Case {
     name: &'static str,
     order: Order,
-    /// Faults between the leaver and the entries `a` and `b`, from before the order on.
+    /// Fault on the links between the leaving node and failure domain `a`, injected before the order.
     from_a: Option<Cut>,
+    /// The same for failure domain `b`.
     from_b: Option<Cut>,
-    /// Whether only what the leaver sends is cut.
+    /// Whether only the direction from the leaving node is cut.
     one_way: bool,
-    /// Whether the platforms answer with what stood before the order.
+    /// Whether the platforms return the state from before the order.
     stale: bool,
-    /// Whether the platform of failure domain `a` alone is down, from before the order on.
+    /// Whether only the platform of failure domain `a` is down, from before the order.
     a_without_platform: bool,
 }
 
@@ -66,7 +67,8 @@
         ..Settings::default()
     };
     let mut node = flow::allowance_only_settings();
-    // The leaver stays up for longer than is watched, so that it is not its end that keeps calls away.
+    // Keeps the leaving node up for longer than it is watched: calls must stay away because it leaves, not because its
+    // process has ended.
     node["shutdown"] = json!({ "announce_ms": 4500 });
     let plan = FleetPlan {
         services: vec![ServicePlan {
@@ -85,22 +87,22 @@
     for (domain, cut) in [("a", case.from_a), ("b", case.from_b)] {
         let Some(cut) = cut else { continue };
         let faults = DirectionFaults::cut(cut);
-        let (sent, answered) = match case.one_way {
+        let (to_leaving, from_leaving) = match case.one_way {
             true => (DirectionFaults::default(), faults),
             false => (faults, faults),
         };
-        let towards = LinkFaults {
-            forward: sent,
-            backward: answered,
+        let inbound = LinkFaults {
+            forward: to_leaving,
+            backward: from_leaving,
             ..LinkFaults::default()
         };
-        let back = LinkFaults {
-            forward: answered,
-            backward: sent,
+        let outbound = LinkFaults {
+            forward: from_leaving,
+            backward: to_leaving,
             ..LinkFaults::default()
         };
-        fleet.set_links(domain, "c", &towards);
-        fleet.set_links("c", domain, &back);
+        fleet.set_links(domain, "c", &inbound);
+        fleet.set_links("c", domain, &outbound);
     }
     if case.stale {
         let set = fleet
@@ -116,22 +118,22 @@
     }
 }
 
-async fn order(fleet: &mut Fleet, order: Order) {
-    let leaver = fleet.member_mut(LEAVER);
+async fn order_to_leave(fleet: &mut Fleet, order: Order) {
+    let node = fleet.member_mut(LEAVING_NODE);
     match order {
         Order::Operator => {
-            let call = ClientCall::new(leaver.addresses.operators, Method::POST, "/drain");
+            let call = ClientCall::new(node.addresses.operators, Method::POST, "/drain");
             let answer = fleet.client.send(call).await.expect("an answer");
             assert!(answer.status.is_success(), "{answer:?}");
         }
-        Order::Signal => leaver
+        Order::Signal => node
             .node()
             .expect("a node")
             .signal(Signal::TERM)
             .expect("a signal"),
         Order::List => {
             let state = |name: &str| match name {
-                LEAVER => InstanceState::Leaving,
+                LEAVING_NODE => InstanceState::Leaving,
                 _ => InstanceState::Live,
             };
             let published = fleet
@@ -142,23 +144,25 @@
     }
 }
 
-async fn started(fleet: &Fleet) -> u64 {
-    let counts = fleet.member(LEAVER).counts(&fleet.client).await;
+/// Returns the number of calls that the target of the leaving node has started.
+async fn started_calls(fleet: &Fleet) -> u64 {
+    let counts = fleet.member(LEAVING_NODE).counts(&fleet.client).await;
     counts.expect("counts").started
 }
 
-/// Watches the leaver's target until the promise is over and `WATCHED` more; returns when its last new call was seen.
-async fn last_new_call(fleet: &mut Fleet, ordered: Instant, mut seen: u64) -> Duration {
+/// Watches the target of the leaving node, lifts the faults after `FAULT_TIME`, and watches on for `WATCH_TIME`.
+/// Returns the time from the order until the last new call was observed.
+async fn last_new_call(fleet: &mut Fleet, ordered: Instant, mut call_count: u64) -> Duration {
     let mut last = Duration::ZERO;
     let mut is_healed = false;
-    while ordered.elapsed() < FAULT_TIME + WATCHED {
+    while ordered.elapsed() < FAULT_TIME + WATCH_TIME {
         if !is_healed && ordered.elapsed() > FAULT_TIME {
             fleet.heal();
             is_healed = true;
         }
-        let now = started(fleet).await;
-        if now > seen {
-            (seen, last) = (now, ordered.elapsed());
+        let now = started_calls(fleet).await;
+        if now > call_count {
+            (call_count, last) = (now, ordered.elapsed());
         }
         sleep(Duration::from_millis(10)).await;
     }
@@ -169,57 +173,64 @@
     let mut fleet = start().await;
     let entry = |name| fleet.member(name).addresses.callers;
     let entries: Vec<SocketAddr> = match case.order {
-        Order::List => vec![entry("svc-1"), entry("svc-2"), entry(LEAVER)],
+        Order::List => vec![entry("svc-1"), entry("svc-2"), entry(LEAVING_NODE)],
         Order::Operator | Order::Signal => vec![entry("svc-1"), entry("svc-2")],
     };
-    let gap = Duration::from_millis(4);
-    let stream = CallStream::start(&fleet.client, case.name, "/svc/x", &entries, gap);
-    flow::wait_until("calls at the leaver", || async {
-        started(&fleet).await >= 30
+    let call_interval = Duration::from_millis(4);
+    let stream = CallStream::start(&fleet.client, case.name, "/svc/x", &entries, call_interval);
+    flow::wait_until("calls at the leaving node", || async {
+        started_calls(&fleet).await >= 30
     })
     .await;
     set_faults(&mut fleet, &case).await;
-    let (ordered, seen) = (Instant::now(), started(&fleet).await);
-    order(&mut fleet, case.order).await;
-    let last = last_new_call(&mut fleet, ordered, seen).await;
-    let told = stream.finish().await;
-    let tally = flow::count_endings(&told);
+    let (ordered, call_count) = (Instant::now(), started_calls(&fleet).await);
+    order_to_leave(&mut fleet, case.order).await;
+    let last = last_new_call(&mut fleet, ordered, call_count).await;
+    let results = stream.finish().await;
+    let endings = flow::count_endings(&results);
     println!(
-        "{}: last new call after {} ms, calls {tally:?}",
+        "{}: last new call after {} ms, calls {endings:?}",
         case.name,
         last.as_millis()
     );
     assert!(
-        last <= PROMISE,
+        last <= LAST_CALL_BOUND,
         "{}: a new call came after {last:?}",
         case.name
     );
-    // Work goes on elsewhere, also for the entries that were cut off.
+    // Calls still succeed at the remaining targets, also through the entries that were cut off.
     for entry in entries {
-        let after = told.iter().rev().filter(|told| told.entry == entry);
-        let is_whole = after.take(20).any(|told| told.ending == Ending::Whole);
-        assert!(is_whole, "{}: {entry} serves nobody", case.name);
+        let last_results = results.iter().rev().filter(|result| result.entry == entry);
+        let is_whole = last_results
+            .take(20)
+            .any(|result| result.ending == Ending::Whole);
+        assert!(
+            is_whole,
+            "{}: no recent call through {entry} succeeded",
+            case.name
+        );
     }
-    let wrong = told.iter().find(|told| told.ending == Ending::Wrong);
+    let wrong = results.iter().find(|result| result.ending == Ending::Wrong);
     assert!(wrong.is_none(), "{wrong:?}");
     if case.order != Order::List {
         let ended = fleet
-            .member_mut(LEAVER)
+            .member_mut(LEAVING_NODE)
             .stop_node(flow::EVENT_TIMEOUT)
             .await;
         assert!(
             ended.expect("a node"),
-            "{}: the leaver did not end",
+            "{}: the leaving node did not exit",
             case.name
         );
     }
     flow::assert_no_breaches(&fleet).await;
 }
 
-/// Symptom: a target that is to be taken away still gets new calls, which are cut off when it goes.
-/// Sequence: a node is told to leave under load, by its operator, by SIGTERM or by the platform's list; its callers can't
-/// reach it or can't hear it meanwhile, the list is stale or can't be read, and the links heal afterwards.
-/// Cause: callers learn of the leaving by one way only, or go back to a node that they lost sight of.
+/// Guards against a leaving target that still gets new calls, which are cut off when it stops. A node is ordered to
+/// leave under load, by its operator, by SIGTERM or by the instance list of the platform. Meanwhile its peers can't
+/// reach it or don't receive what it sends, or the list is stale or can't be read; afterwards the links are restored.
+/// The failure occurs if peers learn in one way only that a node leaves, or return to a node with which they had lost
+/// contact.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
     let lost = Some(Cut::Blackhole);
@@ -285,11 +296,11 @@
             ..Case::default()
         },
     ];
-    // Some at a time: each has its own fleet.
-    for some in cases.chunks(4) {
-        let some = some.iter().map(|case| tokio::spawn(run(*case)));
-        for run in some.collect::<Vec<_>>() {
-            run.await.expect("a case that holds");
+    // Runs four cases at a time, since each starts its own fleet.
+    for batch in cases.chunks(4) {
+        let runs = batch.iter().map(|case| tokio::spawn(run(*case)));
+        for run in runs.collect::<Vec<_>>() {
+            run.await.expect("a passing case");
         }
     }
 }
