--- a/crates/rig/tests/graceful_stop.rs
+++ b/crates/rig/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nobody.
+//! A planned stop cuts off no calls.
 
 #[path = "common/flow.rs"]
 mod flow;
@@ -16,43 +16,43 @@
 
 use flow::{CallResult, CallStream};
 
-/// Longest time that a node with calls of at most a few seconds may take to end.
-const STOP_TIME: Duration = Duration::from_secs(15);
+/// Timeout for the graceful stop of a node whose calls take a few seconds at most.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time limit of a call in milliseconds, as long as that of [`flow::Call::get`].
+/// Deadline of a call in milliseconds, the same as in [`flow::Call::get`].
 const DEADLINE_MS: u64 = 5000;
 
-/// Failure domains, one for each instance.
+/// Failure domains, one for each instance of a service.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// What is stopped under which load.
+/// The nodes to stop and the load under which they stop.
 #[derive(Clone, Debug, Default)]
 struct Case {
     name: &'static str,
-    /// Nodes stopped, those of one group at once.
+    /// Nodes to stop; the nodes of a group are stopped at the same time, the groups one after the other.
     groups: Vec<Vec<&'static str>>,
-    /// Whether stopped nodes are started again before the next group is stopped.
-    replace: bool,
-    /// Time between two calls.
-    gap: Duration,
+    /// Whether stopped nodes are restarted before the next group is stopped.
+    restart: bool,
+    /// Interval at which calls are started.
+    call_interval: Duration,
     /// Service time of the targets of `front`.
     service_ms: f64,
     /// Slots of each target of `front`.
     slots: usize,
     links: DirectionFaults,
-    /// Padding of the answers of `front`.
+    /// Length of the padding in the answers of `front`.
     answer_bytes: usize,
-    /// Retries that a request brings.
-    allowance: u16,
-    /// Whether the clients keep to the nodes that are not stopped.
-    spared: bool,
-    /// Whether the nodes find their limits themselves and shed.
+    /// Retry allowance of each request.
+    retry_allowance: u16,
+    /// Whether clients send calls only to nodes that are not stopped.
+    avoid_stopped: bool,
+    /// Whether nodes adapt their limits and shed calls.
     adaptive: bool,
-    /// Whether calls may end as not run, as in overload or at a node that is just starting.
+    /// Whether calls may end as "not run", as under overload or at a node that is starting.
     may_refuse: bool,
 }
 
-fn node(case: &Case) -> Value {
+fn node_settings(case: &Case) -> Value {
     let mut node = flow::allowance_only_settings();
     if case.adaptive {
         node["admission"] = json!({ "cold_start_ms": 0 });
@@ -60,9 +60,9 @@
     node
 }
 
-/// The default document with time enough that no call runs out of it on a busy machine.
+/// Returns the default document with a deadline that is long enough for every call on a busy machine.
 fn document(service: &str, case: &Case) -> String {
-    let text = ServicePlan::document(service, case.allowance);
+    let text = ServicePlan::document(service, case.retry_allowance);
     let mut document: Value = serde_json::from_str(&text).expect("a document");
     document["deadline_ms"] = json!(DEADLINE_MS);
     document.to_string()
@@ -88,7 +88,7 @@
     };
     let plan = FleetPlan {
         services: vec![service("front", front), service("low", low)],
-        node: node(case),
+        node: node_settings(case),
         proxied: true,
         ..FleetPlan::default()
     };
@@ -101,31 +101,34 @@
     fleet
 }
 
-/// Stops the nodes of a group at once and waits for their end.
-async fn stop(fleet: &mut Fleet, group: &[&str]) {
+/// Sends SIGTERM to all nodes of a group and waits until they have exited.
+async fn stop_group(fleet: &mut Fleet, group: &[&str]) {
     for name in group {
         let node = fleet.member_mut(name).node().expect("a running node");
         node.signal(Signal::TERM).expect("a signal");
     }
     for name in group {
-        let ended = fleet.member_mut(name).stop_node(STOP_TIME).await;
-        assert!(ended.expect("a node"), "{name} did not end");
+        let ended = fleet.member_mut(name).stop_node(STOP_TIMEOUT).await;
+        assert!(ended.expect("a node"), "{name} did not exit");
     }
 }
 
-async fn served(fleet: &Fleet, more: u64) {
-    let before = finished(fleet).await;
+/// Waits until the targets of `front` have finished `more` further calls.
+async fn wait_until_served(fleet: &Fleet, more: u64) {
+    let before = finished_calls(fleet).await;
     flow::wait_until("calls to be served", || async {
-        finished(fleet).await >= before + more
+        finished_calls(fleet).await >= before + more
     })
     .await;
 }
 
-async fn finished(fleet: &Fleet) -> u64 {
+/// Returns the number of calls that the targets of `front` have finished.
+async fn finished_calls(fleet: &Fleet) -> u64 {
     let counts = fleet.counts("front").await.expect("counts");
     counts.iter().map(|counts| counts.finished).sum()
 }
 
+/// Returns how often the targets of `front` started each call, by key.
 async fn runs(fleet: &Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
     for counts in fleet.counts("front").await.expect("counts") {
@@ -136,33 +139,46 @@
     runs
 }
 
-/// A call ends whole, or not run and so told, or finds the port of a node that has ended closed.
-fn judge(told: &CallResult, case: &Case, stopped: &[SocketAddr], runs: &BTreeMap<String, u64>) {
-    let started = runs.get(&told.key).copied().unwrap_or(0);
-    let is_well = match told.ending {
+/// Asserts that a call got its whole answer and ran, was told "not run" and did not run, or was refused a connection
+/// by a stopped node.
+fn check_result(
+    result: &CallResult,
+    case: &Case,
+    stopped: &[SocketAddr],
+    runs: &BTreeMap<String, u64>,
+) {
+    let started = runs.get(&result.key).copied().unwrap_or(0);
+    let is_valid = match result.ending {
         Ending::Whole => started >= 1,
         Ending::NotRun => case.may_refuse && started == 0,
-        Ending::Broken => told.is_refused_connection() && stopped.contains(&told.entry),
+        Ending::Broken => result.is_refused_connection() && stopped.contains(&result.entry),
         _ => false,
     };
     assert!(
-        is_well,
+        is_valid,
         "{}: {} started {started} times",
         case.name,
-        told.describe()
+        result.describe()
     );
 }
 
 async fn run(case: &Case) {
     let mut fleet = start(case).await;
-    let is_entry = |name: &str| !case.spared || !case.groups.iter().flatten().any(|g| *g == name);
+    let is_entry =
+        |name: &str| !case.avoid_stopped || !case.groups.iter().flatten().any(|g| *g == name);
     let entries = fleet
         .members
         .values()
         .filter(|member| is_entry(&member.name));
     let entries: Vec<SocketAddr> = entries.map(|member| member.addresses.callers).collect();
-    let stream = CallStream::start(&fleet.client, case.name, "/front/x", &entries, case.gap);
-    served(&fleet, 50).await;
+    let stream = CallStream::start(
+        &fleet.client,
+        case.name,
+        "/front/x",
+        &entries,
+        case.call_interval,
+    );
+    wait_until_served(&fleet, 50).await;
     let mut stopped = Vec::new();
     for group in &case.groups {
         stopped.extend(
@@ -170,39 +186,39 @@
                 .iter()
                 .map(|name| fleet.member(name).addresses.callers),
         );
-        stop(&mut fleet, group).await;
-        if case.replace {
+        stop_group(&mut fleet, group).await;
+        if case.restart {
             for name in group {
                 fleet.member_mut(name).start_node().expect("a node");
             }
             fleet.all_ready().await.expect("ready nodes");
         }
-        served(&fleet, 50).await;
+        wait_until_served(&fleet, 50).await;
     }
-    let told = stream.finish().await;
+    let results = stream.finish().await;
     flow::wait_until_idle(&fleet).await;
-    println!("{}: {:?}", case.name, flow::count_endings(&told));
+    println!("{}: {:?}", case.name, flow::count_endings(&results));
     let runs = runs(&fleet).await;
-    for told in &told {
-        judge(told, case, &stopped, &runs);
+    for result in &results {
+        check_result(result, case, &stopped, &runs);
     }
     flow::assert_no_breaches(&fleet).await;
 }
 
 fn case() -> Case {
     Case {
-        gap: Duration::from_millis(4),
+        call_interval: Duration::from_millis(4),
         service_ms: 20.0,
         slots: 1000,
-        allowance: 4,
+        retry_allowance: 4,
         ..Case::default()
     }
 }
 
-/// Symptom: a caller's connection breaks, or its call is lost, when a node is stopped as planned.
-/// Sequence: nodes get SIGTERM while hundreds of calls pass through them as entries, run at their targets and wait there.
-/// Cause: the node ends when its own target has no more calls, with answers still on their way to callers and peers, calls
-/// of others still passing through, or connections open on which a client is just sending its next call.
+/// Guards against a planned stop that breaks the connection of a caller or loses its call. Nodes get SIGTERM while
+/// hundreds of calls pass through them as entries, run at their targets or are queued there. The failure occurs if a
+/// node exits as soon as its own target has no calls left, while answers are still on their way to callers and peers,
+/// calls of others still pass through it, or a client is sending its next call on an open connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_under_load_cuts_off_nobody() {
     let one = vec![vec!["front-2"]];
@@ -216,8 +232,8 @@
             },
             service_ms: 300.0,
             answer_bytes: 50_000,
-            allowance: 0,
-            spared: true,
+            retry_allowance: 0,
+            avoid_stopped: true,
             may_refuse: true,
             ..case()
         },
@@ -253,16 +269,17 @@
     }
 }
 
-/// Symptom: as above, and calls that wait for a slot vanish.
-/// Sequence: the targets get three times what they can serve; nodes refuse and queue calls while one after another stops.
-/// Cause: work that was admitted and waits is dropped with the process, or told "not run" after it has run.
+/// Guards against the same failure in overload, and against the loss of calls that wait for a slot. The targets get
+/// three times the load they can serve, and nodes refuse and queue calls while they are stopped one after the other.
+/// The failure occurs if a call that was admitted and queued is dropped with the process, or gets "not run" after it
+/// has run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_in_overload_cuts_off_nobody() {
-    // 3 targets of 4 slots of 20 ms serve 600 calls a second.
+    // 3 targets with 4 slots and a service time of 20 ms serve 600 calls a second.
     let case = Case {
         name: "overload",
         groups: vec![vec!["front-2"], vec!["low-3"]],
-        gap: Duration::from_micros(550),
+        call_interval: Duration::from_micros(550),
         slots: 4,
         adaptive: true,
         may_refuse: true,
@@ -271,16 +288,16 @@
     run(&case).await;
 }
 
-/// Symptom: a rollout of a new version shows errors to callers.
-/// Sequence: every node is stopped and started again, one after the other, under load.
-/// Cause: callers and nodes keep to a node that leaves, or take the new incarnation for the old one.
+/// Guards against errors at callers during the rollout of a new version: every node is stopped and restarted under
+/// load, one after the other. The failure occurs if callers and nodes keep using a node that is leaving, or mistake
+/// its new incarnation for the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_replacement_cuts_off_nobody() {
     let names = ["front-1", "front-2", "front-3", "low-1", "low-2", "low-3"];
     let case = Case {
         name: "rolling",
         groups: names.iter().map(|name| vec![*name]).collect(),
-        replace: true,
+        restart: true,
         may_refuse: true,
         ..case()
     };
