--- a/crates/rig/tests/shedding.rs
+++ b/crates/rig/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! Important work is shed last.
+//! Calls of the most important class are shed last.
 
 #[path = "common/flow.rs"]
 mod flow;
@@ -8,36 +8,36 @@
 use coltsfootport_rig::target::Settings;
 use serde_json::json;
 
-/// Instances of each service.
+/// Failure domains, one for each instance of a service.
 const DOMAINS: [&str; 2] = ["a", "b"];
 
-/// Calls a second that the narrowest service serves in all.
+/// Calls a second that all targets of the bottleneck service serve together.
 const CAPACITY: f64 = 200.0;
 
-/// Bids a second: a fifth of the capacity, so that all of them fit the slots.
-const BIDS: f64 = 40.0;
+/// Bids a second: a fifth of the capacity, so that all of them fit into the slots.
+const BID_RATE: f64 = 40.0;
 
-/// Length of a surge in seconds.
-const SECONDS: f64 = 2.5;
+/// Duration of a surge in seconds.
+const SURGE_SECONDS: f64 = 2.5;
 
-/// Bids of which one may be lost for another reason than shedding, such as a client's time limit on a busy machine.
-const ONE_BID_IN: u64 = 50;
+/// One in this many bids may fail for a reason other than shedding, such as a client timeout on a busy machine.
+const BIDS_PER_ALLOWED_LOSS: u64 = 50;
 
-/// Where the demand meets too little capacity.
+/// The demand and the position of the bottleneck service.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     name: &'static str,
     /// Demand at the entries as a multiple of the capacity.
     demand: f64,
-    /// Whether the narrow service is below the one called, else it is the one called.
+    /// Whether the bottleneck is the downstream service; otherwise it is the called service.
     deep: bool,
-    /// Whether targets say they are healthy and idle whatever they carry.
-    lying: bool,
+    /// Whether the bottleneck targets report that they are healthy and idle, whatever their load.
+    false_health: bool,
 }
 
-fn narrow(case: &Case) -> Settings {
-    // 2 targets with 4 slots of 40 ms each serve 200 calls a second.
-    let load_factor = if case.lying { 0.0 } else { 1.0 };
+fn bottleneck(case: &Case) -> Settings {
+    // 2 targets with 4 slots each and a service time of 40 ms serve 200 calls a second.
+    let load_factor = if case.false_health { 0.0 } else { 1.0 };
     Settings {
         slots: 4,
         service_ms: 40.0,
@@ -47,14 +47,14 @@
 }
 
 async fn start(case: &Case) -> Fleet {
-    let wide = Settings {
+    let ample = Settings {
         slots: 100,
         service_ms: 5.0,
         ..Settings::default()
     };
     let (front, deep) = match case.deep {
-        true => (wide, narrow(case)),
-        false => (narrow(case), wide),
+        true => (ample, bottleneck(case)),
+        false => (bottleneck(case), ample),
     };
     let front = Settings {
         downstream: vec!["GET /deep/x".parse().expect("a call")],
@@ -72,8 +72,9 @@
     Fleet::start(plan).await.expect("a fleet")
 }
 
-async fn surge(fleet: &Fleet, case: &Case) -> LoadReport {
-    let others = CAPACITY * case.demand - BIDS;
+/// Runs the load of a case and returns its report.
+async fn run_surge(fleet: &Fleet, case: &Case) -> LoadReport {
+    let others = CAPACITY * case.demand - BID_RATE;
     let operation = |text: &str, rate: f64| {
         let text = format!("{text} weight={}", rate.round());
         text.parse().expect("an operation")
@@ -85,10 +86,10 @@
             .collect(),
         stages: vec![Stage {
             rate: CAPACITY * case.demand,
-            seconds: SECONDS,
+            seconds: SURGE_SECONDS,
         }],
         operations: vec![
-            operation("POST /front/bids class=bid non-idempotent", BIDS),
+            operation("POST /front/bids class=bid non-idempotent", BID_RATE),
             operation("GET /front/pages class=browse", others / 2.0),
             operation("GET /front/lookup class=lookup", others / 2.0),
         ],
@@ -103,13 +104,13 @@
     report.class(class).expect("a class of the plan")
 }
 
-fn share(of: u64, all: u64) -> f64 {
-    of as f64 / all.max(1) as f64
+fn ratio(part: u64, total: u64) -> f64 {
+    part as f64 / total.max(1) as f64
 }
 
 async fn run(case: Case) {
     let fleet = start(&case).await;
-    let report = surge(&fleet, &case).await;
+    let report = run_surge(&fleet, &case).await;
     for report in &report.classes {
         println!(
             "{} {}: {} calls, {:?}",
@@ -122,37 +123,42 @@
     let shed = bids.endings.not_run;
     assert!(
         shed == 0 || served == 0,
-        "{}: {shed} bids shed, {served} look-ups served",
+        "{}: {shed} bids were shed while {served} look-ups were served",
         case.name
     );
     let lost = bids.calls - bids.endings.whole;
     assert!(
-        lost <= bids.calls / ONE_BID_IN,
-        "{}: {lost} of {} bids",
+        lost <= bids.calls / BIDS_PER_ALLOWED_LOSS,
+        "{}: lost {lost} of {} bids",
         case.name,
         bids.calls
     );
     let [bids, browse, lookup] =
-        [bids, browse, lookup].map(|class| share(class.endings.whole, class.calls));
+        [bids, browse, lookup].map(|class| ratio(class.endings.whole, class.calls));
     assert!(
         bids >= browse && browse >= lookup - 0.05,
-        "{}: {bids} {browse} {lookup}",
+        "{}: ratios of served calls: bid {bids}, browse {browse}, lookup {lookup}",
+        case.name
+    );
+    assert!(
+        lookup < 0.9,
+        "{}: the load did not require shedding",
         case.name
     );
-    assert!(lookup < 0.9, "{}: nothing had to be shed", case.name);
     flow::assert_no_breaches(&fleet).await;
 }
 
-/// Symptom: bids are refused while targets serve look-ups.
-/// Sequence: the entries get 2 to 8 times what the service called, or one below it, can serve; targets may claim to be idle.
-/// Cause: a queue or a level that takes calls as they come, or a refusal further down of what was let in above.
+/// Guards against bids that are refused while targets serve look-ups. The entries get 2 to 8 times the load that the
+/// called service or its downstream service can serve, and in one case the targets report that they are idle. The
+/// failure occurs if a queue or an admission level takes calls in order of arrival, or if a call that was admitted
+/// upstream is refused downstream.
 #[tokio::test(flavor = "multi_thread")]
 async fn bids_are_shed_last() {
-    let case = |name, demand, deep, lying| Case {
+    let case = |name, demand, deep, false_health| Case {
         name,
         demand,
         deep,
-        lying,
+        false_health,
     };
     let cases = [
         case("twice", 2.0, false, false),
