--- a/crates/rig/tests/whole_path.rs
+++ b/crates/rig/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request through separate processes: caller, entry, host, target, and a second service below.
+//! Requests that pass through separate processes: caller, entry, host, target and a downstream service.
 
 use std::time::{Duration, Instant};
 
@@ -49,15 +49,16 @@
     );
 }
 
-// Symptom: for half a minute after its start a node answers "no-target" for its own service, while others reach it.
-// Sequence: all nodes start together and greet each other while still starting; then each begins to serve.
-// Cause: that a node serves is told only to those it has a connection with, and to itself by nobody.
+// Guards against a node that answers "no-target" for its own service during the first half minute after its start,
+// while other nodes can reach that service. All nodes start together and connect while they are still starting; then
+// each of them begins to serve. The failure occurs if a node announces that it serves only to the peers it is
+// connected to, and doesn't record it for itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_serves_every_service_from_the_start() {
     let mut plan = plan();
     plan.node = serde_json::json!({ "spread": { "start_wait_ms": 2000, "start_fleet": 1400 } });
     let fleet = Fleet::start(plan).await.expect("a fleet");
-    let until = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     for entry in fleet.entries() {
         for path in ["/bidding/lots/5", "/prices/p/1"] {
             while fleet
@@ -68,7 +69,7 @@
                 .status
                 != 200
             {
-                assert!(Instant::now() < until, "{entry} does not serve {path}");
+                assert!(Instant::now() < deadline, "{entry} does not serve {path}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
