--- a/crates/rig/tests/common/bids.rs
+++ b/crates/rig/tests/common/bids.rs
@@ -31,7 +31,7 @@
 pub const ENTRY_C: &str = "front-2";
 
 /// Plans two nodes of the service `bidding`, and two nodes of another service that act as entries only. The sections
-/// in `node` replace those of the default node settings.
+/// in `node` replace or extend the node settings given here.
 pub fn plan(target: Settings, node: Value) -> FleetPlan {
     let bidding = ServicePlan {
         target,
--- a/crates/rig/tests/common/mod.rs
+++ b/crates/rig/tests/common/mod.rs
@@ -90,7 +90,7 @@
     String::from_utf8_lossy(&answer.body).into_owned()
 }
 
-/// Sums the samples of a node's metric over its lines in `/metrics`; 0 if it has none.
+/// Sums the integer values of the lines in a node's `/metrics` that contain `name`; 0 if there are none.
 pub async fn metric(client: &Client, operators: SocketAddr, name: &str) -> u64 {
     let call = ClientCall::new(operators, Method::GET, "/metrics");
     let page = body_text(&client.send(call).await.expect("metrics"));
