--- a/crates/rig/src/fleet/member.rs
+++ b/crates/rig/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One instance of a fleet: a target and the node beside it.
+//! An instance of a fleet: a target process and its node process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,35 +14,35 @@
 use super::programs::Programs;
 use super::running::READY_TIME;
 
-/// Addresses of an instance.
+/// Listen addresses of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// The node's listener for callers.
+    /// Listener of the node for callers.
     pub callers: SocketAddr,
-    /// The node's listener for its target.
+    /// Listener of the node for outgoing calls of its target.
     pub egress: SocketAddr,
-    /// The node's listener for other nodes.
+    /// Listener of the node for other nodes.
     pub peers: SocketAddr,
-    /// The node's listener for operators.
+    /// Listener of the node for operators.
     pub operators: SocketAddr,
-    /// The target.
+    /// Listener of the target.
     pub target: SocketAddr,
 }
 
-/// One instance: a target and the node beside it.
+/// An instance of a fleet: a target process and its node process.
 #[derive(Debug)]
 pub struct Member {
-    /// Name of the node.
+    /// Name of the node, unique in the fleet.
     pub name: SmolStr,
-    /// Its service.
+    /// Service that the target runs.
     pub service: SmolStr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: SmolStr,
-    /// Where its processes listen.
+    /// Listen addresses of both processes.
     pub addresses: Addresses,
-    /// The node's process; absent while it is stopped.
+    /// The node process; `None` while it is not running.
     pub node: Option<Process>,
-    /// The target's process; absent while it is stopped.
+    /// The target process; `None` while it is not running.
     pub target: Option<Process>,
     pub(super) settings: String,
     programs: Programs,
@@ -50,7 +50,8 @@
 }
 
 impl Addresses {
-    pub(super) fn free() -> Result<Self, RigError> {
+    /// Picks free loopback ports for all listeners.
+    pub(super) fn allocate() -> Result<Self, RigError> {
         let [callers, egress, peers, operators, target] = free_ports::<5>()?.map(loopback);
         Ok(Self {
             callers,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Starts the target and sets its behaviour.
+    /// Starts the target process, waits until it listens and applies `settings`.
     pub async fn start_target(
         &mut self,
         client: &Client,
@@ -112,7 +113,7 @@
         self.set_target(client, settings).await
     }
 
-    /// Changes the behaviour of the running target.
+    /// Replaces the settings of the running target.
     pub async fn set_target(&self, client: &Client, settings: &Settings) -> Result<(), RigError> {
         client
             .put_json(self.addresses.target, "/settings", settings)
@@ -120,7 +121,7 @@
         Ok(())
     }
 
-    /// Starts the node, also again after it has ended; the caller waits for it with [`Member::ready`].
+    /// Starts or restarts the node process without waiting for it; use [`Member::ready`] to wait.
     pub fn start_node(&mut self) -> Result<(), RigError> {
         let spec = ProcessSpec {
             input: Some(self.settings.clone()),
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// Waits until the node serves.
+    /// Waits until the health check of the node succeeds.
     pub async fn ready(&mut self, client: &Client) -> Result<(), RigError> {
         let operators = self.addresses.operators;
         self.node()?
@@ -143,14 +144,14 @@
             .await
     }
 
-    /// Kills the node at once.
+    /// Kills the node process without a graceful stop.
     pub fn kill_node(&mut self) -> Result<(), RigError> {
         self.node()?.kill()?;
         self.node = None;
         Ok(())
     }
 
-    /// Stops the node gracefully; false where it had not ended in time.
+    /// Stops the node gracefully; returns `false` if it is still running after `limit`.
     pub async fn stop_node(&mut self, limit: Duration) -> Result<bool, RigError> {
         let stopped = self.node()?.stop(limit).await;
         if matches!(stopped, Err(RigError::Timeout)) {
@@ -161,22 +162,22 @@
         Ok(true)
     }
 
-    /// Pauses the node as a whole.
+    /// Suspends the node process with `SIGSTOP`.
     pub fn freeze(&mut self) -> Result<(), RigError> {
         self.node()?.signal(Signal::STOP)
     }
 
-    /// Lets a paused node go on.
+    /// Resumes a suspended node process with `SIGCONT`.
     pub fn wake(&mut self) -> Result<(), RigError> {
         self.node()?.signal(Signal::CONT)
     }
 
-    /// What the target has counted.
+    /// Reads the counters of the target.
     pub async fn counts(&self, client: &Client) -> Result<TargetCounts, RigError> {
         client.get(self.addresses.target, "/counts").await
     }
 
-    /// The node's process.
+    /// Returns the node process, or [`RigError::NotReady`] if it is not running.
     pub fn node(&mut self) -> Result<&mut Process, RigError> {
         let name = &self.name;
         self.node
--- a/crates/rig/src/fleet/running.rs
+++ b/crates/rig/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! A running fleet.
+//! Starts and controls the processes of a fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,34 +22,34 @@
 use super::programs::Programs;
 use super::settings::{REGION, node_settings};
 
-/// Time in which a process must become ready.
+/// Time limit for a process to become ready.
 pub const READY_TIME: Duration = Duration::from_secs(20);
 
-/// A running fleet; its processes end with it.
+/// A running fleet; dropping it terminates its processes.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The instances, by the names of their nodes.
+    /// Instances by node name.
     pub members: BTreeMap<SmolStr, Member>,
-    /// Sends requests of tests and operators.
+    /// HTTP client for requests of tests and of the operators' interface.
     pub client: Client,
-    /// The fault proxy between the nodes, where the plan asks for it.
+    /// Fault proxy between the nodes, if [`FleetPlan::proxied`] is set.
     pub proxy: Option<Proxy>,
-    /// Keys and authority of the fleet.
+    /// Keys and certificate authority of the fleet.
     pub keys: FleetKeys,
-    /// Faults between failure domains.
+    /// Link faults by sending and receiving failure domain.
     faults: BTreeMap<DomainPair, LinkFaults>,
-    /// Platforms by failure domain; one for all under the empty name where there is no proxy.
+    /// Platform stand-ins by failure domain; without a proxy, a single one with an empty name serves all nodes.
     platforms: BTreeMap<SmolStr, Platform>,
 }
 
-/// Nodes of one failure domain that send to those of another.
+/// Direction of traffic between two failure domains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DomainPair {
     from: SmolStr,
     to: SmolStr,
 }
 
-/// A stand-in platform, read by the nodes of one failure domain.
+/// A platform stand-in.
 #[derive(Debug)]
 struct Platform {
     address: SocketAddr,
@@ -57,13 +57,13 @@
 }
 
 impl Fleet {
-    /// Starts every process of the plan and waits until all nodes serve.
+    /// Starts all processes of the plan and waits until all nodes are ready.
     pub async fn start(plan: FleetPlan) -> Result<Self, RigError> {
         let programs = Programs::beside_this()?;
         Self::start_with(plan, programs).await
     }
 
-    /// Starts the plan with programs from elsewhere, such as an earlier build.
+    /// Like [`Fleet::start`], with other binaries, such as those of an earlier build.
     pub async fn start_with(plan: FleetPlan, programs: Programs) -> Result<Self, RigError> {
         let client = plan.client();
         let keys = FleetKeys::random(&programs.node)?;
@@ -72,7 +72,7 @@
             for (i, domain) in service.domains.iter().enumerate() {
                 let name = SmolStr::from(format!("{}-{}", service.name, i + 1));
                 let (programs, output) = (programs.clone(), node_output(&plan.output, &name));
-                let addresses = Addresses::free()?;
+                let addresses = Addresses::allocate()?;
                 let member = Member::new(
                     name.clone(),
                     service,
@@ -97,7 +97,7 @@
             faults: BTreeMap::new(),
         };
         fleet.start_platforms(&programs).await?;
-        fleet.publish_all(&plan.services).await?;
+        fleet.publish_initial_config(&plan.services).await?;
         for service in &plan.services {
             fleet.start_service(service, &plan, &programs).await?;
         }
@@ -105,17 +105,17 @@
         Ok(fleet)
     }
 
-    /// An instance by the name of its node.
+    /// Returns an instance by node name; panics if the plan has no such node.
     pub fn member(&self, name: &str) -> &Member {
         self.members.get(name).expect("a node of the plan")
     }
 
-    /// An instance by the name of its node.
+    /// Returns an instance by node name; panics if the plan has no such node.
     pub fn member_mut(&mut self, name: &str) -> &mut Member {
         self.members.get_mut(name).expect("a node of the plan")
     }
 
-    /// The callers' listeners of all nodes.
+    /// Returns the caller listener addresses of all nodes.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.members
             .values()
@@ -123,14 +123,14 @@
             .collect()
     }
 
-    /// The instances of a service.
+    /// Iterates over the instances of a service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         self.members
             .values()
             .filter(move |member| member.service == service)
     }
 
-    /// Publishes a document on every platform; returns its revision.
+    /// Publishes a document on all platform stand-ins and returns its revision.
     pub async fn publish(&self, service: &str, document: &str) -> Result<u64, RigError> {
         let mut revision = 0;
         for platform in self.platforms.values() {
@@ -143,25 +143,25 @@
         Ok(revision)
     }
 
-    /// Publishes the list of instances on every platform, in the given states; absent ones are not listed.
+    /// Publishes the instance list on all platform stand-ins; instances for which `state` returns `None` are left out.
     pub async fn publish_instances<F>(&self, state: F) -> Result<(), RigError>
     where
         F: Fn(&Member) -> Option<InstanceState>,
     {
         for platform in self.platforms.values() {
-            let listed = self
+            let instances = self
                 .members
                 .values()
-                .filter_map(|member| Some(self.instance(member, state(member)?)));
-            let listed: Vec<Instance> = listed.collect();
+                .filter_map(|member| Some(self.instance_entry(member, state(member)?)));
+            let instances: Vec<Instance> = instances.collect();
             self.client
-                .put_json(platform.address, "/instances", &listed)
+                .put_json(platform.address, "/instances", &instances)
                 .await?;
         }
         Ok(())
     }
 
-    /// Sets the fault of every platform.
+    /// Sets the fault of all platform stand-ins.
     pub async fn platform_fault(&self, mode: FaultMode, scope: FaultScope) -> Result<(), RigError> {
         for domain in self.platforms.keys() {
             self.platform_fault_in(domain, mode, scope).await?;
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Sets the fault of the platform that one failure domain reads; without a proxy there is one under the empty name.
+    /// Sets the fault of the platform stand-in of one failure domain; without a proxy, `domain` must be empty.
     pub async fn platform_fault_in(
         &self,
         domain: &str,
@@ -191,7 +191,7 @@
         Ok(())
     }
 
-    /// Calls that the platforms have seen.
+    /// Reads the request counters of all platform stand-ins.
     pub async fn platform_counts(&self) -> Result<Vec<Counts>, RigError> {
         let mut counts = Vec::new();
         for platform in self.platforms.values() {
@@ -200,14 +200,14 @@
         Ok(counts)
     }
 
-    /// Cuts every link between two failure domains, both ways.
+    /// Cuts all links between two failure domains in both directions.
     pub fn cut(&mut self, one: &str, other: &str, cut: Cut) {
         let faults = LinkFaults::both(DirectionFaults::cut(cut));
         self.set_links(one, other, &faults);
         self.set_links(other, one, &faults);
     }
 
-    /// Heals every link.
+    /// Removes the faults of all links.
     pub fn heal(&mut self) {
         self.faults.clear();
         if let Some(proxy) = &self.proxy {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Sets the faults of all links from the nodes of one failure domain to those of another.
+    /// Sets the faults of all links from nodes of the failure domain `from` to nodes of `to`.
     pub fn set_links(&mut self, from: &str, to: &str, faults: &LinkFaults) {
         let pair = DomainPair {
             from: SmolStr::new(from),
@@ -247,7 +247,7 @@
         })
     }
 
-    /// What the targets of a service have counted, by node.
+    /// Reads the counters of all targets of a service, in order of node name.
     pub async fn counts(&self, service: &str) -> Result<Vec<TargetCounts>, RigError> {
         let mut counts = Vec::new();
         for member in self.of_service(service) {
@@ -256,23 +256,23 @@
         Ok(counts)
     }
 
-    /// How often calls with this `x-rig-key` were started at the targets of a service.
+    /// Returns how many times the targets of a service started a call with this `x-rig-key`.
     pub async fn runs(&self, service: &str, key: &str) -> Result<u64, RigError> {
         let counts = self.counts(service).await?;
         let runs = counts.iter().filter_map(|counts| counts.keys.get(key));
         Ok(runs.map(|runs| runs.started).sum())
     }
 
-    /// The `/status` of a node.
+    /// Reads `/status` of a node.
     pub async fn status(&self, name: &str) -> Result<Value, RigError> {
         self.client
             .get(self.member(name).addresses.operators, "/status")
             .await
     }
 
-    /// Every breach of an invariant that a running node has counted; empty where all is well.
+    /// Returns the invariants with a non-zero breach count of all running nodes.
     pub async fn breaches(&self) -> Result<Vec<String>, RigError> {
-        let mut found = Vec::new();
+        let mut breaches = Vec::new();
         for member in self.members.values().filter(|member| member.node.is_some()) {
             let status: Value = self
                 .client
@@ -280,13 +280,13 @@
                 .await?;
             let counts = status["invariants"].as_array().cloned().unwrap_or_default();
             for count in counts.iter().filter(|count| count["breaches"] != 0) {
-                found.push(format!("{}: {count}", member.name));
+                breaches.push(format!("{}: {count}", member.name));
             }
         }
-        Ok(found)
+        Ok(breaches)
     }
 
-    /// Waits until every running node serves.
+    /// Waits until all running nodes are ready.
     pub async fn all_ready(&mut self) -> Result<(), RigError> {
         let client = self.client.clone();
         for member in self
@@ -330,7 +330,7 @@
         Ok(())
     }
 
-    async fn publish_all(&self, services: &[ServicePlan]) -> Result<(), RigError> {
+    async fn publish_initial_config(&self, services: &[ServicePlan]) -> Result<(), RigError> {
         for service in services {
             self.publish(&service.name, &service.document).await?;
         }
@@ -346,7 +346,7 @@
         let platforms: BTreeMap<SmolStr, SocketAddr> = self
             .platforms
             .iter()
-            .map(|(domain, one)| (domain.clone(), one.address))
+            .map(|(domain, platform)| (domain.clone(), platform.address))
             .collect();
         let proxied = self.proxy.is_some();
         let members = self
@@ -373,10 +373,11 @@
         Ok(())
     }
 
-    fn instance(&self, member: &Member, state: InstanceState) -> Instance {
-        let proxied = self.proxy.as_ref();
-        let proxied = proxied.and_then(|proxy| proxy.addr(&member.name));
-        let peer = proxied.unwrap_or(member.addresses.peers);
+    /// Builds the instance list entry of a member; the peer address is that of the proxy, if there is one.
+    fn instance_entry(&self, member: &Member, state: InstanceState) -> Instance {
+        let proxy = self.proxy.as_ref();
+        let proxy_addr = proxy.and_then(|proxy| proxy.addr(&member.name));
+        let peer = proxy_addr.unwrap_or(member.addresses.peers);
         Instance {
             node: member.name.clone(),
             service: member.service.clone(),
@@ -389,7 +390,7 @@
     }
 }
 
-/// The output of a node, each into a file of its own where the plan names a folder.
+/// Returns the output destination of a node; file output goes to a separate log file per node.
 fn node_output(output: &Output, name: &str) -> Output {
     match output {
         Output::File(folder) => Output::File(folder.join(format!("{name}.log"))),
