--- a/crates/rig/src/fleet/plan.rs
+++ b/crates/rig/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of.
+//! Configuration of a test fleet.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 use crate::process::Output;
 use crate::target;
 
-/// One service with its instances.
+/// Configuration of a service and its instances.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
     /// Name of the service.
     pub name: SmolStr,
-    /// Text of its document.
+    /// The service's document, as JSON text.
     pub document: String,
     /// Failure domain of each instance; instance `i` is named `{name}-{i+1}`.
     pub domains: Vec<SmolStr>,
-    /// Behaviour of its targets.
+    /// Settings of the targets.
     pub target: target::Settings,
-    /// Fields that replace those of the nodes' settings.
+    /// Overrides merged into the settings of this service's nodes.
     pub node: Value,
 }
 
-/// A fleet.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The services.
+    /// Services of the fleet.
     pub services: Vec<ServicePlan>,
-    /// Fields that replace those of every node's settings.
+    /// Overrides merged into the settings of every node.
     pub node: Value,
-    /// Whether nodes reach each other through the fault proxy, with a platform for each failure domain.
+    /// Routes traffic between nodes through the fault proxy and runs one platform stand-in per failure domain.
     pub proxied: bool,
-    /// Where the output of the nodes goes.
+    /// Destination of the nodes' output; [`Output::File`] names a directory that gets one log file per node.
     pub output: Output,
-    /// Seed of the proxy's jitter and losses.
+    /// Seed for the jitter and packet loss of the fault proxy.
     pub seed: u64,
 }
 
 impl ServicePlan {
-    /// A service with one instance in each of the named failure domains and the classes `bid`, `browse` and `lookup`.
+    /// Creates a service with one instance per entry of `domains` and the classes `bid`, `browse` and `lookup`.
     pub fn new(name: &str, domains: &[&str]) -> Self {
         Self {
             name: SmolStr::new(name),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A document in which `POST /bids` is non-idempotent and shed last, and `/lookup` is shed first.
+    /// Returns a document in which `POST /bids` is non-idempotent and shed last, and `/lookup` is shed first.
     pub fn document(service: &str, retry_allowance: u16) -> String {
         json!({
             "service": service,
@@ -68,7 +68,8 @@
 }
 
 impl FleetPlan {
-    /// A client that does not use connections which the nodes may be closing at that moment.
+    /// Creates a client that drops idle connections before the nodes do, so that no request goes out on a connection that
+    /// a node is about to close.
     pub(super) fn client(&self) -> Client {
         match self.node["limits"]["idle_timeout_ms"].as_u64() {
             Some(idle_ms) => Client::with_idle_timeout(Duration::from_millis(idle_ms) * 4 / 5),
