--- a/crates/rig/src/fleet/programs.rs
+++ b/crates/rig/src/fleet/programs.rs
@@ -1,31 +1,31 @@
-//! Where the programs of a fleet are.
+//! Paths of the binaries that a fleet runs.
 
 use std::env;
 use std::path::{Path, PathBuf};
 
 use crate::error::RigError;
 
-/// The two programs of this workspace.
+/// Paths of the node and rig binaries.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The node.
+    /// Path of `coltsfootport`.
     pub node: PathBuf,
-    /// The rig.
+    /// Path of `coltsfootport-rig`.
     pub rig: PathBuf,
 }
 
 impl Programs {
-    /// The programs beside this one, as cargo builds them.
+    /// Finds the binaries in the directory of the current executable, where cargo puts them.
     pub fn beside_this() -> Result<Self, RigError> {
-        let own = env::current_exe()?;
-        let folder = own.parent().unwrap_or(Path::new("."));
+        let executable = env::current_exe()?;
+        let folder = executable.parent().unwrap_or(Path::new("."));
         Self::in_folder(folder)
     }
 
-    /// The programs in a folder, or above it where it is the folder of test programs.
+    /// Finds the binaries in `folder` or its parent; cargo puts test executables into a subdirectory.
     pub fn in_folder(folder: &Path) -> Result<Self, RigError> {
-        let above = folder.parent().unwrap_or(folder);
-        for folder in [folder, above] {
+        let parent = folder.parent().unwrap_or(folder);
+        for folder in [folder, parent] {
             let node = folder.join("coltsfootport");
             let rig = folder.join("coltsfootport-rig");
             if node.is_file() && rig.is_file() {
