--- a/crates/rig/src/fleet/settings.rs
+++ b/crates/rig/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one node of a fleet.
+//! Generates the settings of the nodes.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use super::member::Addresses;
 use super::plan::ServicePlan;
 
-/// Region of every instance.
+/// Region of all instances.
 pub(super) const REGION: &str = "one";
 
-/// The settings of a node; later parts replace fields of earlier ones.
+/// Builds the settings of a node and merges `overrides` into them in order.
 pub(super) fn node_settings(
     name: &str,
     domain: &str,
@@ -37,22 +37,23 @@
             "slots": service.target.slots,
         },
         "platform": { "address": platform },
-        // A test fleet is small and starts all at once; the defaults are for 1,400 nodes.
+        // The defaults are for 1,400 nodes; a test fleet is small and all its nodes start at once.
         "spread": { "start_fleet": 2, "start_wait_ms": 200 },
     });
-    for part in overrides {
-        merge(&mut settings, part);
+    for patch in overrides {
+        merge(&mut settings, patch);
     }
     settings
 }
 
-fn merge(into: &mut Value, part: &Value) {
-    match (into, part) {
-        (Value::Object(into), Value::Object(part)) => {
-            for (key, value) in part {
-                merge(into.entry(key).or_insert(Value::Null), value);
+/// Merges `patch` into `base` recursively; values other than objects are replaced.
+fn merge(base: &mut Value, patch: &Value) {
+    match (base, patch) {
+        (Value::Object(base), Value::Object(patch)) => {
+            for (key, value) in patch {
+                merge(base.entry(key).or_insert(Value::Null), value);
             }
         }
-        (into, part) => *into = part.clone(),
+        (base, patch) => *base = patch.clone(),
     }
 }
