--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP server and client on top of hyper, shared by the stand-ins.
+//! HTTP/1.1 server and client based on hyper, shared by the stand-ins, the load generator and the tests.
 
 mod answer;
 mod answer_body;
