--- a/crates/rig/src/http/answer.rs
+++ b/crates/rig/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the stand-ins' HTTP servers.
+//! Responses of the stand-ins' HTTP servers.
 
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -8,14 +8,14 @@
 
 use crate::http::AnswerBody;
 
-/// An answer of a stand-in.
+/// Response of a stand-in.
 pub type Answer = Response<AnswerBody>;
 
-/// What a handler does with a request.
+/// Outcome of handling a request.
 pub enum Handled {
-    /// Send this answer.
+    /// Send this response.
     Answer(Answer),
-    /// Close the connection without an answer.
+    /// Close the connection without a response.
     Drop,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json<T>(status: StatusCode, value: &T) -> Answer
 where
     T: Serialize,
@@ -33,7 +33,7 @@
     let Ok(body) = serde_json::to_vec(value) else {
         return text(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "answer can't be written as JSON",
+            "response can't be serialized as JSON",
         );
     };
     let mut answer = Response::new(AnswerBody::whole(body));
@@ -43,19 +43,19 @@
     answer
 }
 
-/// An answer with a plain text body.
+/// Creates a response with a text body and no content type.
 pub fn text(status: StatusCode, body: &str) -> Answer {
     let mut answer = Response::new(AnswerBody::whole(body.to_owned()));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer without a body.
+/// Creates a response with an empty body.
 pub fn empty(status: StatusCode) -> Answer {
     text(status, "")
 }
 
-/// Reads a request body of at most `limit` bytes; `None` where it is larger or cut short.
+/// Reads a request body of at most `limit` bytes; returns `None` if it is larger or incomplete.
 pub async fn read_body(body: Incoming, limit: usize) -> Option<Bytes> {
     let collected = Limited::new(body, limit).collect().await.ok()?;
     Some(collected.to_bytes())
