--- a/crates/rig/src/http/answer_body.rs
+++ b/crates/rig/src/http/answer_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or cut short on purpose.
+//! Response bodies, optionally truncated for fault injection.
 
 use std::io;
 use std::pin::Pin;
@@ -10,21 +10,21 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::{Sleep, sleep};
 
-/// Time between the last byte of a truncated body and the close of its connection.
+/// Delay between the last byte of a truncated body and closing the connection.
 ///
-/// hyper drops what it has buffered when a body fails, so without a pause the reader would see no byte at all.
-const TRUNCATION_PAUSE: Duration = Duration::from_millis(20);
+/// hyper discards its write buffer when a body fails, so without the delay the client would receive no bytes at all.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
-/// The body of an answer.
+/// Body of a response.
 pub enum AnswerBody {
-    /// Every byte is sent.
+    /// Sent completely.
     Whole(Full<Bytes>),
-    /// The connection is closed after a part of the announced length.
+    /// Cut off before the announced length by closing the connection.
     Truncated(TruncatedBody),
 }
 
 impl AnswerBody {
-    /// A body that is sent whole.
+    /// Creates a body that is sent completely.
     pub fn whole<B>(body: B) -> Self
     where
         B: Into<Bytes>,
@@ -32,7 +32,7 @@
         Self::Whole(Full::new(body.into()))
     }
 
-    /// A body that announces its full length but ends after `sent` bytes.
+    /// Creates a body that announces its full length but fails after `sent` bytes.
     pub fn truncated<B>(body: B, sent: usize) -> Self
     where
         B: Into<Bytes>,
@@ -72,11 +72,11 @@
     }
 }
 
-/// A body that announces more bytes than it sends, then fails.
+/// A body that fails before it has sent its announced length.
 pub struct TruncatedBody {
     announced: u64,
-    rest: Option<Bytes>,
-    pause: Option<Pin<Box<Sleep>>>,
+    remaining: Option<Bytes>,
+    delay: Option<Pin<Box<Sleep>>>,
 }
 
 impl TruncatedBody {
@@ -85,8 +85,8 @@
         body.truncate(sent);
         Self {
             announced,
-            rest: Some(body),
-            pause: None,
+            remaining: Some(body),
+            delay: None,
         }
     }
 }
@@ -99,14 +99,16 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if let Some(rest) = self.rest.take().filter(|rest| !rest.is_empty()) {
-            return Poll::Ready(Some(Ok(Frame::data(rest))));
+        if let Some(data) = self.remaining.take().filter(|data| !data.is_empty()) {
+            return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        let pause = self
-            .pause
-            .get_or_insert_with(|| Box::pin(sleep(TRUNCATION_PAUSE)));
-        ready!(pause.as_mut().poll(cx));
-        Poll::Ready(Some(Err(io::Error::other("truncated on purpose"))))
+        let delay = self
+            .delay
+            .get_or_insert_with(|| Box::pin(sleep(TRUNCATION_DELAY)));
+        ready!(delay.as_mut().poll(cx));
+        Poll::Ready(Some(Err(io::Error::other(
+            "response body truncated by fault injection",
+        ))))
     }
 
     fn size_hint(&self) -> SizeHint {
