--- a/crates/rig/src/http/client.rs
+++ b/crates/rig/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A pooled HTTP/1.1 client that reads whole answers.
+//! HTTP/1.1 client with a connection pool that reads complete responses.
 
 use std::error::Error;
 use std::iter::successors;
@@ -17,37 +17,37 @@
 
 use crate::error::RigError;
 
-/// Longest wait for a TCP connection.
+/// Time limit for establishing a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest idle time of a pooled connection.
+/// Longest time that an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest answer that is read.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Largest response body that is accepted, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Time limit of the JSON helpers.
-const JSON_TIMEOUT: Duration = Duration::from_secs(10);
+/// Default time limit of a request.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request to send.
+/// A request and its time limit.
 #[derive(Clone, Debug)]
 pub struct ClientCall {
-    /// Where to connect.
+    /// Server address.
     pub addr: SocketAddr,
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// Path and query, from `/`.
+    /// Path and query, starting with `/`.
     pub path: String,
-    /// Headers besides `host` and `content-length`.
+    /// Headers other than `host` and `content-length`.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// Longest time until the answer is whole; at its end the connection is closed.
+    /// Time limit for receiving the complete response; when it expires, the connection is closed.
     pub timeout: Duration,
 }
 
 impl ClientCall {
-    /// A call with no headers and an empty body.
+    /// Creates a request without headers and with an empty body.
     pub fn new<P>(addr: SocketAddr, method: Method, path: P) -> Self
     where
         P: Into<String>,
@@ -58,30 +58,30 @@
             path: path.into(),
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            timeout: JSON_TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
         }
     }
 }
 
-/// An answer that arrived whole.
+/// A response that was received completely.
 #[derive(Clone, Debug)]
 pub struct ClientAnswer {
-    /// The status.
+    /// Status code.
     pub status: StatusCode,
-    /// Every header.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
 impl ClientAnswer {
-    /// A header's value where it is plain text.
+    /// Returns the value of a header if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A pooled client; clones share the pool.
+/// HTTP client with a connection pool; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -94,13 +94,13 @@
 }
 
 impl Client {
-    /// A client that does not use a connection again that has been idle for longer.
+    /// Creates a client that doesn't reuse connections idle for longer than `idle_timeout`, capped at `IDLE_TIMEOUT`.
     pub fn with_idle_timeout(idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A request that hyper hands back unsent on a closed pooled connection is sent on a new one. It never left
-        // this process, so the target can't see it twice.
+        // Resends a request on a new connection if its pooled connection was closed before the request was written. It
+        // never left this process, so the target can't receive it twice.
         let inner = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(idle_timeout.min(IDLE_TIMEOUT))
@@ -109,7 +109,7 @@
         Self { inner }
     }
 
-    /// Sends a call and reads its whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn send(&self, call: ClientCall) -> Result<ClientAnswer, RigError> {
         let mut req = Request::builder()
             .method(call.method)
@@ -122,16 +122,16 @@
         }
     }
 
-    /// Reads JSON from a path.
+    /// Sends a `GET` request and parses the JSON body of the response; fails unless the status is 2xx.
     pub async fn get<T>(&self, addr: SocketAddr, path: &str) -> Result<T, RigError>
     where
         T: DeserializeOwned,
     {
         let answer = self.send(ClientCall::new(addr, Method::GET, path)).await?;
-        Ok(serde_json::from_slice(&success(answer)?.body)?)
+        Ok(serde_json::from_slice(&require_success(answer)?.body)?)
     }
 
-    /// Sends a body and expects success.
+    /// Sends a `PUT` request; fails unless the response status is 2xx.
     pub async fn put<B>(
         &self,
         addr: SocketAddr,
@@ -145,10 +145,10 @@
             body: body.into(),
             ..ClientCall::new(addr, Method::PUT, path)
         };
-        success(self.send(call).await?)
+        require_success(self.send(call).await?)
     }
 
-    /// Sends JSON by `PUT` and expects success.
+    /// Sends a `PUT` request with a JSON body; fails unless the response status is 2xx.
     pub async fn put_json<T>(
         &self,
         addr: SocketAddr,
@@ -161,7 +161,7 @@
         self.put(addr, path, serde_json::to_vec(value)?).await
     }
 
-    /// Sends JSON by `POST` and expects success.
+    /// Sends a `POST` request with a JSON body; fails unless the response status is 2xx.
     pub async fn post_json<T>(
         &self,
         addr: SocketAddr,
@@ -176,7 +176,7 @@
             body,
             ..ClientCall::new(addr, Method::POST, path)
         };
-        success(self.send(call).await?)
+        require_success(self.send(call).await?)
     }
 
     async fn exchange(&self, req: Request<Full<Bytes>>) -> Result<ClientAnswer, RigError> {
@@ -184,7 +184,7 @@
         let answer = self.inner.request(req).await;
         let answer = answer.map_err(|e| connection_error(&uri, &e))?;
         let (parts, body) = answer.into_parts();
-        let body = Limited::new(body, ANSWER_LIMIT).collect().await;
+        let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let body = body
             .map_err(|e| connection_error(&uri, e.as_ref()))?
             .to_bytes();
@@ -196,16 +196,19 @@
     }
 }
 
-/// The error with its address and its causes: by itself it says that a connection failed, and not which way.
+/// Formats an error with the URI and its chain of sources; hyper's own message doesn't include the cause.
 fn connection_error(uri: &Uri, e: &(dyn Error + 'static)) -> RigError {
-    let causes = successors(e.source(), |cause: &&(dyn Error + 'static)| {
-        (*cause).source()
+    let sources = successors(e.source(), |source: &&(dyn Error + 'static)| {
+        (*source).source()
     });
-    let told = causes.fold(e.to_string(), |told, cause| format!("{told}: {cause}"));
-    RigError::Connection(format!("{uri}: {told}"))
+    let message = sources.fold(e.to_string(), |message, source| {
+        format!("{message}: {source}")
+    });
+    RigError::Connection(format!("{uri}: {message}"))
 }
 
-fn success(answer: ClientAnswer) -> Result<ClientAnswer, RigError> {
+/// Turns a response with a status other than 2xx into [`RigError::Status`].
+fn require_success(answer: ClientAnswer) -> Result<ClientAnswer, RigError> {
     if answer.status.is_success() {
         return Ok(answer);
     }
