--- a/crates/rig/src/http/method_path.rs
+++ b/crates/rig/src/http/method_path.rs
@@ -1,4 +1,4 @@
-//! What to call, as text `METHOD /service/path`.
+//! Request method and path, written as `METHOD /service/path`.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,13 +9,13 @@
 
 use crate::error::RigError;
 
-/// A method with a path, as given in settings and on the command line.
+/// Request method and path, as written in settings and on the command line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct MethodPath {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// The path, from `/`, with its query.
+    /// Path and query, starting with `/`.
     pub path: SmolStr,
 }
 
