--- a/crates/rig/src/http/query.rs
+++ b/crates/rig/src/http/query.rs
@@ -1,16 +1,16 @@
 //! Query strings of the form `a=1&b=2`.
 
-/// A query string; names and values are taken as they stand, without decoding.
+/// A query string; names and values are not percent-decoded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Query<'a>(&'a str);
 
 impl<'a> Query<'a> {
-    /// The query of a URI, empty where it has none.
+    /// Returns the query of a URI, or an empty one.
     pub fn of(uri: &'a http::Uri) -> Self {
         Self(uri.query().unwrap_or_default())
     }
 
-    /// The first value under `name`.
+    /// Returns the first value of the parameter `name`.
     pub fn get(self, name: &str) -> Option<&'a str> {
         self.0
             .split('&')
@@ -19,7 +19,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The first value under `name` as a number, 0 where it is missing; `None` where it isn't a number.
+    /// Parses the first value of the parameter `name` as a number: 0 if it is missing, `None` if it is not a number.
     pub fn number(self, name: &str) -> Option<u64> {
         match self.get(name) {
             Some(value) => value.parse().ok(),
