--- a/crates/rig/src/http/server.rs
+++ b/crates/rig/src/http/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that ends with its handle.
+//! HTTP/1.1 server that stops when its handle is dropped.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,12 +17,12 @@
 
 use crate::http::{Answer, Handled};
 
-/// Pause after a failed accept, such as when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, for example when the process has run out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Returned to hyper so that it closes the connection without an answer.
+/// Service error that makes hyper close the connection without a response.
 #[derive(Debug, Error)]
-#[error("connection dropped on purpose")]
+#[error("connection dropped by the request handler")]
 struct Dropped;
 
 /// A running server; dropping it closes its listener and every connection.
@@ -33,9 +33,9 @@
 }
 
 impl Server {
-    /// Serves every request on `listener` by `handler`.
+    /// Starts serving the connections of `listener` with `handler`.
     ///
-    /// The future of a request is dropped as soon as its client closes the connection.
+    /// The handler's future is dropped when the client closes the connection.
     pub fn start<H, F>(listener: TcpListener, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -46,7 +46,7 @@
         Ok(Self { addr, task })
     }
 
-    /// The address that the server listens on.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Binds a listener.
+/// Binds a TCP listener to `addr`.
 pub async fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
@@ -74,7 +74,7 @@
             Ok((stream, _)) => {
                 connections.spawn(serve_connection(stream, handler.clone()));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
@@ -90,16 +90,16 @@
     }
     let service = service_fn(|req| {
         let handled = handler(req);
-        async move { answer_of(handled.await) }
+        async move { into_service_result(handled.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
-    // A client that goes away ends its connection with an error; there is nobody to tell.
+    // A client that disconnects early causes an error, which doesn't concern the server.
     let _ = connection.await;
 }
 
-fn answer_of(handled: Handled) -> Result<Answer, Dropped> {
+fn into_service_result(handled: Handled) -> Result<Answer, Dropped> {
     match handled {
         Handled::Answer(answer) => Ok(answer),
         Handled::Drop => Err(Dropped),
