--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -1,11 +1,11 @@
-//! The demo: a short overload with faults on real processes, and a table of what held.
+//! Demo: a short overload with faults on a fleet of real processes, followed by a table of checked guarantees.
 
 mod checks;
 mod events;
+mod guarantee;
 mod plan;
 mod probe;
-mod promise;
 mod run;
 
-pub use self::promise::{Promise, Verdict};
+pub use self::guarantee::{Guarantee, Verdict};
 pub use self::run::run;
--- a/crates/rig/src/demo/promise.rs
+++ b/crates/rig/src/demo/guarantee.rs
@@ -1,32 +1,32 @@
-//! One line of the demo's table.
+//! Rows of the demo's result table.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Whether a promise held.
+/// Result of checking a guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It held.
+    /// The guarantee held.
     Held,
-    /// It was broken.
+    /// The guarantee was violated.
     Broken,
 }
 
-/// A promise with what was seen of it.
+/// A guarantee with the observed result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Promise {
-    /// What must hold.
+pub struct Guarantee {
+    /// Text of the guarantee.
     pub text: &'static str,
-    /// What was seen.
+    /// Observed values.
     pub seen: String,
-    /// Whether that keeps the promise.
+    /// Result of the check.
     pub verdict: Verdict,
 }
 
-impl Promise {
-    /// A promise that held or not.
+impl Guarantee {
+    /// Creates a row of the table.
     pub fn new(text: &'static str, seen: String, held: bool) -> Self {
         let verdict = match held {
             true => Verdict::Held,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether it held.
+    /// Returns whether the guarantee held.
     pub fn held(&self) -> bool {
         self.verdict == Verdict::Held
     }
@@ -54,7 +54,7 @@
     }
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Guarantee {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:<67}  {:<62}  {}", self.text, self.seen, self.verdict)
     }
--- a/crates/rig/src/demo/plan.rs
+++ b/crates/rig/src/demo/plan.rs
@@ -1,4 +1,4 @@
-//! The demo's fleet and load.
+//! Fleet and load of the demo.
 
 use std::net::SocketAddr;
 
@@ -10,46 +10,49 @@
 use crate::load::{Behaviour, LoadPlan, Operation, Stage};
 use crate::target;
 
-/// Services from the entry to the deepest.
+/// Chain of services, from the first to the deepest.
 pub(super) const CHAIN: [&str; 4] = ["bidding", "watchlists", "prices", "lots"];
 
-/// Service whose calls must not run twice.
+/// First service of the chain; its bids are non-idempotent and must not run twice.
 pub(super) const FIRST: &str = CHAIN[0];
 
-/// Service at the end of the chain, which limits the whole.
+/// Last service of the chain, the bottleneck.
 pub(super) const DEEPEST: &str = CHAIN[3];
 
-/// Node that is killed during the surge.
+/// Name of the node that is killed during the surge.
 pub(super) const KILLED: &str = "bidding-2";
 
-/// Requests a second that the deepest service can serve: instances times slots over service time.
+/// Requests per second that the deepest service can serve: instances * slots / service time.
 pub(super) const CAPACITY: f64 = 3.0 * 4.0 / 0.08;
 
-/// Retries that the documents allow one request.
+/// Retry allowance per request in the documents.
 pub(super) const ALLOWANCE: u16 = 2;
 
-/// Sendings of a call by the clients.
+/// Maximum number of attempts per call by the clients.
 pub(super) const TRIES: u32 = 4;
 
-/// Seconds of warm-up, of normal load, of the surge, and of normal load afterwards.
+/// Durations in seconds of the warm-up, the normal load, the surge and the normal load after it.
 pub(super) const WARM_UP: f64 = 3.0;
 pub(super) const BEFORE: f64 = 5.0;
 pub(super) const SURGE: f64 = 10.0;
 pub(super) const AFTER: f64 = 12.0;
 
+/// Normal load as a share of the capacity.
 const NORMAL_SHARE: f64 = 0.6;
+/// Load during the surge as a multiple of the normal load.
 const SURGE_FACTOR: f64 = 4.0;
+/// Failure domains of the instances.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// Four services in a row, three instances each, in three failure domains.
+/// Returns a chain of four services with three instances each, one per failure domain.
 pub(super) fn fleet() -> Result<FleetPlan, RigError> {
     let mut services = Vec::new();
     for (index, name) in CHAIN.iter().enumerate() {
-        let below = CHAIN.get(index + 1);
-        let downstream = below.map(|below| format!("GET /{below}/items/1").parse());
+        let next = CHAIN.get(index + 1);
+        let downstream = next.map(|next| format!("GET /{next}/items/1").parse());
         let target = target::Settings {
-            slots: if below.is_some() { 64 } else { 4 },
-            service_ms: if below.is_some() { 2.0 } else { 80.0 },
+            slots: if next.is_some() { 64 } else { 4 },
+            service_ms: if next.is_some() { 2.0 } else { 80.0 },
             downstream: downstream.into_iter().collect::<Result<_, _>>()?,
             ..target::Settings::default()
         };
@@ -67,7 +70,7 @@
     })
 }
 
-/// A surge of clients that send again at once.
+/// Returns normal load with a surge in between, from clients that retry immediately.
 pub(super) fn load(entries: Vec<SocketAddr>) -> Result<LoadPlan, RigError> {
     let normal = CAPACITY * NORMAL_SHARE;
     let stage = |rate, seconds| Stage { rate, seconds };
--- a/crates/rig/src/demo/probe.rs
+++ b/crates/rig/src/demo/probe.rs
@@ -1,4 +1,4 @@
-//! One request and its time line over all nodes.
+//! Sends one request and collects its events from all nodes.
 
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -11,22 +11,23 @@
 use crate::http::ClientCall;
 use crate::process::spawn;
 
+use super::guarantee::Guarantee;
 use super::plan::{DEEPEST, FIRST};
-use super::promise::Promise;
 
 const REQUEST_HEADER: &str = "coltsfootport-request";
 
-/// The merged events of one request.
+/// Merged events of one request, as printed by the `timeline` command.
 #[derive(Clone, Debug, Default)]
-pub(super) struct TimeLine {
-    /// One line an event.
+pub(super) struct Timeline {
+    /// One line per event.
     pub text: String,
 }
 
-impl TimeLine {
-    /// Sends one request and asks all nodes for its events.
+impl Timeline {
+    /// Sends one request and collects its events from all nodes.
     pub async fn of_one_request(fleet: &Fleet) -> Result<Self, RigError> {
-        // An entry beside another service, so that the whole way between nodes is shown.
+        // The entry node belongs to another service, so that the timeline includes the hop from the entry to the first
+        // service.
         let entry = fleet.member(&format!("{DEEPEST}-1")).addresses;
         let path = format!("/{FIRST}/lots/1");
         let call = ClientCall::new(entry.callers, Method::GET, path);
@@ -49,8 +50,8 @@
         })
     }
 
-    /// The events reach from the entry to the deepest target and back.
-    pub fn promise(&self) -> Promise {
+    /// Checks that the events cover the path from the entry to the deepest target and back.
+    pub fn check_complete(&self) -> Guarantee {
         let lines: Vec<&str> = self.text.lines().collect();
         let is_received = lines.first().is_some_and(|line| line.contains(" received"));
         let is_answered = lines.last().is_some_and(|line| line.contains(" answered"));
@@ -58,9 +59,9 @@
         let is_deep = lines
             .iter()
             .any(|line| line.contains(&deepest) && line.contains(" dispatched"));
-        Promise::new(
-            "one request is seen from the entry to the deepest target and back",
-            format!("{} events in one order", lines.len()),
+        Guarantee::new(
+            "a timeline covers the path from entry to deepest target and back",
+            format!("{} events in order", lines.len()),
             is_received && is_answered && is_deep,
         )
     }
