--- a/crates/rig/src/cli.rs
+++ b/crates/rig/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line interface.
 
 mod chaos;
 mod cost;
@@ -30,46 +30,47 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, generate(options), version)]
 pub enum Command {
-    /// Stand-in platform: configuration service and instance list
+    /// Run a stand-in platform with a configuration service and an instance list
     #[bpaf(command)]
     Platform(#[bpaf(external(platform_options))] PlatformOptions),
-    /// Stand-in target: slots, service time and calls to further services
+    /// Run a stand-in target with a number of slots, a service time and calls to downstream services
     #[bpaf(command)]
     Target(#[bpaf(external(target_options))] TargetOptions),
-    /// Fault-injecting proxy for TCP and UDP links
+    /// Run a fault-injecting proxy for TCP and UDP links
     #[bpaf(command)]
     Proxy(#[bpaf(external(proxy_options))] ProxyOptions),
-    /// Open-loop load generator; prints its report as JSON
+    /// Generate open-loop load and print a report as JSON
     #[bpaf(command)]
     Load(#[bpaf(external(load_options))] LoadOptions),
-    /// Random faults from a seed under load on real processes; checks every promise after each round
+    /// Inject random faults from a seed into a fleet of processes under load and check all guarantees after each round
     #[bpaf(command)]
     Chaos(#[bpaf(external(chaos_options))] ChaosOptions),
-    /// Random faults from a seed on real mesh nodes; callers' and targets' own view is checked against every promise
+    /// Inject random faults from a seed into mesh nodes under load and check what callers and targets recorded against
+    /// all guarantees
     #[bpaf(command)]
     Soak(#[bpaf(external(soak_options))] SoakOptions),
-    /// A surge with faults on a small fleet of real processes; ends with 0 only if every promise held
+    /// Run a load surge with faults on a small fleet of processes; exits with status 0 only if all guarantees held
     #[bpaf(command)]
     Demo,
-    /// Both users' fleets under overload and faults, in several variants of the policy
+    /// Run models of the users' fleets under overload and faults, with several variants of the policy
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment_args))] ExperimentArgs),
-    /// Latency that the nodes add to a call
+    /// Measure the latency that the nodes add to a call
     #[bpaf(command)]
     Latency(#[bpaf(external(latency_args))] LatencyArgs),
-    /// Processor, memory, control bytes and platform calls against what the nodes have to carry
+    /// Measure CPU time, memory, control traffic and platform calls as the load on the nodes grows
     #[bpaf(command)]
     Cost(#[bpaf(external(cost_args))] CostArgs),
 }
 
-/// Parses the command line of this process; prints help or the fault and ends it where there is nothing to run.
+/// Parses the command line; prints help or an error message and exits if there is no command to run.
 pub fn parse() -> Command {
     options().run()
 }
 
-/// Runs a subcommand until it ends or the process is told to stop.
+/// Runs a subcommand until it finishes or the process receives `SIGTERM` or `SIGINT`.
 pub fn run(command: Command) -> Result<(), RigError> {
-    // The commands that run a whole fleet carry proxy and load in this one process; the others are one small process each.
+    // These commands run a whole fleet, with the proxy and the load generator in this process; the others are small.
     let mut builder = match command {
         Command::Soak(_)
         | Command::Demo
@@ -95,25 +96,25 @@
     })
 }
 
-/// Runs a command with child processes until its end or until the process is told to stop.
+/// Runs a command with child processes until it finishes or the process receives `SIGTERM` or `SIGINT`.
 ///
-/// A signal that ended the process at once would leave its children behind, seen as nodes that run on for ever; dropping
-/// the command's future ends them.
+/// If the signal terminated the process directly, its children would be orphaned; nodes have been left running forever
+/// this way. Dropping the command's future kills the children.
 async fn until_stopped<F>(command: F) -> Result<(), RigError>
 where
     F: Future<Output = Result<(), RigError>>,
 {
     tokio::select! {
         result = command => result,
-        stopped = stopped() => {
-            stopped?;
+        received = stop_signal() => {
+            received?;
             Err(RigError::Stopped)
         }
     }
 }
 
-/// Waits for the first of the signals that ask a process to stop.
-async fn stopped() -> Result<(), RigError> {
+/// Waits for `SIGTERM` or `SIGINT`.
+async fn stop_signal() -> Result<(), RigError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/rig/src/cli/platform.rs
+++ b/crates/rig/src/cli/platform.rs
@@ -16,7 +16,7 @@
     /// Address to listen on
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Document file, or directory of them; NAME.* is written as documents/NAME (repeatable)
+    /// Document file or directory of documents; NAME.* is published as documents/NAME (repeatable)
     #[bpaf(argument("PATH"))]
     documents: Vec<PathBuf>,
     /// JSON file with the instance list
@@ -24,9 +24,9 @@
     instances: Option<PathBuf>,
 }
 
-/// Runs until the process is told to stop.
+/// Runs the platform until the process receives `SIGTERM` or `SIGINT`.
 pub async fn run(options: PlatformOptions) -> Result<(), RigError> {
     let seed = Seed::read(&options.documents, options.instances.as_deref())?;
     let _platform = Platform::start(http::bind(options.listen).await?, seed)?;
-    super::stopped().await
+    super::stop_signal().await
 }
--- a/crates/rig/src/cli/target.rs
+++ b/crates/rig/src/cli/target.rs
@@ -16,38 +16,38 @@
     /// Address to listen on
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Service that the target runs
+    /// Name of the service that the target implements
     #[bpaf(argument::<String>("NAME"), map(SmolStr::from))]
     service: SmolStr,
-    /// Calls that run at once (10)
+    /// Maximum number of concurrent calls (default: 10)
     #[bpaf(argument("N"), optional)]
     slots: Option<usize>,
-    /// Service time in milliseconds (5)
+    /// Service time in milliseconds (default: 5)
     #[bpaf(argument("MS"), optional)]
     service_ms: Option<f64>,
     /// Draw service times from an exponential distribution
     exponential: bool,
-    /// Length of the cold start in milliseconds
+    /// Duration of the cold start in milliseconds
     #[bpaf(argument("MS"), optional)]
     cold_ms: Option<u64>,
-    /// Factor on the service time during the cold start
+    /// Multiplier for the service time during the cold start
     #[bpaf(argument("FACTOR"), optional)]
     cold_factor: Option<f64>,
-    /// Seed of service times and failures
+    /// Seed for service times and failures
     #[bpaf(argument("N"), optional)]
     seed: Option<u64>,
     /// Address of the node's egress listener
     #[bpaf(argument("ADDR"), optional)]
     egress: Option<SocketAddr>,
-    /// Call to a further service, as "METHOD /service/path" (repeatable)
+    /// Call to a downstream service, as "METHOD /service/path" (repeatable)
     #[bpaf(argument("CALL"))]
     downstream: Vec<MethodPath>,
-    /// Make the calls to further services all at once
+    /// Make the downstream calls in parallel
     parallel: bool,
-    /// Naive retries of each call to a further service (0)
+    /// Immediate retries of each downstream call (default: 0)
     #[bpaf(argument("N"), optional)]
     downstream_retries: Option<u32>,
-    /// Further settings as a JSON object, as taken by PUT /settings
+    /// Additional settings as a JSON object, in the format of PUT /settings
     #[bpaf(argument("JSON"), optional)]
     settings: Option<String>,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Runs until the process is told to stop.
+/// Runs the target until the process receives `SIGTERM` or `SIGINT`.
 pub async fn run(options: TargetOptions) -> Result<(), RigError> {
     let settings = options.settings()?;
     let placement = Placement {
@@ -87,5 +87,5 @@
         egress: options.egress,
     };
     let _target = Target::start(http::bind(options.listen).await?, placement, settings)?;
-    super::stopped().await
+    super::stop_signal().await
 }
