--- a/crates/rig/src/cli/chaos.rs
+++ b/crates/rig/src/cli/chaos.rs
@@ -9,20 +9,20 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct ChaosOptions {
-    /// Seed that the faults and the load follow from
+    /// Seed for the faults and the load
     #[bpaf(argument("N"))]
     seed: u64,
-    /// Length of the load in seconds, over all rounds
+    /// Total duration of the load in seconds
     #[bpaf(argument("S"), fallback(8.0))]
     seconds: f64,
-    /// Rounds of equal length; the promises are checked after each
+    /// Number of rounds of equal duration; the guarantees are checked after each
     #[bpaf(argument("N"), fallback(2))]
     rounds: u32,
-    /// Print the plan and run nothing
+    /// Print the plan without running it
     plan: bool,
 }
 
-/// Runs the plan of a seed and prints the report; fails with seed and plan where a promise was broken.
+/// Runs the plan of a seed and prints the report; if a guarantee was violated, prints the plan and fails with the seed.
 pub async fn run(options: ChaosOptions) -> Result<(), RigError> {
     let plan = ChaosPlan::of_seed(options.seed, options.seconds, options.rounds);
     if options.plan {
@@ -35,6 +35,6 @@
         return Ok(());
     }
     eprintln!("{}", serde_json::to_string_pretty(&plan)?);
-    let found = report.breaches.join("\n");
-    Err(RigError::Breach(format!("seed {}:\n{found}", plan.seed)))
+    let breaches = report.breaches.join("\n");
+    Err(RigError::Breach(format!("seed {}:\n{breaches}", plan.seed)))
 }
