--- a/crates/rig/src/cli/soak.rs
+++ b/crates/rig/src/cli/soak.rs
@@ -9,25 +9,25 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct SoakOptions {
-    /// Seed that the strikes and the load follow from
+    /// Seed for the faults and the load
     #[bpaf(argument("N"))]
     seed: u64,
-    /// Length of the load in seconds
+    /// Duration of the load in seconds
     #[bpaf(long("for"), argument("S"), fallback(10))]
     seconds: u64,
-    /// Machines, each with a node and a target
+    /// Number of machines, each with a node and a target
     #[bpaf(argument("N"), fallback(6))]
     machines: usize,
-    /// Runs of this seed and the ones after it, one after the other
+    /// Number of runs, with consecutive seeds from --seed
     #[bpaf(argument("N"), fallback(1))]
     runs: u64,
-    /// Print the plan and run nothing
+    /// Print the plan without running it
     plan: bool,
 }
 
-/// Runs the plan of each seed and prints a report a line; fails where a promise was broken in any of them.
+/// Runs the plan of each seed and prints one report per line; fails if a guarantee was violated in any run.
 pub async fn run(options: SoakOptions) -> Result<(), RigError> {
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in options.seed..options.seed + options.runs {
         let plan = SoakPlan::of_seed(seed, options.seconds, options.machines);
         if options.plan {
@@ -37,11 +37,14 @@
         let report = soak::run(&plan).await?;
         println!("{}", serde_json::to_string(&report)?);
         if !report.breaches.is_empty() {
-            broken.push(seed.to_string());
+            failed_seeds.push(seed.to_string());
         }
     }
-    match broken.is_empty() {
+    match failed_seeds.is_empty() {
         true => Ok(()),
-        false => Err(RigError::Breach(format!("seeds {}", broken.join(" ")))),
+        false => Err(RigError::Breach(format!(
+            "seeds {}",
+            failed_seeds.join(" ")
+        ))),
     }
 }
