--- a/crates/rig/src/cli/cost.rs
+++ b/crates/rig/src/cli/cost.rs
@@ -12,21 +12,21 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct CostArgs {
-    /// nodes, documents, tokens, calls or changes (repeatable, all)
+    /// Dimension to vary: nodes, documents, tokens, calls or changes (repeatable; default: all)
     #[bpaf(argument("DIMENSION"))]
     vary: Vec<Dimension>,
-    /// Most nodes of a fleet
+    /// Maximum number of nodes in a fleet
     #[bpaf(argument("N"), fallback(120), display_fallback)]
     most_nodes: usize,
-    /// Seconds over which each point is measured
+    /// Duration of each measurement in seconds
     #[bpaf(argument("S"), fallback(10.0), display_fallback)]
     seconds: f64,
-    /// File for the results as JSON
+    /// Output file for the results as JSON
     #[bpaf(argument("FILE"), optional)]
     out: Option<PathBuf>,
 }
 
-/// Measures and prints tables.
+/// Measures the given dimensions and prints a table for each.
 pub async fn run(args: CostArgs) -> Result<(), RigError> {
     let dimensions = match args.vary.is_empty() {
         true => Dimension::ALL.to_vec(),
