--- a/crates/rig/src/cli/latency.rs
+++ b/crates/rig/src/cli/latency.rs
@@ -11,18 +11,18 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct LatencyArgs {
-    /// Seconds of each run
+    /// Duration of each run in seconds
     #[bpaf(argument("S"), fallback(20.0), display_fallback)]
     seconds: f64,
-    /// Runs
+    /// Number of runs
     #[bpaf(argument("N"), fallback(5), display_fallback)]
     repeat: u32,
-    /// File for the results as JSON
+    /// Output file for the results as JSON
     #[bpaf(argument("FILE"), optional)]
     out: Option<PathBuf>,
 }
 
-/// Measures and prints a table.
+/// Measures the latency and prints a table.
 pub async fn run(args: LatencyArgs) -> Result<(), RigError> {
     let LatencyArgs {
         seconds,
