--- a/crates/rig/src/cli/experiment.rs
+++ b/crates/rig/src/cli/experiment.rs
@@ -11,42 +11,44 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct ExperimentArgs {
-    /// telmarino or nilestone (repeatable, both)
+    /// User whose fleet is modelled: telmarino or nilestone (repeatable; default: both)
     #[bpaf(argument("USER"))]
     user: Vec<User>,
-    /// surge-2x, surge-4x, surge-8x, slow-deep, surge-slow-deep, retry-storm, cold-start, domain-gone, platform-down,
-    /// lying-health or partition (repeatable)
+    /// Scenario: surge-2x, surge-4x, surge-8x, slow-deep, surge-slow-deep, retry-storm, cold-start, domain-gone,
+    /// platform-down, lying-health or partition (repeatable)
     #[bpaf(argument("SCENARIO"), some("at least one --scenario is needed"))]
     scenario: Vec<Scenario>,
-    /// full, none, static, no-levels, no-deadline-check or no-allowance (repeatable: full, none and static)
+    /// Policy variant: full, none, static, no-levels, no-deadline-check or no-allowance (repeatable; default: full,
+    /// none and static)
     #[bpaf(argument("VARIANT"))]
     variant: Vec<Variant>,
-    /// Runs of each variant, in turn
+    /// Number of runs of each variant; the variants take turns
     #[bpaf(argument("N"), fallback(3), display_fallback)]
     repeat: u32,
-    /// Factor on the slots; at 1 they are 0.4 of the users' own
+    /// Multiplier for the number of slots; 1 stands for 0.4 of the slots of the user's real fleet
     #[bpaf(argument("X"), fallback(1.0), display_fallback)]
     scale: f64,
-    /// Seconds of the trigger
+    /// Duration of the trigger in seconds
     #[bpaf(argument("S"), optional)]
     trigger: Option<usize>,
-    /// Seconds after the trigger
+    /// Duration of the observation after the trigger in seconds
     #[bpaf(argument("S"), optional)]
     after: Option<usize>,
-    /// Folder for results and plots
+    /// Output directory for results and plots
     #[bpaf(argument("DIR"), optional)]
     out: Option<PathBuf>,
 }
 
-const USUAL: [Variant; 3] = [Variant::Full, Variant::None, Variant::Static];
+/// Variants that run if none is given.
+const DEFAULT_VARIANTS: [Variant; 3] = [Variant::Full, Variant::None, Variant::Static];
 
 impl ExperimentArgs {
     fn into_options(self) -> ExperimentOptions {
         let default = Course::default();
         ExperimentOptions {
-            users: or(self.user, &User::ALL),
+            users: or_default(self.user, &User::ALL),
             scenarios: self.scenario,
-            variants: or(self.variant, &USUAL),
+            variants: or_default(self.variant, &DEFAULT_VARIANTS),
             repeat: self.repeat,
             scale: self.scale,
             course: Course {
@@ -59,12 +61,13 @@
     }
 }
 
-fn or<T>(given: Vec<T>, usual: &[T]) -> Vec<T>
+/// Returns `given`, or `default` if it is empty.
+fn or_default<T>(given: Vec<T>, default: &[T]) -> Vec<T>
 where
     T: Clone,
 {
     match given.is_empty() {
-        true => usual.to_vec(),
+        true => default.to_vec(),
         false => given,
     }
 }
