--- a/crates/rig/src/cli/load.rs
+++ b/crates/rig/src/cli/load.rs
@@ -13,39 +13,39 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct LoadOptions {
-    /// JSON file with the whole plan; the other options replace its parts
+    /// JSON file with the plan; other options override its fields
     #[bpaf(argument("FILE"), optional)]
     plan: Option<PathBuf>,
-    /// Callers' listener of a node (repeatable)
+    /// Address of a node's listener for callers (repeatable)
     #[bpaf(argument("ADDR"))]
     entry: Vec<SocketAddr>,
-    /// RATE:SECONDS, calls a second for a time (repeatable, one after the other)
+    /// Load stage as RATE:SECONDS, with the rate in calls per second (repeatable; stages run one after the other)
     #[bpaf(argument("STAGE"))]
     stage: Vec<Stage>,
-    /// "METHOD /service/path [class=NAME] [weight=N] [body=BYTES] [non-idempotent]" (repeatable)
+    /// Operation as "METHOD /service/path [class=NAME] [weight=N] [body=BYTES] [non-idempotent]" (repeatable)
     #[bpaf(argument("OPERATION"))]
     operation: Vec<Operation>,
-    /// Send again at once what didn't succeed, N sendings a call at most
+    /// Retry unsuccessful calls immediately, with at most N attempts per call
     #[bpaf(argument("N"), optional)]
     hard_retry: Option<u32>,
-    /// Send again what did not run after the time that the answer names, N sendings a call at most
+    /// Retry only calls that did not run, after the delay given in the answer, with at most N attempts per call
     #[bpaf(argument("N"), optional)]
     polite: Option<u32>,
-    /// Deadline told to the node in milliseconds
+    /// Deadline sent to the node, in milliseconds
     #[bpaf(argument("MS"), optional)]
     deadline_ms: Option<u64>,
-    /// Time after which a client gives up a sending in milliseconds
+    /// Client timeout per attempt, in milliseconds
     #[bpaf(argument("MS"), optional)]
     timeout_ms: Option<u64>,
-    /// Calls in flight at most
+    /// Maximum number of calls in flight
     #[bpaf(argument("N"), optional)]
     max_in_flight: Option<usize>,
-    /// Begin of each call's key
+    /// Prefix of the calls' keys
     #[bpaf(argument("TEXT"), optional)]
     key_prefix: Option<String>,
-    /// Report how each non-idempotent call ended
+    /// Include the outcome of each non-idempotent call in the report
     record_keys: bool,
-    /// Seed of arrivals, operations and entries
+    /// Seed for arrival times and the choice of operations and entries
     #[bpaf(argument("N"), optional)]
     seed: Option<u64>,
 }
@@ -61,7 +61,7 @@
             (None, Some(tries)) => Behaviour::Polite { tries },
             (None, None) => base.behaviour,
             (Some(_), Some(_)) => {
-                let reason = "a client either retries hard or is polite";
+                let reason = "--hard-retry and --polite are mutually exclusive";
                 return Err(RigError::Settings(reason.into()));
             }
         };
