--- a/crates/rig/src/error.rs
+++ b/crates/rig/src/error.rs
@@ -1,48 +1,48 @@
-//! The error type of the rig.
+//! Error type of the rig.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Anything that can stop a part of the rig.
+/// Errors of the rig's commands, stand-ins and test harness.
 #[derive(Debug, Error)]
 pub enum RigError {
     /// A socket, file or process operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A JSON text doesn't have the expected form.
+    /// JSON text is invalid or doesn't match the expected type.
     #[error("malformed JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A request can't be built from its parts.
+    /// An HTTP request can't be built from its parts.
     #[error("malformed request: {0}")]
     Request(#[from] ::http::Error),
-    /// No connection, or the connection broke before the answer was whole.
+    /// The connection can't be established, or it broke before the response was complete.
     #[error("connection failed: {0}")]
     Connection(String),
-    /// The answer did not come within its time limit.
+    /// A response or the exit of a process did not arrive within its time limit.
     #[error("timeout")]
     Timeout,
-    /// A stand-in answered with another status than success.
+    /// The response status is not 2xx.
     #[error("status {status}: {body}")]
     Status {
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// The answer body as text.
+        /// Response body as text.
         body: String,
     },
-    /// An option or plan can't be used.
+    /// An option, plan or setting is invalid, or an auxiliary step of a run failed.
     #[error("{0}")]
     Settings(String),
-    /// A promise was broken in a run.
-    #[error("broken promises with {0}")]
+    /// A guarantee was violated in a `chaos` or `soak` run.
+    #[error("guarantees violated: {0}")]
     Breach(String),
-    /// A child process did not become ready in time.
-    #[error("{0} is not ready in time")]
+    /// A child process is not running or did not become ready in time.
+    #[error("{0} did not become ready in time or is not running")]
     NotReady(String),
-    /// The process was told to stop.
-    #[error("stopped before the end")]
+    /// The run was stopped before completion, usually by a signal.
+    #[error("stopped before completion")]
     Stopped,
-    /// Promises of the demo did not hold.
-    #[error("{0} of the promises did not hold")]
+    /// Number of guarantees that were violated in the demo.
+    #[error("{0} of the guarantees did not hold")]
     Broken(usize),
 }
