--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, fault proxy, load generator and process harness for testing coltsfootport.
+//! Test tools for coltsfootport: stand-ins for target and platform, fault proxy, load generator and process harness.
 
 pub mod chaos;
 pub mod cli;
