--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Test harness that runs a fleet as child processes: platform stand-ins, targets and nodes, with an optional fault proxy
-//! between the nodes.
+//! Test harness that runs a fleet as child processes: platform stand-ins, targets and nodes, with an optional fault
+//! proxy between the nodes.
 
 mod keys;
 mod member;
--- a/crates/rig/src/fleet/plan.rs
+++ b/crates/rig/src/fleet/plan.rs
@@ -68,8 +68,8 @@
 }
 
 impl FleetPlan {
-    /// Creates a client that drops idle connections before the nodes do, so that no request goes out on a connection that
-    /// a node is about to close.
+    /// Creates a client that drops idle connections before the nodes do, so that no request goes out on a connection
+    /// that a node is about to close.
     pub(super) fn client(&self) -> Client {
         match self.node["limits"]["idle_timeout_ms"].as_u64() {
             Some(idle_ms) => Client::with_idle_timeout(Duration::from_millis(idle_ms) * 4 / 5),
