--- a/crates/rig/src/cli.rs
+++ b/crates/rig/src/cli.rs
@@ -45,8 +45,7 @@
     /// Inject random faults from a seed into a fleet of processes under load and check all guarantees after each round
     #[bpaf(command)]
     Chaos(#[bpaf(external(chaos_options))] ChaosOptions),
-    /// Inject random faults from a seed into mesh nodes under load and check what callers and targets recorded against
-    /// all guarantees
+    /// Inject random faults from a seed into mesh nodes and check the records of callers and targets for violations
     #[bpaf(command)]
     Soak(#[bpaf(external(soak_options))] SoakOptions),
     /// Run a load surge with faults on a small fleet of processes; exits with status 0 only if all guarantees held
