--- a/crates/rig/src/demo/run.rs
+++ b/crates/rig/src/demo/run.rs
@@ -39,7 +39,7 @@
         "\ntimeline of one request over all nodes:\n{}",
         timeline.text
     );
-    println!("{:<67}  {:<62}  verdict", "guarantee", "observed");
+    println!("{:<67}  {:<62}  verdict", "promise", "seen");
     for guarantee in &guarantees {
         println!("{guarantee}");
     }
