--- a/crates/rig/src/http/answer.rs
+++ b/crates/rig/src/http/answer.rs
@@ -33,7 +33,7 @@
     let Ok(body) = serde_json::to_vec(value) else {
         return text(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "response can't be serialized as JSON",
+            "answer can't be written as JSON",
         );
     };
     let mut answer = Response::new(AnswerBody::whole(body));
