--- a/crates/rig/src/fleet/keys.rs
+++ b/crates/rig/src/fleet/keys.rs
@@ -44,8 +44,7 @@
     let output = child.wait_with_output()?;
     if !output.status.success() {
         return Err(RigError::Settings(format!(
-            "command `keys` with arguments {args:?} failed: {}",
-            output.status
+            "command `keys` with arguments {args:?} failed"
         )));
     }
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
